--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
 
 # The tools have modules of their own, outside the workspace, so that what they need
-# stays out of the product's go.mod. There are two, since what the linter and
-# benchstat need can't be resolved together.
+# stays out of the product's go.mod. There are three, since what the linter, benchstat
+# and gopls need can't be resolved together.
 BIN := bin
 GO  := go
 LDFLAGS := -s -w
@@ -48,11 +48,14 @@
 	MATRIX=full MATRIX_OUT=$(CURDIR)/$(BIN)/matrix.txt $(GO) test -count=1 -timeout 20m ./matrix; \
 	status=$$?; cat $(BIN)/matrix.txt; exit $$status
 
-tools: $(BIN)/golangci-lint $(BIN)/benchstat
+tools: $(BIN)/golangci-lint $(BIN)/benchstat $(BIN)/gopls
 
 $(BIN)/benchstat: tools/benchstat/go.mod tools/benchstat/go.sum
 	cd tools/benchstat && GOWORK=off $(GO) build -o ../../$(BIN)/benchstat golang.org/x/perf/cmd/benchstat
 
+$(BIN)/gopls: tools/gopls/go.mod tools/gopls/go.sum
+	cd tools/gopls && GOWORK=off $(GO) build -o ../../$(BIN)/gopls golang.org/x/tools/gopls
+
 $(BIN)/golangci-lint: tools/go.mod tools/go.sum
 	cd tools && GOWORK=off $(GO) build -o ../$(BIN)/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 
