--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -57,7 +57,7 @@
 	return cell.New(cfg, cell.Deps{
 		Store: platform.NewStore(cfg.Store, network), Workers: platform.NewWorkers(network), Advice: platform.NewAdvice(cfg.Advice, network),
 		Machines: platform.NewMachines(cfg.Machines, network), Directory: platform.Directory{}, Configs: platform.Configs{},
-		Callers: platform.NewCallers, Usage: usage, Log: log,
+		Callers: platform.NewCallerHandler, Usage: usage, Log: log,
 	}).Run(ctx)
 }
 
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -113,7 +113,7 @@
 	for _, stop := range s.stop {
 		stop()
 	}
-	s.net.Reset("client")
+	s.net.ResetConnections("client")
 }
 
 // TestSilentConnectionsAreNotUsedAgain lets all open connections go silent: one call
@@ -123,7 +123,7 @@
 		s := newScene(t)
 		defer s.close()
 		time.Sleep(time.Second)
-		s.net.Silence("")
+		s.net.SilenceOpenConnections("")
 		if err := s.get("a", "/"); err == nil {
 			t.Error("a call on a silent connection was answered")
 		}
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -189,9 +189,9 @@
 // way: starts, and holds that are open with it.
 func TestHelperLost(t *testing.T) {
 	for name, lose := range map[string]func(r *rig){
-		"its process ends": func(r *rig) { r.net.SetCut("h0", "*", true); r.net.Reset("h0") },
+		"its process ends": func(r *rig) { r.net.SetPartitioned("h0", "*", true); r.net.ResetConnections("h0") },
 		"it stands still":  func(r *rig) { r.net.Pause("h0") },
-		"it is cut off":    func(r *rig) { r.net.SetCut("h0", "*", true) },
+		"it is cut off":    func(r *rig) { r.net.SetPartitioned("h0", "*", true) },
 		"it stops":         func(r *rig) { r.stops[0]() },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/matrix/cell_test.go
+++ b/matrix/cell_test.go
@@ -196,8 +196,8 @@
 	if gone {
 		return
 	}
-	c.net.SetCut(name, "*", true)
-	c.net.Reset(name)
+	c.net.SetPartitioned(name, "*", true)
+	c.net.ResetConnections(name)
 }
 
 // drain begins a planned stop of a node.
@@ -246,7 +246,7 @@
 	if gone {
 		return
 	}
-	c.net.SetCut(id, "*", true)
+	c.net.SetPartitioned(id, "*", true)
 	w.stop()
 	go func() {
 		sleep(c.ctx, lag)
@@ -279,14 +279,14 @@
 	for _, n := range nodes {
 		<-n.ended
 		n.http.CloseIdleConnections()
-		c.net.Reset(n.name)
+		c.net.ResetConnections(n.name)
 	}
 	for _, w := range workers {
 		w.stop()
 	}
 	c.wire.CloseIdleConnections()
-	c.net.Reset("wire")
-	c.net.Reset("caller")
+	c.net.ResetConnections("wire")
+	c.net.ResetConnections("caller")
 }
 
 // bundle returns the example's bundle with a mark that tells versions apart.
@@ -340,10 +340,10 @@
 
 // reach waits as a call over the network would, and fails when it does not get through.
 func (p *nodePlatform) reach(ctx context.Context) error {
-	if err := p.c.net.Wait(p.node, ctx.Done()); err != nil {
+	if err := p.c.net.WaitWhilePaused(p.node, ctx.Done()); err != nil {
 		return err
 	}
-	if p.c.net.IsCut(p.node, platformHost) {
+	if p.c.net.IsPartitioned(p.node, platformHost) {
 		sleep(ctx, platformTimeout)
 		return errNoReply
 	}
--- a/matrix/confirm_test.go
+++ b/matrix/confirm_test.go
@@ -26,7 +26,7 @@
 		}
 		sleep(ctx, 2*time.Second)
 		for _, cut := range [][2]string{{"n0", "n1"}, {"n0", "n2"}, {"n1", "n2"}, {"n0", platformHost}, {"n1", platformHost}} {
-			c.net.SetCut(cut[0], cut[1], true)
+			c.net.SetPartitioned(cut[0], cut[1], true)
 		}
 		// The roll-out waits until the leases of the nodes that are cut off are over.
 		version, at, err := c.accept(ctx, c.nodes["n2"].client, "second", 2)
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		sleep(ctx, time.Until(at.Add(bundleWithin)))
-		c.net.SetCut("n0", "n1", false)
+		c.net.SetPartitioned("n0", "n1", false)
 		for range 10 {
 			sleep(ctx, 500*time.Millisecond)
 			for _, name := range []string{"n0", "n1"} {
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -84,20 +84,20 @@
 		}},
 		{name: "worker cut from its owner only", cutsAnswers: true, inject: func(c *cell, _ *scenario, node, to string) handling {
 			w := c.workerOf(to)
-			c.net.SetCut(node, w, true)
-			heal(c, func() { c.net.SetCut(node, w, false) })
+			c.net.SetPartitioned(node, w, true)
+			heal(c, func() { c.net.SetPartitioned(node, w, false) })
 			return handling{}
 		}},
 		{name: "node cut from the store only", inject: func(c *cell, _ *scenario, node, _ string) handling {
-			c.net.SetCut(node, platformHost, true)
-			heal(c, func() { c.net.SetCut(node, platformHost, false) })
+			c.net.SetPartitioned(node, platformHost, true)
+			heal(c, func() { c.net.SetPartitioned(node, platformHost, false) })
 			return handling{}
 		}},
 		{name: "node cut from its peers only", cutsAnswers: true, inject: func(c *cell, _ *scenario, node, _ string) handling {
 			for _, n := range c.live() {
 				if n.name != node {
-					c.net.SetCut(node, n.name, true)
-					heal(c, func() { c.net.SetCut(node, n.name, false) })
+					c.net.SetPartitioned(node, n.name, true)
+					heal(c, func() { c.net.SetPartitioned(node, n.name, false) })
 				}
 			}
 			return handling{}
--- a/matrix/site/cell_test.go
+++ b/matrix/site/cell_test.go
@@ -154,7 +154,7 @@
 	go func() { _ = s.Serve(l) }()
 	return func() {
 		_ = s.Close()
-		w.net.Reset(network.HostOf(address))
+		w.net.ResetConnections(network.HostOf(address))
 	}
 }
 
@@ -171,7 +171,7 @@
 	n := cell.New(cfg, cell.Deps{
 		Store: platform.NewStore(cfg.Store, over), Workers: platform.NewWorkers(over), Advice: platform.NewAdvice(cfg.Advice, over),
 		Machines: platform.NewMachines(cfg.Machines, over), Directory: platform.Directory{}, Configs: platform.Configs{},
-		Callers: platform.NewCallers, Log: w.log.Named(name), Dial: dial,
+		Callers: platform.NewCallerHandler, Log: w.log.Named(name), Dial: dial,
 		Listen: func(_ context.Context, _, address string) (net.Listener, error) { return w.net.Listen(address), nil },
 	})
 	ctx, stop := context.WithCancel(w.t.Context())
@@ -194,8 +194,8 @@
 	live := w.nodes[name]
 	delete(w.nodes, name)
 	w.mu.Unlock()
-	w.net.SetCut(name, "*", true)
-	w.net.Reset(name)
+	w.net.SetPartitioned(name, "*", true)
+	w.net.ResetConnections(name)
 	live.stop()
 }
 
--- a/matrix/site/coldstart_test.go
+++ b/matrix/site/coldstart_test.go
@@ -65,7 +65,7 @@
 			// What is left of a killed node must not be there when the network is whole.
 			time.Sleep(closeTime)
 			for _, n := range names {
-				w.net.SetCut(n, "*", false)
+				w.net.SetPartitioned(n, "*", false)
 				w.startNode(n)
 			}
 			time.Sleep(takenWithin)
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -37,11 +37,11 @@
 		owner := w.owner()
 		others := from(w, owner)
 		for _, o := range others {
-			w.net.SetCut(owner, o, true)
+			w.net.SetPartitioned(owner, o, true)
 		}
 		return func() {
 			for _, o := range others {
-				w.net.SetCut(owner, o, false)
+				w.net.SetPartitioned(owner, o, false)
 			}
 		}
 	}}
@@ -88,7 +88,7 @@
 			return func() { w.net.Resume(owner) }
 		}},
 		{"open connections go silent", func(w *world) func() {
-			w.net.Silence(callerHost)
+			w.net.SilenceOpenConnections(callerHost)
 			return nil
 		}},
 	}
@@ -155,10 +155,10 @@
 			}
 		}},
 		{"worker cut off, and the owner killed", func(w *world) func() {
-			w.net.SetCut("w0", "*", true)
+			w.net.SetPartitioned("w0", "*", true)
 			restart := w.killOwner()
 			return func() {
-				w.net.SetCut("w0", "*", false)
+				w.net.SetPartitioned("w0", "*", false)
 				restart()
 			}
 		}},
--- a/matrix/site/marked_test.go
+++ b/matrix/site/marked_test.go
@@ -59,7 +59,7 @@
 // startAgain starts all nodes, and waits until the job should have ended.
 func (w *world) startAgain() {
 	for _, n := range []string{"n0", "n1", "n2"} {
-		w.net.SetCut(n, "*", false)
+		w.net.SetPartitioned(n, "*", false)
 		w.startNode(n)
 	}
 	time.Sleep(markedAfter + 5*time.Second)
--- a/matrix/site/overload_test.go
+++ b/matrix/site/overload_test.go
@@ -55,8 +55,8 @@
 		w.limits = settings.Limits{CPUShare: h.share, CoreSpeed: 1, LinkMbps: float64(h.rate) * bitsPerByte / million}
 		for i := range smallNodes {
 			name := fmt.Sprintf("n%d", i)
-			w.net.SetRate(name, h.rate)
-			w.net.SetQuota(name, h.share, h.cost)
+			w.net.SetBandwidth(name, h.rate)
+			w.net.SetCPUQuota(name, h.share, h.cost)
 		}
 	})
 	for i := cellNodes; i < smallNodes; i++ {
--- a/matrix/site/peers_test.go
+++ b/matrix/site/peers_test.go
@@ -29,11 +29,11 @@
 		}
 		others := slices.DeleteFunc(w.names(), func(name string) bool { return name == away })
 		for _, name := range others {
-			w.net.SetCut(away, name, true)
+			w.net.SetPartitioned(away, name, true)
 		}
 		time.Sleep(cutFor)
 		for _, name := range others {
-			w.net.SetCut(away, name, false)
+			w.net.SetPartitioned(away, name, false)
 		}
 		time.Sleep(foundWithin)
 		for _, name := range w.names() {
--- a/matrix/site/restart_test.go
+++ b/matrix/site/restart_test.go
@@ -33,7 +33,7 @@
 			time.Sleep(closeTime)
 			began := time.Now()
 			for _, n := range []string{"n0", "n1", "n2"} {
-				w.net.SetCut(n, "*", false)
+				w.net.SetPartitioned(n, "*", false)
 				w.startNode(n)
 			}
 			for w.state("urgent", id) != "succeeded" && time.Since(began) < settled {
--- a/matrix/site/shards_test.go
+++ b/matrix/site/shards_test.go
@@ -134,8 +134,8 @@
 		owner := w.site.Owner()
 		others := otherNodes(w, owner)
 		cut := others[0]
-		w.net.SetCut(cut, owner, true)
-		w.net.SetCut(cut, others[1], true)
+		w.net.SetPartitioned(cut, owner, true)
+		w.net.SetPartitioned(cut, others[1], true)
 		for range 10 {
 			w.submit("urgent", urgentSpec, urgentSteps()...)
 			if now := w.site.Owner(); now == cut {
--- a/matrix/site/silence_test.go
+++ b/matrix/site/silence_test.go
@@ -36,7 +36,7 @@
 	owner := w.owner()
 	var jobs sync.WaitGroup
 	for round := range silentRounds {
-		w.net.Silence(callerHost)
+		w.net.SilenceOpenConnections(callerHost)
 		for i, node := range w.names() {
 			jobs.Go(func() { w.checkServed(node, fmt.Sprintf("%016x", 0xa000+16*round+i)) })
 		}
--- a/matrix/site/slowlink_test.go
+++ b/matrix/site/slowlink_test.go
@@ -32,7 +32,7 @@
 	w := newWorld(t)
 	for i := range slowNodes {
 		name := fmt.Sprintf("s%d", i)
-		w.net.SetRate(name, slowLink)
+		w.net.SetBandwidth(name, slowLink)
 		w.startNode(name)
 	}
 	return w
@@ -111,7 +111,7 @@
 		w.configure(2, routesMore)
 		w.site.Store.SetFaults(site.StoreFaults{Deny: []string{"s0", "s1", "s2", "s3"}})
 		time.Sleep(time.Second)
-		before := w.net.Received("s0")
+		before := w.net.ReceivedBytes("s0")
 		w.configure(3, 2*routesMore)
 		w.configure(4, 2*routesMore)
 		w.configure(5, 3*routesMore)
@@ -120,7 +120,7 @@
 		if got := w.metric("s0", `switchbank_config_fetches_total{outcome="read"}`); got > versions {
 			t.Errorf("s0 fetched a configuration %v times, want %d at most", got, versions)
 		}
-		if got := w.net.Received("s0") - before; got > fromPeersMost {
+		if got := w.net.ReceivedBytes("s0") - before; got > fromPeersMost {
 			t.Errorf("s0 received %d bytes, want at most %d", got, fromPeersMost)
 		}
 	})
@@ -141,9 +141,9 @@
 		defer w.close()
 		time.Sleep(4 * time.Second)
 		w.configure(2, routesMore)
-		before := w.net.Received("s0")
+		before := w.net.ReceivedBytes("s0")
 		time.Sleep(seconds * time.Second)
-		got := (w.net.Received("s0") - before) / seconds
+		got := (w.net.ReceivedBytes("s0") - before) / seconds
 		t.Logf("%d bytes a second", got)
 		if got > most {
 			t.Errorf("a node receives %d bytes a second while nothing changes, want at most %d", got, most)
--- a/matrix/site/unread_test.go
+++ b/matrix/site/unread_test.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		for _, n := range w.names() {
-			w.net.SetCut(n, fmt.Sprintf("w%d", i), cut)
+			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), cut)
 		}
 	}
 }
--- a/matrix/site/untold_test.go
+++ b/matrix/site/untold_test.go
@@ -44,7 +44,7 @@
 		defer w.close()
 		time.Sleep(untoldPause)
 		for round := range untoldRounds {
-			w.net.Silence(callerHost)
+			w.net.SilenceOpenConnections(callerHost)
 			w.handInBesideOwner(round)
 			time.Sleep(untoldPause)
 		}
--- a/standin/network/link.go
+++ b/standin/network/link.go
@@ -31,16 +31,16 @@
 	return l.free
 }
 
-// SetRate limits what a host receives, and what it sends, to so many bytes a second each.
-func (n *Network) SetRate(host string, bytesPerSecond int) {
+// SetBandwidth limits what a host receives, and what it sends, to so many bytes a second each.
+func (n *Network) SetBandwidth(host string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	laneOf(n.in, host).rate = bytesPerSecond
 	laneOf(n.out, host).rate = bytesPerSecond
 }
 
-// Received returns how many bytes were sent to a host so far.
-func (n *Network) Received(host string) int64 {
+// ReceivedBytes returns how many bytes were sent to a host so far.
+func (n *Network) ReceivedBytes(host string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return laneOf(n.in, host).bytes
--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -67,8 +67,8 @@
 	return host
 }
 
-// SetCut cuts or mends everything between two hosts; "*" stands for all.
-func (n *Network) SetCut(a, b string, cut bool) {
+// SetPartitioned cuts or mends everything between two hosts; "*" stands for all.
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range []link{{a, b}, {b, a}} {
@@ -111,8 +111,8 @@
 	return n.stalled[link{from, to}]
 }
 
-// IsCut reports whether nothing passes from one host to another.
-func (n *Network) IsCut(from, to string) bool {
+// IsPartitioned reports whether nothing passes from one host to another.
+func (n *Network) IsPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[link{from, to}] || n.cut[link{from, "*"}] || n.cut[link{"*", to}]
@@ -137,8 +137,8 @@
 	}
 }
 
-// Wait blocks while host is paused.
-func (n *Network) Wait(host string, closed <-chan struct{}) error {
+// WaitWhilePaused blocks while host is paused.
+func (n *Network) WaitWhilePaused(host string, closed <-chan struct{}) error {
 	n.mu.Lock()
 	ch := n.paused[host]
 	n.mu.Unlock()
@@ -153,8 +153,8 @@
 	}
 }
 
-// Reset closes all connections of a host, as the end of its process does.
-func (n *Network) Reset(host string) {
+// ResetConnections closes all connections of a host, as the end of its process does.
+func (n *Network) ResetConnections(host string) {
 	n.mu.Lock()
 	var mine []*conn
 	for c := range n.conns {
@@ -168,9 +168,9 @@
 	}
 }
 
-// Silence makes all connections that are open now, but for those of one host, pass
+// SilenceOpenConnections makes all connections that are open now, but for those of one host, pass
 // nothing any more, without closing them; new ones work.
-func (n *Network) Silence(but string) {
+func (n *Network) SilenceOpenConnections(but string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -218,10 +218,10 @@
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		if err := n.Wait(from, ctx.Done()); err != nil {
+		if err := n.WaitWhilePaused(from, ctx.Done()); err != nil {
 			return nil, err
 		}
-		if n.IsCut(from, HostOf(to)) || n.IsCut(HostOf(to), from) {
+		if n.IsPartitioned(from, HostOf(to)) || n.IsPartitioned(HostOf(to), from) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -273,13 +273,13 @@
 
 // Write drops what a cut link would lose, and waits while the host is paused.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.n.Wait(c.local, c.closed); err != nil {
+	if err := c.n.WaitWhilePaused(c.local, c.closed); err != nil {
 		return 0, err
 	}
-	if err := c.n.Wait(c.remote, c.closed); err != nil {
+	if err := c.n.WaitWhilePaused(c.remote, c.closed); err != nil {
 		return 0, err
 	}
-	if c.silent.Load() || c.n.IsCut(c.local, c.remote) {
+	if c.silent.Load() || c.n.IsPartitioned(c.local, c.remote) {
 		return len(b), nil
 	}
 	if c.hold(b) {
--- a/standin/network/quota.go
+++ b/standin/network/quota.go
@@ -18,9 +18,9 @@
 	used   time.Duration
 }
 
-// SetQuota lets a host use a share of a processor, of which each message that it sends or
+// SetCPUQuota lets a host use a share of a processor, of which each message that it sends or
 // receives, or piece of a large one, takes cost.
-func (n *Network) SetQuota(host string, share float64, cost time.Duration) {
+func (n *Network) SetCPUQuota(host string, share float64, cost time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quotas[host] = &quota{budget: time.Duration(share * float64(quotaPeriod)), cost: cost}
