--- a/internal/scheduler/advice_test.go
+++ b/internal/scheduler/advice_test.go
@@ -20,8 +20,8 @@
 	step.Gang = gang
 	job := batch("j", step)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 550, PerWorkerMS: 8, ValidMS: 2000}
-	r.s.AddJob(r.now, job, nil, false)
-	calls := commandsOf[scheduler.Advise](r.s.Schedule(r.now))
+	r.shard.AddJob(r.now, job, nil, false)
+	calls := commandsOf[scheduler.Advise](r.shard.Schedule(r.now))
 	if len(calls) != 1 {
 		t.Fatalf("%d calls, want 1", len(calls))
 	}
--- a/internal/scheduler/batch_test.go
+++ b/internal/scheduler/batch_test.go
@@ -19,7 +19,7 @@
 	r := newRig(t, 20)
 	r.announce()
 	for i := range jobs {
-		r.s.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 1000)), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 1000)), nil, false)
 	}
 	r.pass(300 * time.Millisecond)
 	for _, id := range r.names() {
@@ -30,7 +30,7 @@
 		}
 	}
 	r.hold()
-	b := r.s.Dirty(most, anyBytes)
+	b := r.shard.Dirty(most, anyBytes)
 	if len(b.Records) != most {
 		t.Fatalf("%d records, want %d", len(b.Records), most)
 	}
@@ -49,14 +49,14 @@
 	r := newRig(t, 20)
 	r.announce()
 	for i := range jobs {
-		r.s.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 2000)), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 2000)), nil, false)
 	}
 	r.pass(300 * time.Millisecond)
 	r.endAll(cluster.OutcomeDone)
 	r.hold()
 	for taken := 0; taken < jobs; taken += most {
-		b := r.s.Dirty(most, anyBytes)
-		r.s.Persisted(r.now, b, 1)
+		b := r.shard.Dirty(most, anyBytes)
+		r.shard.Persisted(r.now, b, 1)
 		r.hold()
 		open := 0
 		for _, f := range r.workers {
@@ -77,11 +77,11 @@
 	r := newRig(t, 20)
 	r.announce()
 	for i := range 30 {
-		r.s.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 1000)), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(1, 1000)), nil, false)
 	}
 	r.pass(300 * time.Millisecond)
 	for _, c := range []struct{ bytes, least, most int }{{1, 1, 1}, {500, 2, 12}, {anyBytes, 30, 30}} {
-		if n := len(r.s.Dirty(100, c.bytes).Records); n < c.least || n > c.most {
+		if n := len(r.shard.Dirty(100, c.bytes).Records); n < c.least || n > c.most {
 			t.Errorf("a batch of up to %d bytes has %d records, want %d to %d", c.bytes, n, c.least, c.most)
 		}
 	}
@@ -103,7 +103,7 @@
 		if i == urgent {
 			job.Policy.Priority = 3
 		}
-		r.s.AddJob(r.now, job, nil, false)
+		r.shard.AddJob(r.now, job, nil, false)
 	}
 	r.pass(300 * time.Millisecond)
 	old := fmt.Sprintf("j%02d", urgent)
@@ -115,8 +115,8 @@
 			r.endOneOf(old)
 		}
 		r.pass(100 * time.Millisecond)
-		b := r.s.Dirty(most, anyBytes)
-		r.s.Persisted(r.now, b, 1)
+		b := r.shard.Dirty(most, anyBytes)
+		r.shard.Persisted(r.now, b, 1)
 		for _, rec := range b.Records {
 			if rec.Job == old && round > 0 {
 				return
--- a/internal/scheduler/carried_test.go
+++ b/internal/scheduler/carried_test.go
@@ -32,7 +32,7 @@
 	r.pass(200 * time.Millisecond)
 	job := gangJob()
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 20, ValidMS: 2500}
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	for range 8 {
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.hold()
@@ -46,7 +46,7 @@
 			for _, w := range allowed {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
-			r.s.Advised(r.now, c.Step, c.Workers, tickets, time.Second, nil)
+			r.shard.Advised(r.now, c.Step, c.Workers, tickets, time.Second, nil)
 		}
 		if len(r.running()) == 1 {
 			r.endAll(cluster.OutcomeDone)
@@ -61,7 +61,7 @@
 // is not done again.
 func TestBegunJobMovesWhereItsGangFits(t *testing.T) {
 	r := beginGangJob(t, 2)
-	moves := r.s.Moves(r.now, 10)
+	moves := r.shard.Moves(r.now, 10)
 	if len(moves) != 1 || !moves[0].Unfit || len(moves[0].Carried) == 0 {
 		t.Fatalf("moves %+v, want the job with its progress", moves)
 	}
@@ -71,7 +71,7 @@
 	to := newRig(t, 4)
 	to.announce()
 	to.pass(200 * time.Millisecond)
-	to.s.AddJob(to.now, job, nil, false)
+	to.shard.AddJob(to.now, job, nil, false)
 	starts := commandsOf[scheduler.Start](to.round())
 	if len(starts) != 3 || starts[0].Task.Step != 1 {
 		t.Fatalf("%d starts, the first of step %d, want the gang's 3 of step 1", len(starts), starts[0].Task.Step)
@@ -87,7 +87,7 @@
 func TestBegunJobStaysWhereItsGangFits(t *testing.T) {
 	r := beginGangJob(t, 3)
 	r.pass(2 * time.Second)
-	if moves := r.s.Moves(r.now, 10); len(moves) > 0 {
+	if moves := r.shard.Moves(r.now, 10); len(moves) > 0 {
 		t.Errorf("moves %+v, want none", moves)
 	}
 }
@@ -102,7 +102,7 @@
 	r := newRig(t, 2)
 	r.announce()
 	r.pass(200 * time.Millisecond)
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	starts := commandsOf[scheduler.Start](r.round())
 	if len(starts) != 1 || starts[0].Run <= failed {
 		t.Fatalf("starts %+v, want one above %d", starts, failed)
--- a/internal/scheduler/entry_test.go
+++ b/internal/scheduler/entry_test.go
@@ -13,8 +13,8 @@
 // invalid lets time pass while the directory is read, and a worker's entry is invalid.
 func (r *rig) invalid(d time.Duration, id string) {
 	for end := r.now.Add(d); r.now.Before(end); {
-		r.s.DirectoryRead(r.now)
-		r.s.EntryInvalid(r.now, id)
+		r.shard.DirectoryRead(r.now)
+		r.shard.EntryInvalid(r.now, id)
 		r.pass(100 * time.Millisecond)
 	}
 }
@@ -54,11 +54,11 @@
 	r.read(time.Second)
 	r.workers["w0"].mute = true
 	r.invalid(time.Second, "w0")
-	if !slices.Contains(r.s.Workers(), "w0") {
+	if !slices.Contains(r.shard.Workers(), "w0") {
 		t.Error("the worker is forgotten while its lease may hold")
 	}
 	r.invalid(2*testLease, "w0")
-	if slices.Contains(r.s.Workers(), "w0") {
+	if slices.Contains(r.shard.Workers(), "w0") {
 		t.Error("the worker is still known long after its lease")
 	}
 }
--- a/internal/scheduler/epoch_test.go
+++ b/internal/scheduler/epoch_test.go
@@ -35,7 +35,7 @@
 			r.pass(200 * time.Millisecond)
 			job := batch("j", tasks(1, 1000))
 			job.Epoch = c.epoch
-			r.s.AddJob(r.now, job, nil, false)
+			r.shard.AddJob(r.now, job, nil, false)
 			if n := len(commandsOf[scheduler.Start](r.round())); n != c.starts {
 				t.Errorf("%d starts while a worker has not answered, want %d", n, c.starts)
 			}
--- a/internal/scheduler/foreign_test.go
+++ b/internal/scheduler/foreign_test.go
@@ -14,14 +14,14 @@
 // explains counts as full, also if it answered before the directory said what it has.
 func TestUnknownRunFillsWorkerOfRoster(t *testing.T) {
 	r := newRig(t, 1)
-	r.s.UpsertWorker(r.now, cluster.Worker{ID: "w0", Address: "w0", Service: "svc"})
+	r.shard.UpsertWorker(r.now, cluster.Worker{ID: "w0", Address: "w0", Service: "svc"})
 	r.workers["w0"].running = []cluster.RunStatus{{Task: cluster.TaskID{Job: "gone"}, Run: 7}}
 	r.hold()
-	r.s.UpsertWorker(r.now, cluster.Worker{
+	r.shard.UpsertWorker(r.now, cluster.Worker{
 		ID: "w0", Address: "w0", Service: "svc", Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000},
 	})
-	r.s.AddJob(r.now, batch("a", tasks(1, 4000)), nil, false)
-	for _, c := range r.s.Schedule(r.now) {
+	r.shard.AddJob(r.now, batch("a", tasks(1, 4000)), nil, false)
+	for _, c := range r.shard.Schedule(r.now) {
 		if start, ok := c.(scheduler.Start); ok {
 			t.Errorf("%v starts beside a run of unknown size", start.Task)
 		}
--- a/internal/scheduler/fulllist_test.go
+++ b/internal/scheduler/fulllist_test.go
@@ -21,7 +21,7 @@
 	const listed = 500
 	r := newRig(t, 1)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", tasks(1, 500)), nil, false)
+	r.shard.AddJob(r.now, batch("j", tasks(1, 500)), nil, false)
 	r.pass(300 * time.Millisecond)
 	if len(r.running()) != 1 {
 		t.Fatal("the task does not run")
@@ -33,9 +33,9 @@
 	starts := 0
 	for range 10 {
 		r.now = r.now.Add(100 * time.Millisecond)
-		seq, _, _, _ := r.s.HoldSent(r.now, "w0")
-		r.s.Observe(r.now, "w0", seq, cluster.Report{ClockMS: r.now.UnixMilli(), Ended: ends})
-		starts += len(commandsOf[scheduler.Start](r.s.Schedule(r.now)))
+		seq, _, _, _ := r.shard.HoldSent(r.now, "w0")
+		r.shard.Observe(r.now, "w0", seq, cluster.Report{ClockMS: r.now.UnixMilli(), Ended: ends})
+		starts += len(commandsOf[scheduler.Start](r.shard.Schedule(r.now)))
 	}
 	if starts != 0 {
 		t.Errorf("the task was started %d times again while its end may not be listed yet", starts)
--- a/internal/scheduler/gangfails_test.go
+++ b/internal/scheduler/gangfails_test.go
@@ -30,7 +30,7 @@
 	r.announce()
 	gang := tasks(2, 4000)
 	gang.Gang = true
-	r.s.AddJob(r.now, batch("j", gang), nil, false)
+	r.shard.AddJob(r.now, batch("j", gang), nil, false)
 	for range rounds {
 		r.pass(100 * time.Millisecond)
 		how := cluster.OutcomeDone
@@ -50,6 +50,6 @@
 // stored persists what is open, and returns a job's state.
 func (r *rig) stored(id string) cluster.State {
 	r.persist(make(map[string]scheduler.Record))
-	state, _ := r.s.Job(id)
+	state, _ := r.shard.Job(id)
 	return state
 }
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -22,19 +22,19 @@
 		// Queues of their own, so that none is slow beside another.
 		old := batch(fmt.Sprintf("old%d", i), tasks(1, 500))
 		old.Queue = old.ID
-		r.s.AddJob(r.now, old, nil, false)
+		r.shard.AddJob(r.now, old, nil, false)
 	}
 	r.pass(200 * time.Millisecond)
 	for i := range freshRuns {
 		id := fmt.Sprintf("new%d", i)
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		r.pass(100 * time.Millisecond)
 		r.endOne(id, cluster.OutcomeFailed)
 		r.pass(100 * time.Millisecond)
 		r.endOne(fmt.Sprintf("old%d", i), cluster.OutcomeDone)
 		r.pass(100 * time.Millisecond)
 	}
-	if n := r.s.Counts().SetAside; n == 0 {
+	if n := r.shard.Counts().SetAside; n == 0 {
 		t.Error("a worker on which all new runs failed was not set aside")
 	}
 }
@@ -49,12 +49,12 @@
 		if i%2 == 1 {
 			how = cluster.OutcomeDone
 		}
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		r.pass(200 * time.Millisecond)
 		r.endOne(id, how)
 		r.pass(100 * time.Millisecond)
 	}
-	if n := r.s.Counts().SetAside; n != 0 {
+	if n := r.shard.Counts().SetAside; n != 0 {
 		t.Errorf("a worker on which every second run succeeded was set aside %d times", n)
 	}
 }
@@ -82,8 +82,8 @@
 	r := newRig(t, 2)
 	r.announce()
 	r.pass(200 * time.Millisecond)
-	r.s.EntryInvalid(r.now, "w1")
-	r.s.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
+	r.shard.EntryInvalid(r.now, "w1")
+	r.shard.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
 	r.round()
 	r.endOne("j", cluster.OutcomeFailed)
 	r.pass(2 * time.Second)
--- a/internal/scheduler/heldback_test.go
+++ b/internal/scheduler/heldback_test.go
@@ -24,7 +24,7 @@
 	const within = 10 * time.Second
 	r := newRig(t, 2)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", lasting(1, 500)), nil, false)
+	r.shard.AddJob(r.now, batch("j", lasting(1, 500)), nil, false)
 	r.pass(200 * time.Millisecond)
 	stuck := r.workerOf("j")
 	if stuck == "" {
@@ -44,13 +44,13 @@
 func TestTaskThatLastsAndIsSlowToStartIsLeftAlone(t *testing.T) {
 	r := newRig(t, 2)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", lasting(1, 500)), nil, false)
+	r.shard.AddJob(r.now, batch("j", lasting(1, 500)), nil, false)
 	r.pass(2 * time.Second)
 	for _, f := range r.workers {
 		f.setPercent(100)
 	}
 	r.pass(20 * time.Second)
-	if n := r.s.Counts().Stops; n != 0 {
+	if n := r.shard.Counts().Stops; n != 0 {
 		t.Errorf("%d runs were stopped, want none", n)
 	}
 }
@@ -66,7 +66,7 @@
 	r.announce()
 	step := tasks(1, 500)
 	step.Speculative = true
-	r.s.AddJob(r.now, batch("j", step), nil, false)
+	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.pass(200 * time.Millisecond)
 	first := r.workerOf("j")
 	r.pass(2 * time.Second)
@@ -75,7 +75,7 @@
 	}
 	for _, w := range r.workersOf("j") {
 		if w != first {
-			r.s.WorkerOver(r.now, w, "its machine is down")
+			r.shard.WorkerOver(r.now, w, "its machine is down")
 			delete(r.workers, w)
 		}
 	}
@@ -97,7 +97,7 @@
 	r.announce()
 	step := tasks(1, 500)
 	step.Speculative = true
-	r.s.AddJob(r.now, batch("j", step), nil, false)
+	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.pass(2 * time.Second)
 	still := r.workersOf("j")
 	if len(still) != 2 {
@@ -127,7 +127,7 @@
 			r.announce()
 			step := tasks(2, 500)
 			step.Gang = gang
-			r.s.AddJob(r.now, batch("j", step), nil, false)
+			r.shard.AddJob(r.now, batch("j", step), nil, false)
 			for end := r.now.Add(within); r.now.Before(end); {
 				r.now = r.now.Add(100 * time.Millisecond)
 				r.hold()
@@ -151,14 +151,14 @@
 	r.workers["w1"].mute = true
 	step := tasks(1, 500)
 	step.Label = "none here has it"
-	r.s.AddJob(r.now, batch("j", step), nil, true)
+	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.pass(12 * time.Second)
-	if n := len(r.s.Moves(r.now, 1)); n != 0 {
+	if n := len(r.shard.Moves(r.now, 1)); n != 0 {
 		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
 	}
 	r.workers["w1"].mute = false
 	r.pass(2 * time.Second)
-	if n := len(r.s.Moves(r.now, 1)); n != 1 {
+	if n := len(r.shard.Moves(r.now, 1)); n != 1 {
 		t.Errorf("%d jobs move once all workers have answered, want 1", n)
 	}
 }
@@ -171,14 +171,14 @@
 	r.announce()
 	step := tasks(1, 500)
 	step.Label = "none here has it"
-	r.s.AddJob(r.now, batch("j", step), nil, true)
+	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.pass(12 * time.Second)
-	if n := len(r.s.Moves(r.now, 1)); n != 0 {
+	if n := len(r.shard.Moves(r.now, 1)); n != 0 {
 		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
 	}
-	r.s.ExpectWorkers(r.names())
+	r.shard.ExpectWorkers(r.names())
 	r.pass(2 * time.Second)
-	if n := len(r.s.Moves(r.now, 1)); n != 1 {
+	if n := len(r.shard.Moves(r.now, 1)); n != 1 {
 		t.Errorf("%d jobs move once all workers have answered, want 1", n)
 	}
 }
@@ -194,7 +194,7 @@
 	serving, filler := lasting(1, 500), tasks(1, 500)
 	serving.LatencyTargetMS, filler.Fills = 100, true
 	r.addLasting(batch("serves", serving))
-	r.s.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	pace := 100
 	tail := func(ms int64, d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
@@ -258,18 +258,18 @@
 
 // roundWithBusy takes one round, in which one worker takes no start.
 func (r *rig) roundWithBusy(busy string) {
-	for _, c := range r.s.Schedule(r.now) {
+	for _, c := range r.shard.Schedule(r.now) {
 		switch c := c.(type) {
 		case scheduler.Start:
 			if c.Worker == busy {
-				r.s.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyBusy)
+				r.shard.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyBusy)
 				continue
 			}
 			r.workers[c.Worker].running = append(r.workers[c.Worker].running, cluster.RunStatus{Task: c.Task, Run: c.Run})
-			r.s.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
+			r.shard.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
 		case scheduler.Stop:
 			r.end(c.Worker, c.Task, c.Run, cluster.OutcomeStopped)
-			r.s.StopReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
+			r.shard.StopReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
 		}
 	}
 }
@@ -293,13 +293,13 @@
 				wide.Gang = true
 				job := batch("wide", wide)
 				job.Policy.Priority = 0
-				r.s.AddJob(r.now, job, nil, false)
+				r.shard.AddJob(r.now, job, nil, false)
 			}
 			fits := tasks(4, 3000)
 			fits.Gang = true
 			job := batch("fits", fits)
 			job.Policy.Priority = 1
-			r.s.AddJob(r.now, job, nil, false)
+			r.shard.AddJob(r.now, job, nil, false)
 			for end := r.now.Add(within); r.now.Before(end) && !r.runs("fits"); {
 				f.work(100 * time.Millisecond)
 			}
@@ -332,7 +332,7 @@
 			f.added++
 			step := tasks(1, cmp.Or(f.cpu, 2000))
 			step.EstimateMS = 6000
-			f.s.AddJob(f.now, batch(fmt.Sprintf("small%d", f.added), step), nil, false)
+			f.shard.AddJob(f.now, batch(fmt.Sprintf("small%d", f.added), step), nil, false)
 		}
 		f.pass(100 * time.Millisecond)
 		for _, id := range f.names() {
@@ -366,7 +366,7 @@
 	r.announce()
 	step := tasks(1, 500)
 	step.Fills = true
-	r.s.AddJob(r.now, batch("j", step), nil, false)
+	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.pass(200 * time.Millisecond)
 	stuck := r.workerOf("j")
 	r.pass(within)
@@ -386,7 +386,7 @@
 	serving, filler := lasting(1, 500), tasks(1, 500)
 	serving.LatencyTargetMS, filler.Fills = 100, true
 	r.addLasting(batch("serves", serving))
-	r.s.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	over := func(d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
 			r.pass(100 * time.Millisecond)
@@ -426,9 +426,9 @@
 			for i := range beside {
 				job := batch(fmt.Sprintf("never%d", i), tasks(1, 3500))
 				job.Policy.Priority = 1
-				r.s.AddJob(r.now, job, nil, false)
+				r.shard.AddJob(r.now, job, nil, false)
 			}
-			r.s.AddJob(r.now, batch("fits", tasks(1, 2900)), nil, false)
+			r.shard.AddJob(r.now, batch("fits", tasks(1, 2900)), nil, false)
 			for end := r.now.Add(within); r.now.Before(end) && !r.runs("fits"); {
 				f.work(100 * time.Millisecond)
 			}
@@ -450,7 +450,7 @@
 	r.announce()
 	filler := tasks(1, 500)
 	filler.Fills, filler.Need.MemoryMB = true, 8000
-	r.s.AddJob(r.now, batch("filler", filler), nil, false)
+	r.shard.AddJob(r.now, batch("filler", filler), nil, false)
 	r.pass(1500 * time.Millisecond)
 	r.addLasting(batch("lasts", lasting(1, 1000)))
 	r.pass(3 * time.Second)
@@ -469,7 +469,7 @@
 	r.announce()
 	step := tasks(1, 500)
 	step.Speculative = true
-	r.s.AddJob(r.now, batch("j", step), nil, false)
+	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.pass(300 * time.Millisecond)
 	first := r.workerOf("j")
 	r.workers[first].mute = true
@@ -500,25 +500,25 @@
 	add := func(id string) {
 		step := tasks(1, 500)
 		step.Label = "none"
-		r.s.AddJob(r.now, batch(id, step), nil, false)
+		r.shard.AddJob(r.now, batch(id, step), nil, false)
 	}
 	add("stayed")
 	r.pass(time.Second)
-	r.s.Moves(r.now, atOnce)
-	r.s.Stays("stayed")
+	r.shard.Moves(r.now, atOnce)
+	r.shard.Stays("stayed")
 	offered := 0
 	for i := range 50 {
 		for k := range atOnce {
 			add(fmt.Sprintf("n%d", i*atOnce+k))
 		}
 		r.pass(200 * time.Millisecond)
-		for _, m := range r.s.Moves(r.now, atOnce) {
+		for _, m := range r.shard.Moves(r.now, atOnce) {
 			if m.Job.ID == "stayed" {
 				offered++
-				r.s.Stays("stayed")
+				r.shard.Stays("stayed")
 				continue
 			}
-			r.s.Moved(r.now, m.Job.ID)
+			r.shard.Moved(r.now, m.Job.ID)
 		}
 	}
 	if offered == 0 {
@@ -539,9 +539,9 @@
 	r.announce()
 	r.addLasting(batch("full", lasting(1, 3800)))
 	r.pass(2 * time.Second)
-	for i := 0; r.s.Counts().SetAside < 3; i++ {
+	for i := 0; r.shard.Counts().SetAside < 3; i++ {
 		id := fmt.Sprintf("fails%d", i)
-		r.s.AddJob(r.now, batch(id, tasks(1, 100)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 100)), nil, false)
 		for !r.runs(id) {
 			r.pass(100 * time.Millisecond)
 		}
--- a/internal/scheduler/jointadvice_test.go
+++ b/internal/scheduler/jointadvice_test.go
@@ -29,19 +29,19 @@
 	r.announce()
 	full := tasks(3, 4000)
 	full.EstimateMS = 20_000
-	r.s.AddJob(r.now, batch("full", full), nil, false)
+	r.shard.AddJob(r.now, batch("full", full), nil, false)
 	r.pass(200 * time.Millisecond)
 	gang := tasks(4, 4000)
 	gang.Gang = true
 	job := batch("j", gang)
 	job.Share = cluster.Share{Index: 0, Of: 2, Joint: true}
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, ValidMS: valid.Milliseconds()}
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	answerAt := time.Time{}
 	var open scheduler.Advise
 	good := map[string]time.Time{}
 	for end := r.now.Add(20 * time.Second); r.now.Before(end); {
-		r.s.GangRounds(r.now)
+		r.shard.GangRounds(r.now)
 		r.pass(100 * time.Millisecond)
 		for _, c := range commandsOf[scheduler.Advise](r.commands) {
 			open, answerAt = c, r.now.Add(callFor)
@@ -53,7 +53,7 @@
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				good[w] = r.now.Add(valid)
 			}
-			r.s.Advised(r.now, open.Step, open.Workers, tickets, valid, nil)
+			r.shard.Advised(r.now, open.Step, open.Workers, tickets, valid, nil)
 		}
 		if end.Sub(r.now) > 18*time.Second {
 			continue
--- a/internal/scheduler/lasting_test.go
+++ b/internal/scheduler/lasting_test.go
@@ -57,16 +57,16 @@
 	r.addLasting(batch("stays", lasting(1, 500)))
 	r.passAtWork(5 * time.Second)
 	for _, id := range []string{"a", "b"} {
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		r.passAtWork(200 * time.Millisecond)
 		r.endOne(id, cluster.OutcomeFailed)
 		r.passAtWork(100 * time.Millisecond)
 	}
-	if n := r.s.Counts().SetAside; n != 1 {
+	if n := r.shard.Counts().SetAside; n != 1 {
 		t.Errorf("the worker was set aside %d times, want once", n)
 	}
 	for _, id := range []string{"c", "d", "e"} {
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 	}
 	succeeded := 0
 	for end := r.now.Add(20 * time.Second); r.now.Before(end); {
@@ -95,11 +95,11 @@
 	r := newRig(t, 4)
 	r.announce()
 	for _, w := range []string{"w0", "w1", "w2"} {
-		r.s.EntryInvalid(r.now, w)
+		r.shard.EntryInvalid(r.now, w)
 	}
 	full := tasks(1, 3500)
 	full.EstimateMS = 20_000
-	r.s.AddJob(r.now, batch("full", full), nil, false)
+	r.shard.AddJob(r.now, batch("full", full), nil, false)
 	r.passAtWork(200 * time.Millisecond)
 	r.announce()
 	step := lasting(3, 1000)
@@ -134,9 +134,9 @@
 func TestTaskThatLastsTakesWorkerSetAside(t *testing.T) {
 	r := newRig(t, 1)
 	r.announce()
-	for i := 0; r.s.Counts().SetAside < 3; i++ {
+	for i := 0; r.shard.Counts().SetAside < 3; i++ {
 		id := fmt.Sprintf("fails%d", i)
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		for !r.runs(id) {
 			r.passAtWork(100 * time.Millisecond)
 		}
@@ -144,7 +144,7 @@
 		r.passAtWork(100 * time.Millisecond)
 	}
 	r.addLasting(batch("lasts", lasting(1, 500)))
-	r.s.AddJob(r.now, batch("waits", tasks(1, 500)), nil, false)
+	r.shard.AddJob(r.now, batch("waits", tasks(1, 500)), nil, false)
 	r.passAtWork(2 * time.Second)
 	if !r.runs("lasts") {
 		t.Error("the task that lasts does not run 2 s after it was handed in")
@@ -162,7 +162,7 @@
 	r := newRig(t, 1)
 	r.announce()
 	for _, id := range []string{"a", "b"} {
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		r.passAtWork(200 * time.Millisecond)
 		r.endOne(id, cluster.OutcomeFailed)
 		r.passAtWork(100 * time.Millisecond)
@@ -170,7 +170,7 @@
 	long := tasks(1, 500)
 	long.EstimateMS = 60_000
 	for _, id := range []string{"c", "d", "e"} {
-		r.s.AddJob(r.now, batch(id, long), nil, false)
+		r.shard.AddJob(r.now, batch(id, long), nil, false)
 	}
 	r.passAtWork(12 * time.Second)
 	if n := len(r.running()); n < 3 {
@@ -189,19 +189,19 @@
 	r.announce()
 	old := tasks(1, 500)
 	old.EstimateMS = 3000
-	r.s.AddJob(r.now, batch("old", old), nil, false)
+	r.shard.AddJob(r.now, batch("old", old), nil, false)
 	for _, id := range []string{"a", "b"} {
-		r.s.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
+		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 	}
-	for i := 0; r.s.Counts().SetAside == 0 && i < 30; i++ {
+	for i := 0; r.shard.Counts().SetAside == 0 && i < 30; i++ {
 		r.pass(100 * time.Millisecond)
 		r.comeOn("old", 2)
 	}
 	r.endOne("old", cluster.OutcomeDone)
-	r.s.AddJob(r.now, batch("new", tasks(1, 500)), nil, false)
-	before := r.s.Counts().Starts
+	r.shard.AddJob(r.now, batch("new", tasks(1, 500)), nil, false)
+	before := r.shard.Counts().Starts
 	r.pass(1700 * time.Millisecond)
-	if n := r.s.Counts().Starts - before; n > 0 {
+	if n := r.shard.Counts().Starts - before; n > 0 {
 		t.Errorf("%d runs start on a worker that is set aside for 2 s", n)
 	}
 	r.pass(500 * time.Millisecond)
@@ -275,7 +275,7 @@
 	r.announce()
 	full := tasks(40, 4000)
 	full.EstimateMS = takes.Milliseconds()
-	r.s.AddJob(r.now, batch("full", full), nil, false)
+	r.shard.AddJob(r.now, batch("full", full), nil, false)
 	job := batch("j", lasting(1, 4000))
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: float64(asks.Milliseconds()), ValidMS: valid.Milliseconds()}
 	r.addLasting(job)
@@ -289,7 +289,7 @@
 		}
 		for _, c := range open {
 			if r.now.Sub(asked) >= asks {
-				r.s.Advised(r.now, c.Step, c.Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, valid, nil)
+				r.shard.Advised(r.now, c.Step, c.Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, valid, nil)
 				open = nil
 			}
 		}
@@ -333,7 +333,7 @@
 // addLasting hands in a job whose tasks last.
 func (r *rig) addLasting(job cluster.Job) {
 	r.lasts[job.ID] = true
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 }
 
 // passAtWork lets time go by as pass does, and what ends come on by 0.4% in a tenth of a
@@ -364,6 +364,6 @@
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
 		}
-		r.s.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+		r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 	}
 }
--- a/internal/scheduler/lastingadvice_test.go
+++ b/internal/scheduler/lastingadvice_test.go
@@ -46,9 +46,9 @@
 	}
 	gang := tasks(1, 4000)
 	gang.Gang = true
-	r.s.AddJob(r.now, batch("gang", gang), nil, false)
+	r.shard.AddJob(r.now, batch("gang", gang), nil, false)
 	r.pass(800 * time.Millisecond)
-	r.s.Advised(r.now, calls[0].Step, calls[0].Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, 0, nil)
+	r.shard.Advised(r.now, calls[0].Step, calls[0].Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, 0, nil)
 	r.pass(200 * time.Millisecond)
 	if !r.runs("lasts") {
 		t.Error("the task that lasts does not run on the worker that advice allows")
--- a/internal/scheduler/leaving_test.go
+++ b/internal/scheduler/leaving_test.go
@@ -12,9 +12,9 @@
 // read lets time pass while the directory is read, and lists all workers but some.
 func (r *rig) read(d time.Duration, but ...string) {
 	for end := r.now.Add(d); r.now.Before(end); {
-		r.s.DirectoryRead(r.now)
+		r.shard.DirectoryRead(r.now)
 		for _, id := range but {
-			r.s.WorkerUnlisted(r.now, id)
+			r.shard.WorkerUnlisted(r.now, id)
 		}
 		r.pass(100 * time.Millisecond)
 	}
@@ -22,7 +22,7 @@
 
 // startsOn returns on which workers the tasks of a new job start.
 func (r *rig) startsOn(id string) map[string]bool {
-	r.s.AddJob(r.now, batch(id, tasks(6, 500)), nil, false)
+	r.shard.AddJob(r.now, batch(id, tasks(6, 500)), nil, false)
 	r.pass(100 * time.Millisecond)
 	on := make(map[string]bool)
 	for worker, f := range r.workers {
@@ -77,7 +77,7 @@
 			r.announce()
 			r.read(4 * time.Second)
 			lapse(r)
-			r.s.AddJob(r.now, batch("a", tasks(32, 500)), nil, false)
+			r.shard.AddJob(r.now, batch("a", tasks(32, 500)), nil, false)
 			r.pass(200 * time.Millisecond)
 			if n := len(r.running()); n != 32 {
 				t.Errorf("%d of 32 tasks start", n)
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/life_test.go
@@ -13,7 +13,7 @@
 
 // upsert makes a life known.
 func (r *rig) upsert(life cluster.Life) {
-	r.s.UpsertWorker(r.now, cluster.Worker{
+	r.shard.UpsertWorker(r.now, cluster.Worker{
 		ID: life.ID, Started: life.Started, Address: life.ID, Service: "svc", Rack: "r1-0", Labels: []string{"a"},
 		Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}, ClockMS: r.now.UnixMilli(),
 	})
@@ -29,16 +29,16 @@
 	var last int64
 	for range 3 {
 		r.upsert(life)
-		_, order, _, ok := r.s.HoldSent(r.now, life.ID)
+		_, order, _, ok := r.shard.HoldSent(r.now, life.ID)
 		if !ok || order.Generation < last || (last > 0 && order.Generation == last) {
 			t.Fatalf("generation %d (known: %t) after %d", order.Generation, ok, last)
 		}
 		last = order.Generation
-		r.s.WorkerOver(r.now, life.ID, "its lease is over")
+		r.shard.WorkerOver(r.now, life.ID, "its lease is over")
 		for i := range others {
 			id := fmt.Sprintf("o%d", i)
 			r.upsert(cluster.Life{ID: id})
-			r.s.WorkerOver(r.now, id, "its machine says so")
+			r.shard.WorkerOver(r.now, id, "its machine says so")
 		}
 		r.pass(20 * time.Second)
 	}
@@ -54,15 +54,15 @@
 	r.upsert(life)
 	report := func(started int64, running []cluster.RunStatus, ended []cluster.RunEnd) (lastSeen int64) {
 		t.Helper()
-		seq, _, lastSeen, ok := r.s.HoldSent(r.now, "w")
+		seq, _, lastSeen, ok := r.shard.HoldSent(r.now, "w")
 		if !ok {
 			t.Fatal("the worker is not known")
 		}
-		r.s.Observe(r.now, "w", seq, cluster.Report{Started: started, ClockMS: 1, Running: running, Ended: ended})
+		r.shard.Observe(r.now, "w", seq, cluster.Report{Started: started, ClockMS: 1, Running: running, Ended: ended})
 		return lastSeen
 	}
 	report(life.Started, nil, nil)
-	r.s.AddJob(r.now, batch("a", tasks(1, 4000)), nil, false)
+	r.shard.AddJob(r.now, batch("a", tasks(1, 4000)), nil, false)
 	r.round()
 	task := cluster.TaskID{Job: "a"}
 	first := r.workers["w"].running[0].Run
@@ -73,7 +73,7 @@
 	if seen := report(life.Started, nil, nil); seen != 57 {
 		t.Fatalf("confirmed up to %d, want 57", seen)
 	}
-	r.s.UpsertWorker(r.now, cluster.Worker{ID: "w", Started: life.Started, Address: "w", Service: "svc", Labels: []string{"a"}, Draining: true, Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}})
+	r.shard.UpsertWorker(r.now, cluster.Worker{ID: "w", Started: life.Started, Address: "w", Service: "svc", Labels: []string{"a"}, Draining: true, Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}})
 	next := cluster.Life{ID: "w", Started: life.Started - 2000}
 	*r.workers["w"] = fake{}
 	report(next.Started, nil, nil)
@@ -81,7 +81,7 @@
 		t.Errorf("the new life is told of ends up to %d, want none", seen)
 	}
 	r.upsert(next)
-	r.s.AddJob(r.now, batch("b", tasks(1, 4000)), nil, false)
+	r.shard.AddJob(r.now, batch("b", tasks(1, 4000)), nil, false)
 	r.round()
 	if len(r.workers["w"].running) != 1 {
 		t.Fatal("the new life gets no work")
--- a/internal/scheduler/move_test.go
+++ b/internal/scheduler/move_test.go
@@ -24,19 +24,19 @@
 	r.announce()
 	r.pass(time.Second)
 	job := labelled("a")
-	r.s.AddJob(r.now, job, nil, false)
-	moves := r.s.Moves(r.now, 1)
+	r.shard.AddJob(r.now, job, nil, false)
+	moves := r.shard.Moves(r.now, 1)
 	if len(moves) != 1 || !moves[0].Unfit {
 		t.Fatalf("moves of a job that can't run here: %+v", moves)
 	}
-	r.s.Moved(r.now, "a")
-	r.s.AddJob(r.now, job, nil, false)
-	if r.s.Has("a") {
+	r.shard.Moved(r.now, "a")
+	r.shard.AddJob(r.now, job, nil, false)
+	if r.shard.Has("a") {
 		t.Error("the job comes back by an old message")
 	}
 	job.Moves = 2
-	r.s.AddJob(r.now, job, nil, false)
-	if !r.s.Has("a") {
+	r.shard.AddJob(r.now, job, nil, false)
+	if !r.shard.Has("a") {
 		t.Error("a job that was moved back isn't taken")
 	}
 }
@@ -47,20 +47,20 @@
 	r := newRig(t, 2)
 	r.announce()
 	r.pass(time.Second)
-	r.s.AddJob(r.now, batch("begun", tasks(8, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch("begun", tasks(8, 1000)), nil, false)
 	r.pass(time.Second)
 	if len(r.running()) != 8 {
 		t.Fatalf("%d tasks run, want 8", len(r.running()))
 	}
-	r.s.AddJob(r.now, batch("waits", tasks(1, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch("waits", tasks(1, 1000)), nil, false)
 	part := labelled("part")
 	part.Share = cluster.Share{Index: 0, Of: 2}
-	r.s.AddJob(r.now, part, nil, false)
-	if moves := r.s.Moves(r.now, 9); len(moves) != 0 {
+	r.shard.AddJob(r.now, part, nil, false)
+	if moves := r.shard.Moves(r.now, 9); len(moves) != 0 {
 		t.Errorf("moves at once: %+v", moves)
 	}
 	r.pass(time.Second)
-	moves := r.s.Moves(r.now, 9)
+	moves := r.shard.Moves(r.now, 9)
 	if len(moves) != 1 || moves[0].Job.ID != "waits" || moves[0].Unfit {
 		t.Fatalf("moves: %+v", moves)
 	}
@@ -70,7 +70,7 @@
 	if r.running()[waits] != 0 {
 		t.Error("a task starts while its job may be on its way")
 	}
-	r.s.Stays("waits")
+	r.shard.Stays("waits")
 	r.pass(time.Second)
 	if r.running()[waits] != 1 {
 		t.Errorf("a job that stays doesn't run: %v", r.running())
@@ -87,12 +87,12 @@
 	step.LongRunning = true
 	job := batch("a", step)
 	job.Share = cluster.Share{Index: 1, Of: 2}
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	r.pass(time.Second)
 	if got := r.running(); len(got) != 2 || got[cluster.TaskID{Job: "a", Index: 1}] != 1 || got[cluster.TaskID{Job: "a", Index: 3}] != 1 {
 		t.Errorf("runs %v, want tasks 1 and 3", got)
 	}
-	if n := r.s.Waiting(job.Queue); n != 0 {
+	if n := r.shard.Waiting(job.Queue); n != 0 {
 		t.Errorf("%d jobs wait", n)
 	}
 }
@@ -109,9 +109,9 @@
 		job := labelled("a")
 		job.Steps = append([]cluster.Step{tasks(1, 500)}, job.Steps...)
 		job.Steps[1].After = []int{0}
-		r.s.AddJob(r.now, job, nil, true)
+		r.shard.AddJob(r.now, job, nil, true)
 		r.pass(time.Second)
-		if moves := r.s.Moves(r.now, 1); len(moves) != 0 {
+		if moves := r.shard.Moves(r.now, 1); len(moves) != 0 {
 			t.Errorf("moves: %+v", moves)
 		}
 	})
@@ -119,18 +119,18 @@
 		r := newRig(t, 2)
 		r.announce()
 		r.workers["w1"].mute = true
-		r.s.AddJob(r.now, labelled("a"), nil, true)
+		r.shard.AddJob(r.now, labelled("a"), nil, true)
 		r.pass(15 * time.Second)
-		if moves := r.s.Moves(r.now, 1); len(moves) != 0 {
+		if moves := r.shard.Moves(r.now, 1); len(moves) != 0 {
 			t.Errorf("moves: %+v", moves)
 		}
 	})
 	t.Run("all have answered", func(t *testing.T) {
 		r := newRig(t, 2)
 		r.announce()
-		r.s.AddJob(r.now, labelled("a"), nil, true)
+		r.shard.AddJob(r.now, labelled("a"), nil, true)
 		r.pass(time.Second)
-		if moves := r.s.Moves(r.now, 1); len(moves) != 1 {
+		if moves := r.shard.Moves(r.now, 1); len(moves) != 1 {
 			t.Errorf("moves: %+v, want the job", moves)
 		}
 	})
@@ -148,15 +148,15 @@
 	for i := range jobs {
 		step := tasks(1, 500)
 		step.Label = "none here has it"
-		r.s.AddJob(r.now, batch(fmt.Sprintf("j%d", i), step), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("j%d", i), step), nil, false)
 	}
 	r.pass(time.Second)
 	offered := make(map[string]bool)
 	for range jobs {
 		r.pass(200 * time.Millisecond)
-		for _, m := range r.s.Moves(r.now, atOnce) {
+		for _, m := range r.shard.Moves(r.now, atOnce) {
 			offered[m.Job.ID] = true
-			r.s.Stays(m.Job.ID)
+			r.shard.Stays(m.Job.ID)
 		}
 	}
 	if len(offered) != jobs {
--- a/internal/scheduler/reserve_test.go
+++ b/internal/scheduler/reserve_test.go
@@ -16,7 +16,7 @@
 func (r *rig) addWhole(stretch float64) {
 	job := batch("urgent", tasks(1, 4000))
 	job.Policy.Priority, job.Policy.Stretch, job.AcceptedMS = 1, stretch, r.now.UnixMilli()
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 }
 
 // fullOfSmall returns a rig whose worker has been full of small tasks for some time, with
@@ -25,7 +25,7 @@
 	r := newRig(t, 1)
 	r.announce()
 	r.hold()
-	r.s.AddJob(r.now, batch("small", tasks(8, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch("small", tasks(8, 1000)), nil, false)
 	r.pass(since)
 	if n := len(r.workers["w0"].running); n != 4 {
 		t.Fatalf("%d small tasks run, want 4", n)
@@ -67,7 +67,7 @@
 		r.endSome(2)
 		r.progress(90)
 		r.pass(100 * time.Millisecond)
-		if stops := r.s.Counts().Stops; stops != 0 {
+		if stops := r.shard.Counts().Stops; stops != 0 {
 			t.Fatalf("%d runs were stopped, want none", stops)
 		}
 		if n := r.jobsRunning()["small"]; n > 2 {
@@ -88,7 +88,7 @@
 	if n := r.jobsRunning()["urgent"]; n != 1 {
 		t.Errorf("%d urgent tasks run, want 1", n)
 	}
-	if stops := r.s.Counts().Stops; stops != 4 {
+	if stops := r.shard.Counts().Stops; stops != 4 {
 		t.Errorf("%d runs were stopped, want 4", stops)
 	}
 }
@@ -102,7 +102,7 @@
 	r.pass(100 * time.Millisecond)
 	short := tasks(1, 1000)
 	short.EstimateMS = 100
-	r.s.AddJob(r.now, batch("short", short), nil, false)
+	r.shard.AddJob(r.now, batch("short", short), nil, false)
 	r.pass(100 * time.Millisecond)
 	if jobs := r.jobsRunning(); jobs["short"] != 1 || jobs["small"] != 2 {
 		t.Errorf("%v run, want one short and two small tasks", jobs)
@@ -118,7 +118,7 @@
 	r.progress(90)
 	r.hold()
 	r.round()
-	if stops := r.s.Counts().Stops; stops != 0 {
+	if stops := r.shard.Counts().Stops; stops != 0 {
 		t.Fatalf("%d runs were stopped, want none", stops)
 	}
 	r.endSome(4)
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -19,7 +19,7 @@
 // started, and ends what the test tells it to.
 type rig struct {
 	t       *testing.T
-	s       *scheduler.Shard
+	shard   *scheduler.Shard
 	now     time.Time
 	epoch   int64
 	workers map[string]*fake
@@ -56,13 +56,13 @@
 // takeOver begins with a new owner, which knows nothing but what it is told.
 func (r *rig) takeOver() {
 	r.takeOverUnlisted()
-	r.s.ExpectWorkers(r.names())
+	r.shard.ExpectWorkers(r.names())
 }
 
 // takeOverUnlisted is takeOver while the machines can't be listed.
 func (r *rig) takeOverUnlisted() {
 	r.epoch++
-	r.s = scheduler.New(scheduler.Params{
+	r.shard = scheduler.New(scheduler.Params{
 		Epoch: r.epoch, Lease: testLease, StopTime: 200 * time.Millisecond, Uncertain: 10 * time.Second,
 		KeepFinished: time.Minute,
 	}, r.now, r.log)
@@ -80,7 +80,7 @@
 // announce makes the workers known, with four cores and 8 GB each.
 func (r *rig) announce() {
 	for i, id := range r.names() {
-		r.s.UpsertWorker(r.now, cluster.Worker{
+		r.shard.UpsertWorker(r.now, cluster.Worker{
 			ID: id, Address: id, Service: "svc", Rack: fmt.Sprintf("r1-%d", i/2), Labels: []string{"a"},
 			Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}, ClockMS: r.now.UnixMilli(),
 		})
@@ -91,12 +91,12 @@
 func (r *rig) hold() {
 	for _, id := range r.names() {
 		f := r.workers[id]
-		seq, order, lastSeen, ok := r.s.HoldSent(r.now, id)
+		seq, order, lastSeen, ok := r.shard.HoldSent(r.now, id)
 		if !ok {
 			continue
 		}
 		if f.mute {
-			r.s.HoldFailed(r.now, id, "mute")
+			r.shard.HoldFailed(r.now, id, "mute")
 			continue
 		}
 		if order.Fence != r.epoch {
@@ -109,7 +109,7 @@
 			}
 		}
 		f.ended = slices.DeleteFunc(f.ended, func(e cluster.RunEnd) bool { return e.N <= f.seen })
-		r.s.Observe(r.now, id, seq, cluster.Report{
+		r.shard.Observe(r.now, id, seq, cluster.Report{
 			ClockMS: r.now.UnixMilli(), Running: slices.Clone(f.running), Ended: slices.Clone(f.ended),
 		})
 	}
@@ -117,18 +117,18 @@
 
 // round takes one round of decisions, and carries out what it gives.
 func (r *rig) round() []scheduler.Command {
-	r.commands = r.s.Schedule(r.now)
+	r.commands = r.shard.Schedule(r.now)
 	for _, c := range r.commands {
 		switch c := c.(type) {
 		case scheduler.Start:
 			if f := r.workers[c.Worker]; !f.mute {
 				f.running = append(f.running, cluster.RunStatus{Task: c.Task, Run: c.Run})
-				r.s.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
+				r.shard.StartReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
 			}
 		case scheduler.Stop:
 			if f := r.workers[c.Worker]; !f.mute {
 				r.end(c.Worker, c.Task, c.Run, cluster.OutcomeStopped)
-				r.s.StopReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
+				r.shard.StopReplied(r.now, c.Worker, c.Task, c.Run, cluster.ReplyOK)
 			}
 		}
 	}
@@ -166,11 +166,11 @@
 
 // persist writes what is open, and returns the rows by job.
 func (r *rig) persist(rows map[string]scheduler.Record) {
-	b := r.s.Dirty(100, anyBytes)
+	b := r.shard.Dirty(100, anyBytes)
 	for _, rec := range b.Records {
 		rows[rec.Job] = rec
 	}
-	r.s.Persisted(r.now, b, 1)
+	r.shard.Persisted(r.now, b, 1)
 }
 
 // running returns what runs, by task.
@@ -194,7 +194,7 @@
 
 func (r *rig) wantState(want cluster.State) {
 	r.t.Helper()
-	if got, ok := r.s.Job("j"); !ok || got != want {
+	if got, ok := r.shard.Job("j"); !ok || got != want {
 		r.t.Errorf("job j is %q (known: %v), want %q", got, ok, want)
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	r.announce()
 	second := tasks(2, 1000)
 	second.After = []int{0}
-	r.s.AddJob(r.now, batch("j", tasks(3, 1000), second), nil, false)
+	r.shard.AddJob(r.now, batch("j", tasks(3, 1000), second), nil, false)
 	r.pass(300 * time.Millisecond)
 	if got := r.running(); len(got) != 3 {
 		t.Fatalf("%d tasks run, want the 3 of the first step: %v", len(got), got)
@@ -44,7 +44,7 @@
 	r := newRig(t, 2)
 	r.announce()
 	for i := range 20 {
-		r.s.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(3, 1500)), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("j%02d", i), tasks(3, 1500)), nil, false)
 	}
 	for range 30 {
 		r.pass(100 * time.Millisecond)
@@ -67,12 +67,12 @@
 	r := newRig(t, 1)
 	r.announce()
 	job := batch("j", tasks(1, 1000))
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	r.pass(200 * time.Millisecond)
 	r.endAll(cluster.OutcomeFailed)
 	r.hold()
 	rows := make(map[string]scheduler.Record)
-	b := r.s.Dirty(10, anyBytes)
+	b := r.shard.Dirty(10, anyBytes)
 	for _, rec := range b.Records {
 		rows[rec.Job] = rec
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.s.AddJob(r.now, job, p, true)
+	r.shard.AddJob(r.now, job, p, true)
 	r.announce()
 	r.pass(300 * time.Millisecond)
 	r.wantState(cluster.StateRunning)
@@ -100,7 +100,7 @@
 func TestSilentWorkersLease(t *testing.T) {
 	r := newRig(t, 2)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", tasks(4, 1500)), nil, false)
+	r.shard.AddJob(r.now, batch("j", tasks(4, 1500)), nil, false)
 	r.pass(300 * time.Millisecond)
 	r.workers["w0"].mute = true
 	lost := r.workers["w0"].running
@@ -126,12 +126,12 @@
 	r.announce()
 	step := tasks(2, 1500)
 	step.Speculative = true
-	r.s.AddJob(r.now, batch("j", step), nil, false)
+	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.pass(300 * time.Millisecond)
 	for _, id := range r.names() {
 		r.workers[id].mute = len(r.workers[id].running) > 0
 	}
-	r.s.CancelJob(r.now, "j")
+	r.shard.CancelJob(r.now, "j")
 	for range 20 {
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.hold()
@@ -150,11 +150,11 @@
 	r := newRig(t, 3)
 	r.announce()
 	job := batch("j", tasks(2, 3000))
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	r.pass(300 * time.Millisecond)
 	// The directory has lost one of the two when the next owner looks.
 	r.takeOver()
-	r.s.AddJob(r.now, job, nil, true)
+	r.shard.AddJob(r.now, job, nil, true)
 	lost := ""
 	for _, id := range r.names() {
 		if len(r.workers[id].running) > 0 {
@@ -183,7 +183,7 @@
 func TestFailedTaskGoesElsewhere(t *testing.T) {
 	r := newRig(t, 2)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
 	r.pass(200 * time.Millisecond)
 	first := ""
 	for id, f := range r.workers {
@@ -206,7 +206,7 @@
 func TestLongTaskIsMovedOnce(t *testing.T) {
 	r := newRig(t, 3)
 	r.announce()
-	r.s.AddJob(r.now, batch("j", tasks(4, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch("j", tasks(4, 1000)), nil, false)
 	long := cluster.TaskID{Job: "j", Index: 3}
 	stops := 0
 	for range 200 {
@@ -246,11 +246,11 @@
 	r := newRig(t, 3)
 	r.announce()
 	// One worker after the other is filled, and ends as it is told.
-	r.s.AddJob(r.now, batch("a", tasks(3, 4000)), nil, false)
+	r.shard.AddJob(r.now, batch("a", tasks(3, 4000)), nil, false)
 	r.pass(200 * time.Millisecond)
 	r.endAll(cluster.OutcomeDone)
 	r.hold()
-	r.s.AddJob(r.now, batch("b", tasks(3, 4000)), nil, false)
+	r.shard.AddJob(r.now, batch("b", tasks(3, 4000)), nil, false)
 	r.pass(200 * time.Millisecond)
 	for _, id := range r.names() {
 		how := cluster.OutcomeFailed
@@ -301,8 +301,8 @@
 	serving, filler := tasks(1, 1000), tasks(1, 1000)
 	serving.LongRunning, serving.LatencyTargetMS = true, 100
 	filler.Fills = true
-	r.s.AddJob(r.now, batch("serves", serving), nil, false)
-	r.s.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("serves", serving), nil, false)
+	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	r.pass(300 * time.Millisecond)
 	if got := len(r.running()); got != 2 {
 		t.Fatalf("%d tasks run beside each other, want 2", got)
@@ -323,10 +323,10 @@
 	filler := tasks(1, 1000)
 	filler.Fills = true
 	job := batch("fills", filler)
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	r.pass(300 * time.Millisecond)
 	r.takeOver()
-	r.s.AddJob(r.now, job, nil, true)
+	r.shard.AddJob(r.now, job, nil, true)
 	r.announce()
 	if got := r.paced(2*time.Second, 20); len(got) != 1 || got[0] != 100 {
 		t.Errorf("paces %v after a takeover, want 100 once", got)
--- a/internal/scheduler/search_test.go
+++ b/internal/scheduler/search_test.go
@@ -304,7 +304,7 @@
 func (p *play) decide() {
 	p.answerCalls()
 	p.report()
-	p.carryOut(p.s.Schedule(p.now))
+	p.carryOut(p.shard.Schedule(p.now))
 	p.persist(p.rows)
 	p.noteEnds()
 }
@@ -327,7 +327,7 @@
 				p.t.Fatal(err)
 			}
 		}
-		p.s.AddJob(p.now, j.spec, progress, true)
+		p.shard.AddJob(p.now, j.spec, progress, true)
 	}
 }
 
@@ -342,7 +342,7 @@
 	for _, j := range p.jobs {
 		if !j.taken {
 			j.taken = true
-			p.s.AddJob(p.now, j.spec, nil, false)
+			p.shard.AddJob(p.now, j.spec, nil, false)
 		}
 	}
 }
@@ -502,7 +502,7 @@
 		if j.ended || !j.taken {
 			continue
 		}
-		state, ok := p.s.Job(j.spec.ID)
+		state, ok := p.shard.Job(j.spec.ID)
 		if j.ended = state.Finished(); !ok || (j.ended && j.step().LongRunning) {
 			p.fail("%s is %q (known: %t)", j.spec.ID, state, ok)
 		}
@@ -531,7 +531,7 @@
 
 // describe says of a job that it is open.
 func (p *play) describe(j *playJob) string {
-	state, ok := p.s.Job(j.spec.ID)
+	state, ok := p.shard.Job(j.spec.ID)
 	n := 0
 	for task := range p.where {
 		if task.Job == j.spec.ID {
@@ -545,9 +545,9 @@
 func (p *play) clearAll() {
 	const every = 4 * time.Second
 	probe := resource.Amount{CPUMilli: 50, MemoryMB: 1}
-	for end := p.now.Add(clearTime); p.wrong == "" && p.s.Aside() > p.full(probe); {
+	for end := p.now.Add(clearTime); p.wrong == "" && p.shard.Aside() > p.full(probe); {
 		if p.now.After(end) {
-			p.fail("%d workers are set aside, of which %d are full", p.s.Aside(), p.full(probe))
+			p.fail("%d workers are set aside, of which %d are full", p.shard.Aside(), p.full(probe))
 			return
 		}
 		st := cluster.Step{Count: len(p.workers), Need: probe, EstimateMS: 1000, MaxPerWorker: 1}
--- a/internal/scheduler/searchsite_test.go
+++ b/internal/scheduler/searchsite_test.go
@@ -138,7 +138,7 @@
 	delete(p.workers, id)
 	delete(p.machines, id)
 	if p.owned() {
-		p.s.WorkerOver(p.now, id, "its machine says so")
+		p.shard.WorkerOver(p.now, id, "its machine says so")
 	}
 	p.join()
 }
@@ -154,9 +154,9 @@
 	if !m.leaves.IsZero() {
 		info.Draining, info.Remaining = true, m.leaves.Sub(p.now)
 	}
-	p.s.UpsertWorker(p.now, info)
+	p.shard.UpsertWorker(p.now, info)
 	if m.trouble == entryBad {
-		p.s.EntryInvalid(p.now, id)
+		p.shard.EntryInvalid(p.now, id)
 	}
 }
 
@@ -213,12 +213,12 @@
 func (p *play) report() {
 	for _, id := range p.names() {
 		f, m := p.workers[id], p.machines[id]
-		seq, order, seen, ok := p.s.HoldSent(p.now, id)
+		seq, order, seen, ok := p.shard.HoldSent(p.now, id)
 		if !ok {
 			continue
 		}
 		if f.mute {
-			p.s.HoldFailed(p.now, id, "silent")
+			p.shard.HoldFailed(p.now, id, "silent")
 			continue
 		}
 		if order.Started == m.info.Started {
@@ -227,7 +227,7 @@
 			f.seen = max(f.seen, seen)
 		}
 		f.ended = slices.DeleteFunc(f.ended, func(e cluster.RunEnd) bool { return e.N <= f.seen })
-		p.s.Observe(p.now, id, seq, cluster.Report{
+		p.shard.Observe(p.now, id, seq, cluster.Report{
 			Started: m.info.Started, ClockMS: p.clock(m), Running: slices.Clone(f.running), Ended: slices.Clone(f.ended),
 		})
 	}
@@ -238,9 +238,9 @@
 	for _, c := range commands {
 		switch c := c.(type) {
 		case scheduler.Start:
-			p.s.StartReplied(p.now, c.Worker, c.Task, c.Run, p.begin(c))
+			p.shard.StartReplied(p.now, c.Worker, c.Task, c.Run, p.begin(c))
 		case scheduler.Stop:
-			p.s.StopReplied(p.now, c.Worker, c.Task, c.Run, p.stop(c))
+			p.shard.StopReplied(p.now, c.Worker, c.Task, c.Run, p.stop(c))
 		case scheduler.Advise:
 			p.calls = append(p.calls, call{c, p.now.Add(c.Takes)})
 		}
@@ -447,7 +447,7 @@
 			continue
 		}
 		if p.rejects() {
-			p.s.Advised(p.now, c.Step, c.Workers, nil, 0, errNoAdvice)
+			p.shard.Advised(p.now, c.Step, c.Workers, nil, 0, errNoAdvice)
 			continue
 		}
 		j := p.byID[c.Step.Job]
@@ -458,6 +458,6 @@
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: strconv.FormatInt(p.now.Add(valid).UnixMilli(), 10)})
 			}
 		}
-		p.s.Advised(p.now, c.Step, c.Workers, tickets, valid, nil)
+		p.shard.Advised(p.now, c.Step, c.Workers, tickets, valid, nil)
 	}
 }
--- a/internal/scheduler/slow_test.go
+++ b/internal/scheduler/slow_test.go
@@ -83,7 +83,7 @@
 
 // add hands in a job of one step of n tasks, each of which takes a core.
 func (r *slowRig) add(id string, n int) {
-	r.s.AddJob(r.now, batch(id, tasks(n, 1000)), nil, false)
+	r.shard.AddJob(r.now, batch(id, tasks(n, 1000)), nil, false)
 }
 
 // TestCrawlingTaskGoesElsewhere checks that a task which was stopped because it
@@ -139,7 +139,7 @@
 		r.add(fmt.Sprintf("j%d", i), 9)
 		r.work(4 * time.Second)
 	}
-	if n := r.s.Counts().SetAside; n == 0 {
+	if n := r.shard.Counts().SetAside; n == 0 {
 		t.Error("the slow worker was never set aside")
 	}
 	onSlow := 0
--- a/internal/scheduler/stale_test.go
+++ b/internal/scheduler/stale_test.go
@@ -28,18 +28,18 @@
 
 func olderList(t *testing.T, reply cluster.Reply) {
 	r, start := startOne(t)
-	hold, _, _, _ := r.s.HoldSent(r.now, start.Worker)
-	look, _, _, _ := r.s.HoldSent(r.now, start.Worker)
+	hold, _, _, _ := r.shard.HoldSent(r.now, start.Worker)
+	look, _, _, _ := r.shard.HoldSent(r.now, start.Worker)
 	// The worker answers the look, takes the start, and answers the hold; the answer to
 	// the hold is read first.
 	clock := r.now.UnixMilli()
-	r.s.Observe(r.now, start.Worker, hold, cluster.Report{
+	r.shard.Observe(r.now, start.Worker, hold, cluster.Report{
 		ClockMS: clock + 20, Running: []cluster.RunStatus{{Task: start.Task, Run: start.Run}},
 	})
-	r.s.Observe(r.now, start.Worker, look, cluster.Report{ClockMS: clock + 10})
-	r.s.StartReplied(r.now, start.Worker, start.Task, start.Run, reply)
+	r.shard.Observe(r.now, start.Worker, look, cluster.Report{ClockMS: clock + 10})
+	r.shard.StartReplied(r.now, start.Worker, start.Task, start.Run, reply)
 	r.now = r.now.Add(100 * time.Millisecond)
-	if again := commandsOf[scheduler.Start](r.s.Schedule(r.now)); len(again) > 0 {
+	if again := commandsOf[scheduler.Start](r.shard.Schedule(r.now)); len(again) > 0 {
 		t.Errorf("run %d was started while run %d is listed", again[0].Run, start.Run)
 	}
 }
--- a/internal/scheduler/unanswered_test.go
+++ b/internal/scheduler/unanswered_test.go
@@ -27,8 +27,8 @@
 	r := newRig(t, 1)
 	r.announce()
 	r.hold()
-	r.s.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
-	starts := commandsOf[scheduler.Start](r.s.Schedule(r.now))
+	r.shard.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
+	starts := commandsOf[scheduler.Start](r.shard.Schedule(r.now))
 	if len(starts) != 1 {
 		t.Fatalf("%d starts, want 1", len(starts))
 	}
@@ -40,18 +40,18 @@
 // next one, may be kept open for half a second each.
 func TestUnansweredStartIsSettledAtOnce(t *testing.T) {
 	r, start := startOne(t)
-	r.s.StartReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
-	stops := commandsOf[scheduler.Stop](r.s.Schedule(r.now))
+	r.shard.StartReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
+	stops := commandsOf[scheduler.Stop](r.shard.Schedule(r.now))
 	if len(stops) != 1 {
 		t.Fatalf("%d stops, want 1", len(stops))
 	}
-	r.s.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyOK)
-	if looks := commandsOf[scheduler.Look](r.s.Schedule(r.now)); len(looks) != 1 || looks[0].Worker != start.Worker {
+	r.shard.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyOK)
+	if looks := commandsOf[scheduler.Look](r.shard.Schedule(r.now)); len(looks) != 1 || looks[0].Worker != start.Worker {
 		t.Fatalf("looks %v, want one at %s", looks, start.Worker)
 	}
 	r.hold()
 	r.now = r.now.Add(50 * time.Millisecond)
-	if starts := commandsOf[scheduler.Start](r.s.Schedule(r.now)); len(starts) != 1 || starts[0].Run <= start.Run {
+	if starts := commandsOf[scheduler.Start](r.shard.Schedule(r.now)); len(starts) != 1 || starts[0].Run <= start.Run {
 		t.Errorf("starts %v, want one under a new number", starts)
 	}
 }
@@ -60,10 +60,10 @@
 // again at once if it gets none either.
 func TestUnansweredStopIsSentAgain(t *testing.T) {
 	r, start := startOne(t)
-	r.s.StartReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
-	r.s.Schedule(r.now)
-	r.s.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
-	if stops := commandsOf[scheduler.Stop](r.s.Schedule(r.now)); len(stops) != 1 {
+	r.shard.StartReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
+	r.shard.Schedule(r.now)
+	r.shard.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
+	if stops := commandsOf[scheduler.Stop](r.shard.Schedule(r.now)); len(stops) != 1 {
 		t.Errorf("%d stops, want 1", len(stops))
 	}
 }
--- a/internal/scheduler/unread_test.go
+++ b/internal/scheduler/unread_test.go
@@ -16,14 +16,14 @@
 	r := newRig(t, 2)
 	r.announce()
 	spec := batch("a", tasks(2, 1000))
-	r.s.AddJob(r.now, spec, nil, false)
+	r.shard.AddJob(r.now, spec, nil, false)
 	r.pass(time.Second)
 	if n := len(r.running()); n != 2 {
 		t.Fatalf("%d tasks run, want 2", n)
 	}
 
 	r.takeOver()
-	r.s.SetUnread(func(job string) bool { return job == "a" })
+	r.shard.SetUnread(func(job string) bool { return job == "a" })
 	r.announce()
 	r.pass(time.Second)
 	if n := len(r.running()); n != 2 {
@@ -34,22 +34,22 @@
 	r.pass(time.Second)
 	rows := make(map[string]scheduler.Record)
 	r.persist(rows)
-	if !r.s.Unconfirmed("w0") && !r.s.Unconfirmed("w1") {
+	if !r.shard.Unconfirmed("w0") && !r.shard.Unconfirmed("w1") {
 		t.Error("the ends of a job that was not read are confirmed")
 	}
 
-	r.s.SetUnread(nil)
-	r.s.AddJob(r.now, spec, nil, true)
-	r.s.JobsRead(r.now)
+	r.shard.SetUnread(nil)
+	r.shard.AddJob(r.now, spec, nil, true)
+	r.shard.JobsRead(r.now)
 	r.pass(time.Second)
 	if n := len(r.running()); n > 0 {
 		t.Errorf("%d tasks of a job whose tasks are done were started again", n)
 	}
 	r.persist(rows)
-	if state, _ := r.s.Job("a"); state != cluster.StateSucceeded {
+	if state, _ := r.shard.Job("a"); state != cluster.StateSucceeded {
 		t.Errorf("the job is %q", state)
 	}
-	if r.s.Unconfirmed("w0") || r.s.Unconfirmed("w1") {
+	if r.shard.Unconfirmed("w0") || r.shard.Unconfirmed("w1") {
 		t.Error("ends are not confirmed though all is persisted")
 	}
 }
@@ -60,15 +60,15 @@
 	r := newRig(t, 2)
 	r.announce()
 	spec := batch("a", tasks(1, 1000))
-	r.s.AddJob(r.now, spec, nil, false)
+	r.shard.AddJob(r.now, spec, nil, false)
 	r.pass(time.Second)
 	r.takeOver()
-	r.s.SetUnread(func(string) bool { return true })
+	r.shard.SetUnread(func(string) bool { return true })
 	r.announce()
 	r.pass(time.Second)
-	r.s.SetUnread(nil)
-	r.s.AddJob(r.now, spec, nil, true)
-	r.s.JobsRead(r.now)
+	r.shard.SetUnread(nil)
+	r.shard.AddJob(r.now, spec, nil, true)
+	r.shard.JobsRead(r.now)
 	r.round()
 	for task, n := range r.running() {
 		if n > 1 {
--- a/internal/scheduler/widegang_test.go
+++ b/internal/scheduler/widegang_test.go
@@ -35,7 +35,7 @@
 	small := func(i int) {
 		job := batch(fmt.Sprintf("s%d", i), tasks(1, 2000))
 		job.Policy.Priority = 2
-		r.s.AddJob(r.now, job, nil, false)
+		r.shard.AddJob(r.now, job, nil, false)
 	}
 	for i := range 2*workers - 12 {
 		small(i)
@@ -45,7 +45,7 @@
 	gang.Gang = true
 	job := batch("j", gang)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 6, ValidMS: 2500}
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	isGood := func(w string) bool { return len(w) > 0 && (w[len(w)-1]-'0')%goodOneIn == 0 }
 	for i := range 100 {
 		r.now = r.now.Add(100 * time.Millisecond)
@@ -57,7 +57,7 @@
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
-			r.s.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+			r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 		}
 		for task, n := range r.running() {
 			if task.Job == "j" && n > 0 {
@@ -111,14 +111,14 @@
 	for i := range workers - idle {
 		long := tasks(1, 4000)
 		long.EstimateMS = 20_000
-		r.s.AddJob(r.now, batch(fmt.Sprintf("l%d", i), long), nil, false)
+		r.shard.AddJob(r.now, batch(fmt.Sprintf("l%d", i), long), nil, false)
 	}
 	r.pass(200 * time.Millisecond)
 	gang := tasks(members, 4000)
 	gang.Gang = true
 	job := batch("j", gang)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 6, ValidMS: 2500}
-	r.s.AddJob(r.now, job, nil, false)
+	r.shard.AddJob(r.now, job, nil, false)
 	asked := make(map[string]bool)
 	for range 5 {
 		for _, c := range commandsOf[scheduler.Advise](r.round()) {
@@ -129,7 +129,7 @@
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
-			r.s.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+			r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 		}
 	}
 	if len(asked) != workers {
@@ -149,7 +149,7 @@
 		step := tasks(1, 2000)
 		step.EstimateMS = 100 * takes
 		job := batch(fmt.Sprintf("%s%d", name, i), step)
-		r.s.AddJob(r.now, job, nil, false)
+		r.shard.AddJob(r.now, job, nil, false)
 	}
 	born := make(map[cluster.TaskID]int)
 	gang := tasks(8, 4000)
@@ -160,7 +160,7 @@
 			long("l", i)
 		}
 		if i == takes {
-			r.s.AddJob(r.now, batch("j", gang), nil, false)
+			r.shard.AddJob(r.now, batch("j", gang), nil, false)
 		}
 		for _, id := range r.names() {
 			for k := range r.workers[id].running {
