--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -112,7 +112,7 @@
 
 // storeParts returns the parts of the jobs, of the owners' rows and of the shards' progress.
 func storeParts() []string {
-	parts := append(owner.PartsOf("billing"), "")
+	parts := append(owner.JobParts("billing"), "")
 	for i := range soakWorkers / soakShard {
 		parts = append(parts, owner.ProgressPart(cluster.ShardID{Service: "billing", Index: i}))
 	}
--- a/internal/cell/callers.go
+++ b/internal/cell/callers.go
@@ -92,7 +92,7 @@
 	if state, ok := n.ownersState(ctx, shard, id); ok {
 		return state, AnswerOK
 	}
-	state, found, err := owner.StoredState(ctx, n.store, shard, id)
+	state, found, err := owner.StoredJobState(ctx, n.store, shard, id)
 	switch {
 	case err != nil:
 		return "", AnswerRefused
@@ -105,7 +105,7 @@
 // ownersState asks a shard's owner for a job's state; false: it doesn't tell.
 func (n *Node) ownersState(ctx context.Context, shard cluster.ShardID, id string) (cluster.State, bool) {
 	if o := n.local(shard); o != nil {
-		return o.State(id)
+		return o.JobState(id)
 	}
 	rec, _ := n.owner(shard)
 	if rec.Owner.Name == "" || n.peers.isDown(rec.Owner.Name) {
@@ -148,6 +148,6 @@
 	if answer != AnswerOK {
 		return nil, false
 	}
-	res, err := n.store.Commit(c, owner.CancelJob(shards, pin))
+	res, err := n.store.Commit(c, owner.CancelJobTxn(shards, pin))
 	return shards, err == nil && res.Committed
 }
--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -28,20 +28,20 @@
 // followConfig keeps the operators' configuration current.
 func (n *Node) followConfig(ctx context.Context) {
 	f := tables.Follower{
-		Service: ownStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, Silence: followSilence,
+		Service: ownStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: followSilence,
 		Apply: func(rows []tables.Row, whole bool) {
 			for _, r := range rows {
 				n.applyConfigRow(r, whole)
 			}
 		},
-		Failed: n.storeFailed(n.Configs.Table()),
+		OnError: n.storeFailed(n.Configs.Table()),
 	}
 	f.Run(ctx)
 }
 
 // applyConfigRow takes in a row of the operators' table, from a list if listed is set.
 func (n *Node) applyConfigRow(r tables.Row, listed bool) {
-	if r.Gone {
+	if r.Deleted {
 		return
 	}
 	cfg, ok, err := n.Configs.Decode(r)
--- a/internal/cell/gang.go
+++ b/internal/cell/gang.go
@@ -16,8 +16,8 @@
 // otherShards is how a shard's owner reaches those of the others.
 type otherShards struct{ *Node }
 
-// State returns a job's state wherever it is.
-func (n otherShards) State(ctx context.Context, service, id string) (state cluster.State, found bool, err error) {
+// JobState returns a job's state wherever it is.
+func (n otherShards) JobState(ctx context.Context, service, id string) (state cluster.State, found bool, err error) {
 	state, answer := n.Node.State(ctx, service, id)
 	switch answer {
 	case AnswerOK:
@@ -28,8 +28,8 @@
 	return "", false, &Error{"state of " + id, KindNoAnswer, errors.New(string(answer))}
 }
 
-// AskGang asks a shard's owner how a gang stands there.
-func (n otherShards) AskGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error) {
+// QueryGang asks a shard's owner how a gang stands there.
+func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error) {
 	msg := gangMessage[scheduler.GangAsk]{shard, ask}
 	return askOwner(ctx, n.Node, shard, pathGang, msg, askPeer, n.gangAsked)
 }
@@ -47,7 +47,7 @@
 	if o == nil {
 		return scheduler.GangState{}, errNotOwner()
 	}
-	state, ok := o.GangAsked(msg.What)
+	state, ok := o.HandleGangQuery(msg.What)
 	if !ok {
 		return state, httpx.NewProblem(http.StatusNotFound, "no_gang", "no such gang is known here, or another owner leads it")
 	}
@@ -60,7 +60,7 @@
 	if o == nil {
 		return done{}, errNotOwner()
 	}
-	if err := o.GangStartAsked(msg.What); err != nil {
+	if err := o.HandleGangStart(msg.What); err != nil {
 		return done{}, httpx.NewProblem(http.StatusConflict, "not_started", err.Error())
 	}
 	return done{}, nil
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -56,7 +56,7 @@
 		return false
 	}
 	n.Log.Info("shard handed over", events.OwnerEnded, zap.Stringer("shard", shard), zap.String("to", to.Name))
-	o.Lost("handed over to " + to.Name)
+	o.EndOwnership("handed over to " + to.Name)
 	return true
 }
 
@@ -72,7 +72,7 @@
 // moveToRoomier hands a shard over to a node with much more processor for it, such
 // as a large one that comes back after its loss.
 func (n *Node) moveToRoomier(ctx context.Context, shard cluster.ShardID, o *owner.Owner) {
-	if o.Age() < settledAfter || n.store.failing() || !n.relay.DirectGood() {
+	if o.Age() < settledAfter || n.store.failing() || !n.relay.DirectAvailable() {
 		return
 	}
 	here := n.asCandidate()
--- a/internal/cell/link.go
+++ b/internal/cell/link.go
@@ -29,9 +29,9 @@
 // each Mbit/s of the link.
 func (n *Node) readAtOnce() int {
 	if n.cfg.Limits.LinkMbps <= 0 {
-		return tables.ListParallel
+		return tables.MaxParallelLists
 	}
-	return min(max(int(n.cfg.Limits.LinkMbps), readLeast), tables.ListParallel)
+	return min(max(int(n.cfg.Limits.LinkMbps), readLeast), tables.MaxParallelLists)
 }
 
 // writeMost returns how many bytes of progress one write should have at most.
--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -65,7 +65,7 @@
 	defer n.mu.Unlock()
 	sum := 0
 	for _, o := range n.owned {
-		sum += o.Aside()
+		sum += o.WorkersSetAside()
 	}
 	return float64(sum)
 }
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -42,9 +42,9 @@
 // followCell keeps the members' and the owners' rows current.
 func (n *Node) followCell(ctx context.Context) {
 	f := tables.Follower{
-		Service: n.store, Table: TableCell, Parts: []string{""}, Silence: cellSilence, Pause: cellPause,
-		Apply:  func(rows []tables.Row, _ bool) { n.applyCell(rows) },
-		Failed: n.storeFailed(TableCell),
+		Service: n.store, Table: TableCell, Parts: []string{""}, FeedWait: cellSilence, Pause: cellPause,
+		Apply:   func(rows []tables.Row, _ bool) { n.applyCell(rows) },
+		OnError: n.storeFailed(TableCell),
 	}
 	f.Run(ctx)
 }
@@ -53,7 +53,7 @@
 func (n *Node) applyCell(rows []tables.Row) {
 	for _, r := range rows {
 		switch {
-		case r.Gone:
+		case r.Deleted:
 		case strings.HasPrefix(r.Key, nodePrefix):
 			var m member
 			if err := json.Unmarshal(r.Value, &m); err != nil {
@@ -121,7 +121,7 @@
 	n.Log.Info("owner changed", events.OwnerChanged, zap.Stringer("shard", shard), zap.String("owner", rec.Owner.Name),
 		zap.Int64("epoch", rec.Epoch), zap.Int64("version", r.Version))
 	if o != nil && rec.Epoch > o.Epoch() {
-		o.Lost("the store names " + rec.Owner.Name)
+		o.EndOwnership("the store names " + rec.Owner.Name)
 	}
 }
 
@@ -288,10 +288,10 @@
 	layout, _ := n.layout(shard.Service)
 	workers := n.newFanout(shard, &layout)
 	o := owner.New(owner.Config{
-		Shard: shard, Layout: layout, Row: row, Fence: fence, ReadAtOnce: n.readAtOnce(), WriteMost: n.writeMost(), Params: n.params(rec.Epoch),
+		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.readAtOnce(), MaxWriteBytes: n.writeMost(), Params: n.params(rec.Epoch),
 	}, owner.Deps{
 		Tables: ownersStore{n.store, n}, Workers: workers, Advisers: n.peers, Machines: readMachines{n, shard.Service}, Directory: n.Directory, Shards: otherShards{n},
-		EntryRefused: n.countRefused, Log: n.Log,
+		CountRefusedEntry: n.countRefused, Log: n.Log,
 	})
 	if !n.noteOwned(shard, o, rec, row.Version) {
 		workers.Close()
--- a/internal/cell/ownstore.go
+++ b/internal/cell/ownstore.go
@@ -19,10 +19,10 @@
 
 // List reads rows.
 func (s ownStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	return readNoted(ctx, s.watchedStore, "list", req, s.relay.ListOwn)
+	return readNoted(ctx, s.watchedStore, "list", req, s.relay.ListDirect)
 }
 
 // Feed waits for changes.
 func (s ownStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return readNoted(ctx, s.watchedStore, "feed", req, s.relay.FeedOwn)
+	return readNoted(ctx, s.watchedStore, "feed", req, s.relay.FeedDirect)
 }
--- a/internal/cell/peerapi.go
+++ b/internal/cell/peerapi.go
@@ -57,7 +57,7 @@
 func (n *Node) pinged(ctx context.Context, req pingRequest) (pingReply, error) {
 	n.peers.heardFrom(req.From)
 	reply := pingReply{
-		Me: n.me, Draining: n.Draining(), StoreGood: n.relay.DirectGood() && !n.store.down(),
+		Me: n.me, Draining: n.Draining(), StoreGood: n.relay.DirectAvailable() && !n.store.down(),
 		ConfigVersion: versionOf(n.Config()),
 	}
 	n.mu.Lock()
@@ -106,7 +106,7 @@
 	if o == nil {
 		return stateReply{}, errNotOwner()
 	}
-	state, ok := o.State(q.ID)
+	state, ok := o.JobState(q.ID)
 	return stateReply{Known: ok, State: state}, nil
 }
 
@@ -115,7 +115,7 @@
 	if o == nil {
 		return waitingReply{}, errNotOwner()
 	}
-	count, ok := o.Waiting(q.Queue)
+	count, ok := o.WaitingJobs(q.Queue)
 	if !ok {
 		return waitingReply{}, errNotOwner()
 	}
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -93,9 +93,9 @@
 // lessLoadedBy is how much lower another shard's load must be for a job to move there.
 const lessLoadedBy = 0.15
 
-// Better returns the least loaded other shard, if it is less loaded by so much that
+// BetterShard returns the least loaded other shard, if it is less loaded by so much that
 // a waiting job should move there; a job that can't run where it is goes on in turn.
-func (n *Node) Better(from cluster.ShardID, load float64, m scheduler.Move) (cluster.ShardID, bool) {
+func (n *Node) BetterShard(from cluster.ShardID, load float64, m scheduler.Move) (cluster.ShardID, bool) {
 	layout, ok := n.layout(from.Service)
 	if !ok || layout.Shards <= 1 {
 		return from, false
@@ -114,8 +114,8 @@
 	return best, best != from
 }
 
-// Moved notes the new shards of a job's parts.
-func (n *Node) Moved(parts []cluster.Job) { n.pins.Add(parts[0].ID, shardsOf(parts)) }
+// JobMoved notes the new shards of a job's parts.
+func (n *Node) JobMoved(parts []cluster.Job) { n.pins.Add(parts[0].ID, shardsOf(parts)) }
 
 // shardsOf returns the shards of a job's parts.
 func shardsOf(parts []cluster.Job) []cluster.ShardID {
@@ -141,7 +141,7 @@
 
 // lookUpPin reads the shards of a job's parts, and the row that names them, from the store.
 func (n *Node) lookUpPin(ctx context.Context, service, id string) ([]cluster.ShardID, tables.Row, Answer) {
-	row, found, err := tables.Get(ctx, n.store, owner.TablePins, owner.PartOf(service, id), id)
+	row, found, err := tables.Get(ctx, n.store, owner.TablePins, owner.JobPart(service, id), id)
 	if err != nil {
 		return nil, row, AnswerRefused
 	}
--- a/internal/cell/submit.go
+++ b/internal/cell/submit.go
@@ -36,7 +36,7 @@
 	if !ok {
 		return n.refuse(job.ID, "the service has no layout yet")
 	}
-	txn, err := owner.AcceptJob(parts)
+	txn, err := owner.AcceptJobTxn(parts)
 	if err != nil {
 		return n.refuse(job.ID, err.Error())
 	}
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -151,13 +151,13 @@
 }
 
 // items describes the waiting jobs to the policy.
-func (r *round) items() []policy.Item {
-	items := make([]policy.Item, len(r.jobs))
+func (r *round) items() []policy.WaitingJob {
+	items := make([]policy.WaitingJob, len(r.jobs))
 	for i, w := range r.jobs {
 		class, _ := r.bundle.Class(w.spec.Class)
-		items[i] = policy.Item{
-			Team: r.teamOrAdd(w.spec.Team), Priority: class.Priority, Deadline: w.spec.Deadline,
-			Run: time.Duration(w.spec.RunMS) * time.Millisecond, Size: w.spec.Size, Need: w.spec.Size.Times(int64(len(w.specs))),
+		items[i] = policy.WaitingJob{
+			TeamIndex: r.teamOrAdd(w.spec.Team), Priority: class.Priority, Deadline: w.spec.Deadline,
+			RunTime: time.Duration(w.spec.RunMS) * time.Millisecond, TaskSize: w.spec.Size, Demand: w.spec.Size.Times(int64(len(w.specs))),
 		}
 	}
 	return items
--- a/internal/owner/advice.go
+++ b/internal/owner/advice.go
@@ -64,10 +64,10 @@
 	Tickets []cluster.Ticket
 	// ValidFor is for how long the tickets hold; 0: for as long as the queue's policy says.
 	ValidFor time.Duration
-	// Given is by when the service gave the tickets, which hold from then on, or when the call
+	// IssuedAt is by when the service gave the tickets, which hold from then on, or when the call
 	// failed.
-	Given time.Time
-	Err   error
+	IssuedAt time.Time
+	Err      error
 }
 
 // NewAdviceQueue returns an empty queue. Its calls go to the nodes that advisers names, in
--- a/internal/owner/advice_test.go
+++ b/internal/owner/advice_test.go
@@ -169,7 +169,7 @@
 				func(_ scheduler.Advise, a owner.Advice) { answers <- a })
 			q.Add(scheduler.Advise{Step: scheduler.StepID{Job: "j"}, Takes: cheapTakes})
 			a := <-answers
-			if late := a.Given.Sub(sent.Add(cheapTakes)); a.Err != nil || late > most || late < min(by, most)/2 {
+			if late := a.IssuedAt.Sub(sent.Add(cheapTakes)); a.Err != nil || late > most || late < min(by, most)/2 {
 				t.Errorf("an answer that is %s late counts as given %s after the service gave it (%v), want at most %s", by, late, a.Err, most)
 			}
 		})
--- a/internal/owner/deps.go
+++ b/internal/owner/deps.go
@@ -55,7 +55,7 @@
 	Machines  Machines
 	Directory Directory
 	Shards    Shards
-	// EntryRefused counts an entry of the directory that names no worker.
-	EntryRefused func(reason cluster.Kind)
-	Log          *zap.Logger
+	// CountRefusedEntry counts an entry of the directory that names no worker.
+	CountRefusedEntry func(reason cluster.Kind)
+	Log               *zap.Logger
 }
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -33,8 +33,8 @@
 // followWorkers keeps the list of workers current, and a loop of holds for each.
 func (o *Owner) followWorkers(ctx context.Context) error {
 	f := tables.Follower{
-		Service: o.Tables, Table: o.Directory.Table(), Parts: []string{""}, Silence: directorySilence, Relist: directorySilence, Pause: directoryPause,
-		Failed: o.followFailed(o.Directory.Table()),
+		Service: o.Tables, Table: o.Directory.Table(), Parts: []string{""}, FeedWait: directorySilence, RelistAfter: directorySilence, Pause: directoryPause,
+		OnError: o.followFailed(o.Directory.Table()),
 	}
 	f.Apply = func(rows []tables.Row, whole bool) {
 		if whole {
@@ -91,7 +91,7 @@
 
 // decodeEntry decodes a row of the directory.
 func (o *Owner) decodeEntry(r tables.Row) entry {
-	if r.Gone {
+	if r.Deleted {
 		o.refused.Remove(r.Key)
 		return entry{key: r.Key, gone: true}
 	}
@@ -123,7 +123,7 @@
 	o.refused.Add(key, told)
 	o.Log.Warn("worker row skipped", events.RowSkipped, zap.String("table", o.Directory.Table()), zap.String("key", key),
 		zap.String("reason", string(reason)), zap.String("field", field), zap.Error(err))
-	o.EntryRefused(reason)
+	o.CountRefusedEntry(reason)
 }
 
 // newRefused returns the memory of refused entries: by key, what was told of each.
--- a/internal/owner/feed.go
+++ b/internal/owner/feed.go
@@ -23,12 +23,12 @@
 // followJobs takes jobs and cancels that reach the store but not this node.
 func (o *Owner) followJobs(ctx context.Context) error {
 	f := tables.Follower{
-		Service: o.Tables, Table: TableJobs(o.cfg.Shard), Parts: PartsOf(o.cfg.Shard.Service), After: o.feedFrom,
-		Silence: jobsSilence, Pause: jobsPause,
+		Service: o.Tables, Table: TableJobs(o.cfg.Shard), Parts: JobParts(o.cfg.Shard.Service), After: o.feedFrom,
+		FeedWait: jobsSilence, Pause: jobsPause,
 		Apply: func(rows []tables.Row, _ bool) {
 			o.do(func(s *scheduler.Shard, now time.Time) { o.applyJobs(s, now, rows) })
 		},
-		Failed: o.followFailed(TableJobs(o.cfg.Shard)),
+		OnError: o.followFailed(TableJobs(o.cfg.Shard)),
 	}
 	f.Run(ctx)
 	return nil
@@ -38,7 +38,7 @@
 func (o *Owner) applyJobs(s *scheduler.Shard, now time.Time, rows []tables.Row) {
 	for _, r := range rows {
 		o.jobsUpTo = max(o.jobsUpTo, r.Version)
-		if r.Gone {
+		if r.Deleted {
 			continue
 		}
 		id, cancel := cancelled(r.Key)
@@ -50,12 +50,12 @@
 			s.CancelJob(now, id)
 			continue
 		}
-		if s.Has(r.Key) || r.Part != PartOf(o.cfg.Shard.Service, r.Key) {
+		if s.Has(r.Key) || r.Part != JobPart(o.cfg.Shard.Service, r.Key) {
 			continue
 		}
 		job, ok := o.decodeJob(r)
 		if ok && job.Epoch > o.Epoch() {
-			go o.Lost("a job was accepted for a later owner")
+			go o.EndOwnership("a job was accepted for a later owner")
 			return
 		}
 		if ok {
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -37,8 +37,8 @@
 	Epoch int64 `json:"epoch"`
 }
 
-// FenceKey returns the empty row that names a shard's fence.
-func FenceKey(shard cluster.ShardID) tables.Row {
+// FenceRow returns the empty row that names a shard's fence.
+func FenceRow(shard cluster.ShardID) tables.Row {
 	return tables.Row{Table: TableProgress, Part: ProgressPart(shard), Key: fenceKey}
 }
 
@@ -48,12 +48,12 @@
 	if err != nil || found {
 		return row, err
 	}
-	return FenceKey(shard), nil
+	return FenceRow(shard), nil
 }
 
 // fence returns the row on which every write of this owner depends.
 func (o *Owner) fence() tables.Row {
-	fence := FenceKey(o.cfg.Shard)
+	fence := FenceRow(o.cfg.Shard)
 	fence.Version = o.fenceVersion
 	return fence
 }
@@ -74,7 +74,7 @@
 			o.fenceVersion = row.Version
 			return nil
 		case epoch > o.Epoch():
-			o.Lost("the fence of the progress has a higher epoch")
+			o.EndOwnership("the fence of the progress has a higher epoch")
 			return &Error{"take fence", KindLost, errors.New("an owner with a higher epoch has it")}
 		default:
 			seen = row
@@ -104,7 +104,7 @@
 	if err != nil {
 		return tables.Row{}, &Error{"write fence", KindLoad, err}
 	}
-	row := FenceKey(o.cfg.Shard)
+	row := FenceRow(o.cfg.Shard)
 	row.Value = value
 	res, err := o.Tables.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}})
 	switch {
@@ -116,7 +116,7 @@
 	case len(res.Current) > 0:
 		return res.Current[0], nil
 	}
-	return FenceKey(o.cfg.Shard), nil
+	return FenceRow(o.cfg.Shard), nil
 }
 
 // fenceEpoch returns the epoch that a fence row holds. One that can't be read is no
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -49,7 +49,7 @@
 	eachPart(r.Asks, func(i int, p scheduler.GangPart[scheduler.GangAsk]) {
 		c, cancel := context.WithTimeout(ctx, gangPatience)
 		defer cancel()
-		if state, err := o.Shards.AskGang(c, p.Shard, p.What); err == nil {
+		if state, err := o.Shards.QueryGang(c, p.Shard, p.What); err == nil {
 			answers[i] = &state
 		} else if ctx.Err() == nil {
 			o.Log.Info("gang not answered for", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
@@ -76,8 +76,8 @@
 	all.Wait()
 }
 
-// GangAsked answers another shard's owner.
-func (o *Owner) GangAsked(ask scheduler.GangAsk) (state scheduler.GangState, ok bool) {
+// HandleGangQuery answers another shard's owner.
+func (o *Owner) HandleGangQuery(ask scheduler.GangAsk) (state scheduler.GangState, ok bool) {
 	o.do(func(s *scheduler.Shard, now time.Time) {
 		if o.loaded {
 			state, ok = s.GangAsked(now, ask)
@@ -86,8 +86,8 @@
 	return state, ok
 }
 
-// GangStartAsked starts members of a gang for another shard's owner, or none.
-func (o *Owner) GangStartAsked(start scheduler.GangStart) error {
+// HandleGangStart starts members of a gang for another shard's owner, or none.
+func (o *Owner) HandleGangStart(start scheduler.GangStart) error {
 	ok := false
 	o.do(func(s *scheduler.Shard, now time.Time) { ok = o.loaded && s.GangStartAsked(now, start) })
 	if !ok {
@@ -116,7 +116,7 @@
 func (o *Owner) settleGuest(ctx context.Context, id string) {
 	c, cancel := context.WithTimeout(ctx, guestsEvery)
 	defer cancel()
-	state, found, err := o.Shards.State(c, o.cfg.Shard.Service, id)
+	state, found, err := o.Shards.JobState(c, o.cfg.Shard.Service, id)
 	switch {
 	case err != nil:
 		return // It is asked again.
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -76,7 +76,7 @@
 			if o.isOutdated(order) {
 				continue
 			}
-			o.Lost("worker " + id + " has seen a higher epoch")
+			o.EndOwnership("worker " + id + " has seen a higher epoch")
 			return
 		case cluster.ReplyOtherLife:
 			o.do(func(s *scheduler.Shard, now time.Time) { s.WorkerOver(now, id, "another life answers at its address") })
--- a/internal/owner/litter.go
+++ b/internal/owner/litter.go
@@ -14,7 +14,7 @@
 	// sweepRows is the most rows of one removal, each with a condition, beside the
 	// condition on the fence. One is made for sweepLeast rows, or for fewer that are there for
 	// sweepAnyway: a removal costs a write, and each takeover reads what is left.
-	sweepRows   = (tables.MaxEntries - 1) / 2
+	sweepRows   = (tables.MaxTxnRows - 1) / 2
 	sweepLeast  = 10
 	sweepAnyway = 10 * time.Second
 	// sweepWhenFaster keeps the removals out of the way of a slow store, which answers
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -82,11 +82,11 @@
 // that few answers come at once; one that doesn't answer soon keeps no other from its turn,
 // since some parts may be away.
 func (o *Owner) readParts(ctx context.Context) <-chan partJobs {
-	read := make(chan partJobs, Parts)
+	read := make(chan partJobs, NumJobParts)
 	o.group.Go(func() error {
 		g, ctx := errgroup.WithContext(ctx)
-		turns := make(chan struct{}, o.cfg.ReadAtOnce)
-		for _, part := range PartsOf(o.cfg.Shard.Service) {
+		turns := make(chan struct{}, o.cfg.MaxParallelReads)
+		for _, part := range JobParts(o.cfg.Shard.Service) {
 			g.Go(func() error {
 				defer takeTurn(ctx, turns)()
 				rows, version, err := o.listUntilRead(ctx, tables.ListRequest{Table: TableJobs(o.cfg.Shard), Part: part})
@@ -131,11 +131,11 @@
 	patience := time.NewTimer(time.Until(until))
 	defer patience.Stop()
 	over := false
-	to.missing = make(map[string]bool, Parts)
-	for _, part := range PartsOf(o.cfg.Shard.Service) {
+	to.missing = make(map[string]bool, NumJobParts)
+	for _, part := range JobParts(o.cfg.Shard.Service) {
 		to.missing[part] = true
 	}
-	for len(to.missing) > 0 && (!over || len(to.missing) == Parts) {
+	for len(to.missing) > 0 && (!over || len(to.missing) == NumJobParts) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -25,15 +25,15 @@
 
 // Shards knows the other shards of a service.
 type Shards interface {
-	// Better returns the shard to which a job of this one should move, if any does.
-	Better(from cluster.ShardID, load float64, m scheduler.Move) (cluster.ShardID, bool)
-	// Moved notes a job's new shards, one a part; their owners find the parts in the store.
-	Moved(parts []cluster.Job)
-	// State returns a job's state wherever it is; found is false if there is no such job.
-	State(ctx context.Context, service, id string) (state cluster.State, found bool, err error)
-	// AskGang asks another shard's owner how a gang stands there, and StartGang lets it
+	// BetterShard returns the shard to which a job of this one should move, if any does.
+	BetterShard(from cluster.ShardID, load float64, m scheduler.Move) (cluster.ShardID, bool)
+	// JobMoved notes a job's new shards, one a part; their owners find the parts in the store.
+	JobMoved(parts []cluster.Job)
+	// JobState returns a job's state wherever it is; found is false if there is no such job.
+	JobState(ctx context.Context, service, id string) (state cluster.State, found bool, err error)
+	// QueryGang asks another shard's owner how a gang stands there, and StartGang lets it
 	// start members of one.
-	AskGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error)
+	QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error)
 	StartGang(ctx context.Context, shard cluster.ShardID, start scheduler.GangStart) error
 }
 
@@ -61,7 +61,7 @@
 		for _, m := range moves {
 			if m.Join {
 				round.Go(func() { o.move(ctx, m, o.cfg.Shard) })
-			} else if to, ok := o.Shards.Better(o.cfg.Shard, load, m); ok {
+			} else if to, ok := o.Shards.BetterShard(o.cfg.Shard, load, m); ok {
 				round.Go(func() { o.move(ctx, m, to) })
 			} else {
 				o.stays(m.Job.ID)
@@ -87,7 +87,7 @@
 
 // gone forgets a job that has another shard now, and removes its mark.
 func (o *Owner) gone(id string) {
-	mark := ProgressKey(o.cfg.Shard, id)
+	mark := ProgressRow(o.cfg.Shard, id)
 	o.do(func(s *scheduler.Shard, now time.Time) { mark.Version = s.Moved(now, id) })
 	if mark.Version > 0 {
 		o.litter.add(mark)
@@ -152,7 +152,7 @@
 	default:
 		o.gone(job.ID)
 	}
-	o.Shards.Moved(parts)
+	o.Shards.JobMoved(parts)
 }
 
 // mark writes that a job is moving, on condition that this owner still has the shard
@@ -160,7 +160,7 @@
 // without an answer may still get there, and does no harm: the job's next progress
 // replaces it, and a later owner that finds it learns from the pin that the job stayed.
 func (o *Owner) mark(ctx context.Context, m scheduler.Move) bool {
-	row := ProgressKey(o.cfg.Shard, m.Job.ID)
+	row := ProgressRow(o.cfg.Shard, m.Job.ID)
 	row.Version = m.Version
 	txn := tables.Txn{If: []tables.Row{o.fence(), row}}
 	row.Value = m.Mark
@@ -181,7 +181,7 @@
 // noteVersion takes the version of a job's progress from rows that differed.
 func (o *Owner) noteVersion(id string, current []tables.Row) {
 	if o.fenceLost(current) {
-		o.Lost(lostToAnother)
+		o.EndOwnership(lostToAnother)
 		return
 	}
 	for _, r := range current {
@@ -195,12 +195,12 @@
 // reports whether the job is there. Where the error is an unknown outcome, that is open.
 func (o *Owner) repin(ctx context.Context, parts []cluster.Job, pin tables.Row) (moved bool, err error) {
 	job := parts[0]
-	txn, err := AcceptJob(parts)
+	txn, err := AcceptJobTxn(parts)
 	if err != nil {
 		o.Log.Error("job not moved", events.JobMoved, zap.String("job", job.ID), zap.Error(err))
 		return false, err
 	}
-	part, from := PartOf(job.Service, job.ID), TableJobs(o.cfg.Shard)
+	part, from := JobPart(job.Service, job.ID), TableJobs(o.cfg.Shard)
 	txn.If[0].Version = pin.Version
 	txn.If = append(txn.If, tables.Row{Table: from, Part: part, Key: job.ID + cancelSuffix})
 	if job.ShardID() != o.cfg.Shard {
@@ -226,7 +226,7 @@
 
 // seePin is readPin tried once.
 func (o *Owner) seePin(ctx context.Context, id string) (pin tables.Row, found bool, err error) {
-	row, ok, err := tables.Get(ctx, o.Tables, TablePins, PartOf(o.cfg.Shard.Service, id), id)
+	row, ok, err := tables.Get(ctx, o.Tables, TablePins, JobPart(o.cfg.Shard.Service, id), id)
 	return row, err == nil && ok && o.isPinnedHere(row), err
 }
 
@@ -278,7 +278,7 @@
 // by all shards together: the feed may have shown its new row while the old one was known.
 func (o *Owner) takeJoined(ctx context.Context, id string) {
 	for ctx.Err() == nil {
-		row, found, err := tables.Get(ctx, o.Tables, TableJobs(o.cfg.Shard), PartOf(o.cfg.Shard.Service, id), id)
+		row, found, err := tables.Get(ctx, o.Tables, TableJobs(o.cfg.Shard), JobPart(o.cfg.Shard.Service, id), id)
 		switch {
 		case err != nil:
 			tables.Sleep(ctx, settlePause)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -97,7 +97,7 @@
 // order sends one order and feeds its reply back. An order that was cut short
 // because the ownership ended has no reply to feed back.
 func (o *Owner) order(ctx context.Context, to cluster.Order, send func(context.Context) cluster.Reply, replied func(*scheduler.Shard, time.Time, cluster.Reply)) {
-	c, cancel := context.WithTimeout(ctx, o.replies.Limit())
+	c, cancel := context.WithTimeout(ctx, o.replies.Timeout())
 	defer cancel()
 	sent := time.Now()
 	reply := send(c)
@@ -105,13 +105,13 @@
 		return
 	}
 	if reply == cluster.ReplyOK || reply == cluster.ReplyUnknown {
-		o.replies.Note(time.Since(sent))
+		o.replies.Observe(time.Since(sent))
 	}
 	if reply == cluster.ReplyNotSent {
 		notify(o.listMachines)
 	}
 	if reply == cluster.ReplyFence && !o.isOutdated(to) {
-		o.Lost("worker " + to.Worker + " has seen a higher epoch")
+		o.EndOwnership("worker " + to.Worker + " has seen a higher epoch")
 		return
 	}
 	o.do(func(s *scheduler.Shard, now time.Time) { replied(s, now, reply) })
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -64,11 +64,11 @@
 	// Fence is the shard's fence as it was read while Row was written; without a key it
 	// is not known. It saves a call of a takeover.
 	Fence tables.Row
-	// ReadAtOnce is how many parts of the jobs are read at once; 0: tables.ListParallel.
-	ReadAtOnce int
-	// WriteMost is how many bytes of progress one write should have at most; 0: any.
-	WriteMost int
-	Params    scheduler.Params
+	// MaxParallelReads is how many parts of the jobs are read at once; 0: tables.MaxParallelLists.
+	MaxParallelReads int
+	// MaxWriteBytes is how many bytes of progress one write should have at most; 0: any.
+	MaxWriteBytes int
+	Params        scheduler.Params
 }
 
 // Owner runs one shard.
@@ -92,7 +92,7 @@
 	fenceVersion int64
 
 	advice  *AdviceQueue
-	replies ReplyTimes
+	replies ReplyTimeEstimator
 	litter  litter
 	spill   spill
 	unread  unread
@@ -109,8 +109,8 @@
 
 // New returns an Owner that has not been started.
 func New(cfg Config, deps Deps) *Owner {
-	cfg.ReadAtOnce = cmp.Or(cfg.ReadAtOnce, tables.ListParallel)
-	cfg.WriteMost = cmp.Or(cfg.WriteMost, math.MaxInt)
+	cfg.MaxParallelReads = cmp.Or(cfg.MaxParallelReads, tables.MaxParallelLists)
+	cfg.MaxWriteBytes = cmp.Or(cfg.MaxWriteBytes, math.MaxInt)
 	return &Owner{
 		cfg: cfg, Deps: deps, began: time.Now(), shard: scheduler.New(cfg.Params, time.Now(), deps.Log),
 		holding: make(map[string]bool), refused: newRefused(),
@@ -168,8 +168,8 @@
 	return err
 }
 
-// Lost ends the ownership: another node has taken it.
-func (o *Owner) Lost(evidence string) {
+// EndOwnership ends the ownership: another node has taken it.
+func (o *Owner) EndOwnership(evidence string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lost = &Error{"run", KindLost, errors.New(evidence)}
@@ -189,7 +189,7 @@
 // advised hands the answer of the advice service to the scheduler.
 func (o *Owner) advised(call scheduler.Advise, a Advice) {
 	o.do(func(s *scheduler.Shard, _ time.Time) {
-		s.Advised(a.Given, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
+		s.Advised(a.IssuedAt, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
 	})
 }
 
@@ -207,7 +207,7 @@
 // is read with it.
 func (o *Owner) AddJob(job cluster.Job, version int64) {
 	if job.Epoch > o.Epoch() {
-		o.Lost("a job was accepted for a later owner")
+		o.EndOwnership("a job was accepted for a later owner")
 		return
 	}
 	o.do(func(s *scheduler.Shard, now time.Time) {
@@ -222,16 +222,16 @@
 	o.do(func(s *scheduler.Shard, now time.Time) { s.CancelJob(now, id) })
 }
 
-// State returns a job's state; ok is false if this owner doesn't know the job.
-func (o *Owner) State(id string) (state cluster.State, ok bool) {
+// JobState returns a job's state; ok is false if this owner doesn't know the job.
+func (o *Owner) JobState(id string) (state cluster.State, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Job(id)
 }
 
-// Waiting returns how many jobs of a queue have not begun; ok is false while
+// WaitingJobs returns how many jobs of a queue have not begun; ok is false while
 // the shard is being loaded.
-func (o *Owner) Waiting(queue string) (n int, ok bool) {
+func (o *Owner) WaitingJobs(queue string) (n int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Waiting(queue), o.loaded
@@ -259,8 +259,8 @@
 	return o.shard.Counts()
 }
 
-// Aside returns how many workers of the shard are set aside.
-func (o *Owner) Aside() int {
+// WorkersSetAside returns how many workers of the shard are set aside.
+func (o *Owner) WorkersSetAside() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Aside()
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -17,7 +17,7 @@
 const (
 	// batchJobs is the most jobs in one write: each needs a condition and a put,
 	// beside the condition on the owner's row.
-	batchJobs = (tables.MaxEntries - 1) / 2
+	batchJobs = (tables.MaxTxnRows - 1) / 2
 	// persistGap is the least pause between two writes: ends that come together
 	// are written together, and callers see a job's end this much later at most.
 	persistGap = 25 * time.Millisecond
@@ -46,7 +46,7 @@
 // that went well.
 func (o *Owner) persistOnce(ctx context.Context) (retry time.Duration) {
 	o.mu.Lock()
-	batch := o.shard.Dirty(batchJobs, o.cfg.WriteMost)
+	batch := o.shard.Dirty(batchJobs, o.cfg.MaxWriteBytes)
 	o.mu.Unlock()
 	if batch.Empty() {
 		return 0
@@ -98,7 +98,7 @@
 func (o *Owner) progressTxn(batch scheduler.Batch) tables.Txn {
 	txn := tables.Txn{If: []tables.Row{o.fence()}}
 	for _, r := range batch.Records {
-		row := ProgressKey(o.cfg.Shard, r.Job)
+		row := ProgressRow(o.cfg.Shard, r.Job)
 		row.Version = r.Version
 		txn.If = append(txn.If, row)
 		row.Value = r.Value
@@ -111,7 +111,7 @@
 // either an earlier write took effect without an answer, or the shard is lost.
 func (o *Owner) settle(batch scheduler.Batch, current []tables.Row) {
 	if o.fenceLost(current) {
-		o.Lost(lostToAnother)
+		o.EndOwnership(lostToAnother)
 		return
 	}
 	versions := make(map[string]tables.Row, len(current))
--- a/internal/owner/replies.go
+++ b/internal/owner/replies.go
@@ -13,14 +13,14 @@
 
 // The bounds of the wait for the answer to an order.
 const (
-	// OrderLeast and OrderMost bound the wait for the answer to an order. It comes within
+	// MinOrderTimeout and MaxOrderTimeout bound the wait for the answer to an order. It comes within
 	// a few milliseconds, and within 0.1 s while the owner's host has used up its share of
 	// the processor or many orders go out after a takeover; on a link of 2 Mbit/s that is
 	// full, all answers take up to 0.4 s, and starts that are given up fill it more.
-	OrderLeast = 120 * time.Millisecond
-	OrderMost  = 600 * time.Millisecond
-	// OrderFirst is the wait before anything is known.
-	OrderFirst = 300 * time.Millisecond
+	MinOrderTimeout = 120 * time.Millisecond
+	MaxOrderTimeout = 600 * time.Millisecond
+	// InitialOrderTimeout is the wait before anything is known.
+	InitialOrderTimeout = 300 * time.Millisecond
 	// replyGain and deviationGain are the weights of one answer in the running mean and in
 	// the running deviation, and deviations is how many of these an answer may take beyond
 	// the mean: those of the usual estimate of a retransmission time, with more slack, as
@@ -30,16 +30,16 @@
 	deviations    = 6
 )
 
-// ReplyTimes learns how long workers take to answer.
-type ReplyTimes struct {
+// ReplyTimeEstimator learns how long workers take to answer.
+type ReplyTimeEstimator struct {
 	mu              sync.Mutex
 	mean, deviation float64 // in seconds; mean 0: none was answered yet
 }
 
-// Note takes in how long one order took to be answered or given up. Those given up count
+// Observe takes in how long one order took to be answered or given up. Those given up count
 // too, so that the limit rises where all answers have become slow; if only some don't
 // come, the next few answers lower it again.
-func (t *ReplyTimes) Note(took time.Duration) {
+func (t *ReplyTimeEstimator) Observe(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sample := took.Seconds()
@@ -52,13 +52,13 @@
 	t.deviation += deviationGain * (max(off, -off) - t.deviation)
 }
 
-// Limit returns how long to wait for an answer.
-func (t *ReplyTimes) Limit() time.Duration {
+// Timeout returns how long to wait for an answer.
+func (t *ReplyTimeEstimator) Timeout() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.mean == 0 {
-		return OrderFirst
+		return InitialOrderTimeout
 	}
 	limit := time.Duration((t.mean + deviations*t.deviation) * float64(time.Second))
-	return min(max(limit, OrderLeast), OrderMost)
+	return min(max(limit, MinOrderTimeout), MaxOrderTimeout)
 }
--- a/internal/owner/roster.go
+++ b/internal/owner/roster.go
@@ -69,7 +69,7 @@
 	row := tables.Row{Table: TableProgress, Part: ProgressPart(o.cfg.Shard), Key: rosterKey, Value: value}
 	res, err := o.Tables.Commit(ctx, tables.Txn{If: []tables.Row{o.fence()}, Put: []tables.Row{row}})
 	if err == nil && !res.Committed {
-		o.Lost(lostToAnother)
+		o.EndOwnership(lostToAnother)
 	}
 	return err
 }
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -31,26 +31,28 @@
 // TableJobs returns the table of a shard's jobs.
 func TableJobs(shard cluster.ShardID) string { return jobsPrefix + strconv.Itoa(shard.Index) }
 
-// Parts is over how many parts the accepted jobs of a service are spread. A part
+// NumJobParts is over how many parts the accepted jobs of a service are spread. A part
 // takes its writes one after another: while the store answers 100 times slower
 // (0.3 s a write) and 80 jobs a second come, a part of 64 is busy for 0.4 of the
 // time, and one of 32 for 0.75, so that writes wait for each other for seconds. A
 // takeover reads all parts. Progress is written in batches, and has one part a shard.
-const Parts = 64
+const NumJobParts = 64
 
 // cancelSuffix marks the row of a job's cancel; job IDs hold only hex digits.
 const cancelSuffix = ".cancel"
 
-// PartOf returns the part of a job's rows. It depends on nothing but the ID, so
+// JobPart returns the part of a job's rows. It depends on nothing but the ID, so
 // that a job stays one job whichever shard a node would choose for it.
-func PartOf(service, id string) string { return partName(service, int(xxhash.Sum64String(id)%Parts)) }
+func JobPart(service, id string) string {
+	return partName(service, int(xxhash.Sum64String(id)%NumJobParts))
+}
 
 // partName returns the name of a service's i-th part.
 func partName(service string, i int) string { return service + "-" + strconv.Itoa(i) }
 
-// PartsOf returns all parts of a service's jobs.
-func PartsOf(service string) []string {
-	parts := make([]string, Parts)
+// JobParts returns all parts of a service's jobs.
+func JobParts(service string) []string {
+	parts := make([]string, NumJobParts)
 	for i := range parts {
 		parts[i] = partName(service, i)
 	}
@@ -59,13 +61,13 @@
 
 // jobRows returns the empty rows that name a job and its cancel.
 func jobRows(shard cluster.ShardID, id string) []tables.Row {
-	table, part := TableJobs(shard), PartOf(shard.Service, id)
+	table, part := TableJobs(shard), JobPart(shard.Service, id)
 	return []tables.Row{{Table: table, Part: part, Key: id}, {Table: table, Part: part, Key: id + cancelSuffix}}
 }
 
 // pinRow returns the empty row that names a job's pin.
 func pinRow(shard cluster.ShardID, id string) tables.Row {
-	return tables.Row{Table: TablePins, Part: PartOf(shard.Service, id), Key: id}
+	return tables.Row{Table: TablePins, Part: JobPart(shard.Service, id), Key: id}
 }
 
 // pin is the value of a job's row in TablePins.
@@ -74,11 +76,11 @@
 	Shards []int `json:"shards"`
 }
 
-// AcceptJob returns the transaction that accepts a job, given as its parts. It is
+// AcceptJobTxn returns the transaction that accepts a job, given as its parts. It is
 // not committed if the job was accepted before.
-func AcceptJob(parts []cluster.Job) (tables.Txn, error) {
+func AcceptJobTxn(parts []cluster.Job) (tables.Txn, error) {
 	job := parts[0]
-	part := PartOf(job.Service, job.ID)
+	part := JobPart(job.Service, job.ID)
 	txn := tables.Txn{If: []tables.Row{{Table: TablePins, Part: part, Key: job.ID}}}
 	var shards []cluster.ShardID
 	for _, j := range parts {
@@ -128,8 +130,8 @@
 // ProgressPart returns the part of a shard's progress.
 func ProgressPart(shard cluster.ShardID) string { return shard.String() + "-progress" }
 
-// ProgressKey returns the empty row that names a job's progress.
-func ProgressKey(shard cluster.ShardID, id string) tables.Row {
+// ProgressRow returns the empty row that names a job's progress.
+func ProgressRow(shard cluster.ShardID, id string) tables.Row {
 	return tables.Row{Table: TableProgress, Part: ProgressPart(shard), Key: id}
 }
 
@@ -137,9 +139,9 @@
 // directory's entries lapse while the store is away.
 const rosterKey = "!workers"
 
-// CancelJob returns the transaction that records a job's cancel. Its condition is
+// CancelJobTxn returns the transaction that records a job's cancel. Its condition is
 // the job's pin: a job that moves to another shard meanwhile is looked up again.
-func CancelJob(shards []cluster.ShardID, pin tables.Row) tables.Txn {
+func CancelJobTxn(shards []cluster.ShardID, pin tables.Row) tables.Txn {
 	txn := tables.Txn{If: []tables.Row{pin}}
 	for _, shard := range shards {
 		row := tables.Row{Table: TableJobs(shard), Part: pin.Part, Key: pin.Key + cancelSuffix, Value: []byte("{}")}
--- a/internal/owner/spill.go
+++ b/internal/owner/spill.go
@@ -114,7 +114,7 @@
 		}
 		return false
 	case !res.Committed:
-		o.Lost("another owner is named in the store")
+		o.EndOwnership("another owner is named in the store")
 		return false
 	}
 	if o.spill.begin() {
--- a/internal/owner/spillrows.go
+++ b/internal/owner/spillrows.go
@@ -43,15 +43,15 @@
 		id, _, _ := strings.Cut(strings.TrimPrefix(r.Key, spillPrefix(o.cfg.Shard)), "/")
 		o.spill.add(id, r)
 		if p := o.decodeProgress(r); p != nil {
-			rows.progress[id] = newerProgress(p, r, ProgressKey(o.cfg.Shard, id), rows.progress[id])
+			rows.progress[id] = newerProgress(p, r, ProgressRow(o.cfg.Shard, id), rows.progress[id])
 		}
 	}
 }
 
-// StoredState returns a job's state as the store has it; found is false if nothing
+// StoredJobState returns a job's state as the store has it; found is false if nothing
 // was persisted of the job. Spilled rows are read first: they go only after the job's
 // own row has something newer.
-func StoredState(ctx context.Context, svc tables.Service, shard cluster.ShardID, id string) (state cluster.State, found bool, err error) {
+func StoredJobState(ctx context.Context, svc tables.Service, shard cluster.ShardID, id string) (state cluster.State, found bool, err error) {
 	spilled, _, err := tables.ListAll(ctx, svc, spilledOf(shard, id))
 	if err != nil {
 		return "", false, err
@@ -63,7 +63,7 @@
 	for _, r := range spilled {
 		// One that can't be read is logged by the owner that loads it.
 		if p, err := scheduler.ParseProgress(r.Value, r.Version); err == nil {
-			row = newerProgress(p, r, ProgressKey(shard, id), row)
+			row = newerProgress(p, r, ProgressRow(shard, id), row)
 		}
 	}
 	if len(row.Value) == 0 {
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -58,7 +58,7 @@
 	case res.Committed:
 		for _, r := range rows {
 			if r.Table == TablePins {
-				o.litter.add(ProgressKey(o.cfg.Shard, r.Key))
+				o.litter.add(ProgressRow(o.cfg.Shard, r.Key))
 			}
 		}
 	default:
--- a/internal/owner/unread.go
+++ b/internal/owner/unread.go
@@ -27,7 +27,7 @@
 	delete(u.parts, part)
 	progress = make(map[string]tables.Row)
 	for id, r := range u.progress {
-		if PartOf(service, id) == part {
+		if JobPart(service, id) == part {
 			progress[id] = r
 			delete(u.progress, id)
 		}
@@ -44,7 +44,7 @@
 // isUnread reports whether a job lies in a part that has not been read. The caller
 // holds mu.
 func (o *Owner) isUnread(id string) bool {
-	return o.unread.parts[PartOf(o.cfg.Shard.Service, id)]
+	return o.unread.parts[JobPart(o.cfg.Shard.Service, id)]
 }
 
 // takeLateParts takes the jobs of the parts that answer after the load.
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -20,45 +20,45 @@
 	Quota resource.Amount
 }
 
-// Item is a job that waits.
-type Item struct {
-	// Team is an index into the teams.
-	Team     int
-	Priority int
+// WaitingJob is a job that waits.
+type WaitingJob struct {
+	// TeamIndex is an index into the teams.
+	TeamIndex int
+	Priority  int
 	// Deadline is zero when there is none.
 	Deadline time.Time
-	// Run is the declared or learned run time.
-	Run       time.Duration
+	// RunTime is the declared or learned run time.
+	RunTime   time.Duration
 	Submitted time.Time
-	// Size is what one task asks for, and Need what the waiting tasks do together.
-	Size resource.Amount
-	Need resource.Amount
+	// TaskSize is what one task asks for, and Need what the waiting tasks do together.
+	TaskSize resource.Amount
+	Demand   resource.Amount
 }
 
 // slack is how long the item may still wait and meet its deadline.
-func (i *Item) slack(now time.Time) time.Duration {
+func (i *WaitingJob) slack(now time.Time) time.Duration {
 	if i.Deadline.IsZero() {
 		return 1<<63 - 1
 	}
-	return i.Deadline.Sub(now) - i.Run
+	return i.Deadline.Sub(now) - i.RunTime
 }
 
 // urgency groups slacks by powers of two of the run time, so that among items
 // that are about as urgent the largest can go first.
-func (i *Item) urgency(now time.Time) int {
+func (i *WaitingJob) urgency(now time.Time) int {
 	if i.Deadline.IsZero() {
 		return bits.UintSize
 	}
-	return bits.Len64(uint64(max(0, i.slack(now)) / max(i.Run, time.Second)))
+	return bits.Len64(uint64(max(0, i.slack(now)) / max(i.RunTime, time.Second)))
 }
 
 // bulk is the size by which items that are about as urgent are ordered; those
 // without a deadline keep the order in which they came.
-func (i *Item) bulk() int64 {
+func (i *WaitingJob) bulk() int64 {
 	if i.Deadline.IsZero() {
 		return 0
 	}
-	return i.Size.CPUMilli + i.Size.MemoryMB
+	return i.TaskSize.CPUMilli + i.TaskSize.MemoryMB
 }
 
 // Order returns the indices of the items in the order in which to place them:
@@ -66,7 +66,7 @@
 // share goes first, those within their quota before those that borrow; within
 // a team the least slack goes first, of those about as urgent the largest, then
 // the oldest.
-func Order(now time.Time, items []Item, teams []Team, total resource.Amount) []int {
+func Order(now time.Time, items []WaitingJob, teams []Team, total resource.Amount) []int {
 	byTeam := sortedByTeam(now, items, len(teams))
 	used := make([]resource.Amount, len(teams))
 	for i := range teams {
@@ -82,16 +82,16 @@
 		}
 		next := byTeam[best][0]
 		byTeam[best] = byTeam[best][1:]
-		used[best] = used[best].Add(items[next].Need)
+		used[best] = used[best].Add(items[next].Demand)
 		order = append(order, next)
 	}
 	return order
 }
 
-func sortedByTeam(now time.Time, items []Item, teams int) [][]int {
+func sortedByTeam(now time.Time, items []WaitingJob, teams int) [][]int {
 	byTeam := make([][]int, teams)
 	for i := range items {
-		byTeam[items[i].Team] = append(byTeam[items[i].Team], i)
+		byTeam[items[i].TeamIndex] = append(byTeam[items[i].TeamIndex], i)
 	}
 	for _, list := range byTeam {
 		slices.SortStableFunc(list, func(a, b int) int {
@@ -109,7 +109,7 @@
 }
 
 // before reports whether team a's first item goes before team b's.
-func before(items []Item, byTeam [][]int, teams []Team, used []resource.Amount, total resource.Amount, a, b int) bool {
+func before(items []WaitingJob, byTeam [][]int, teams []Team, used []resource.Amount, total resource.Amount, a, b int) bool {
 	x, y := &items[byTeam[a][0]], &items[byTeam[b][0]]
 	if x.Priority != y.Priority {
 		return x.Priority > y.Priority
@@ -120,8 +120,8 @@
 	return weighted(teams[a], used[a], total) < weighted(teams[b], used[b], total)
 }
 
-func within(t Team, used resource.Amount, i *Item) bool {
-	return t.Quota.Fits(used.Add(i.Need))
+func within(t Team, used resource.Amount, i *WaitingJob) bool {
+	return t.Quota.Fits(used.Add(i.Demand))
 }
 
 func weighted(t Team, used, total resource.Amount) float64 {
--- a/internal/policy/place.go
+++ b/internal/policy/place.go
@@ -5,8 +5,8 @@
 //
 // # Usage
 //
-//	i, ok := policy.Place(size, candidates, policy.Shape{Spread: true}, weights)
-//	order := policy.Order(now, items, teams, total)
+//	i, ok := policy.Place(size, candidates, policy.Constraints{Spread: true}, weights)
+//	order := policy.Order(now, jobs, teams, total)
 package policy
 
 import (
@@ -31,12 +31,12 @@
 	JobTasks int
 	// RackTasks is how many tasks of the same job run in the worker's rack.
 	RackTasks int
-	// Closed workers take nothing new.
-	Closed bool
+	// Unschedulable workers take nothing new.
+	Unschedulable bool
 }
 
-// Shape is what a job asks of the places of its tasks together.
-type Shape struct {
+// Constraints is what a job asks of the places of its tasks together.
+type Constraints struct {
 	// Spread asks for different racks, and for different workers within a rack.
 	Spread bool
 }
@@ -48,11 +48,11 @@
 )
 
 // Place returns the index of the best candidate that has room for size.
-func Place(size resource.Amount, candidates []Candidate, shape Shape, w Weights) (int, bool) {
+func Place(size resource.Amount, candidates []Candidate, shape Constraints, w Weights) (int, bool) {
 	best, bestScore := -1, math.Inf(-1)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Closed || !c.Free.Fits(size) {
+		if c.Unschedulable || !c.Free.Fits(size) {
 			continue
 		}
 		if s := score(size, c, shape, w); s > bestScore {
@@ -63,7 +63,7 @@
 }
 
 // score rates a candidate that has room; higher is better.
-func score(size resource.Amount, c *Candidate, shape Shape, w Weights) float64 {
+func score(size resource.Amount, c *Candidate, shape Constraints, w Weights) float64 {
 	fill := filled(size, c)
 	s := w.Packing*fill - w.Waiting*fill
 	if shape.Spread {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -30,25 +30,25 @@
 	empty := policy.Candidate{Free: amount(4000, 4000, 0), Capacity: amount(4000, 4000, 0)}
 	accel := policy.Candidate{Free: amount(4000, 4000, 2), Capacity: amount(4000, 4000, 2)}
 	closed := empty
-	closed.Closed = true
+	closed.Unschedulable = true
 	sameRack := empty
 	sameRack.RackTasks = 1
 	tests := []struct {
 		name    string
 		size    resource.Amount
 		cs      []policy.Candidate
-		shape   policy.Shape
+		shape   policy.Constraints
 		weights policy.Weights
 		want    int
 		ok      bool
 	}{
-		{"packing fills the fuller", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Shape{}, packs, 1, true},
-		{"waiting takes the emptier", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Shape{}, waits, 1, true},
-		{"no room", amount(5000, 500, 0), []policy.Candidate{full, empty}, policy.Shape{}, packs, -1, false},
-		{"closed", amount(500, 500, 0), []policy.Candidate{closed}, policy.Shape{}, packs, -1, false},
-		{"accelerators are kept free", amount(500, 500, 0), []policy.Candidate{accel, empty}, policy.Shape{}, packs, 1, true},
-		{"accelerators where asked", amount(500, 500, 1), []policy.Candidate{empty, accel}, policy.Shape{}, packs, 1, true},
-		{"another rack", amount(500, 500, 0), []policy.Candidate{sameRack, full}, policy.Shape{Spread: true}, waits, 1, true},
+		{"packing fills the fuller", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packs, 1, true},
+		{"waiting takes the emptier", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waits, 1, true},
+		{"no room", amount(5000, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, packs, -1, false},
+		{"closed", amount(500, 500, 0), []policy.Candidate{closed}, policy.Constraints{}, packs, -1, false},
+		{"accelerators are kept free", amount(500, 500, 0), []policy.Candidate{accel, empty}, policy.Constraints{}, packs, 1, true},
+		{"accelerators where asked", amount(500, 500, 1), []policy.Candidate{empty, accel}, policy.Constraints{}, packs, 1, true},
+		{"another rack", amount(500, 500, 0), []policy.Candidate{sameRack, full}, policy.Constraints{Spread: true}, waits, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 		}
 		for range 400 {
 			size := amount(1+r.Int64N(3000), 1+r.Int64N(3000), r.Int64N(2))
-			i, ok := policy.Place(size, cs, policy.Shape{Spread: r.IntN(2) == 0}, policy.Weights{Packing: packing, Waiting: 1 - packing})
+			i, ok := policy.Place(size, cs, policy.Constraints{Spread: r.IntN(2) == 0}, policy.Weights{Packing: packing, Waiting: 1 - packing})
 			if !ok {
 				continue
 			}
@@ -96,13 +96,13 @@
 		{Name: "c", Weight: 10, Used: amount(50_000, 0, 0)},
 	}
 	need := amount(1000, 1000, 0)
-	items := []policy.Item{
-		{Team: 0, Priority: 1, Need: need},
-		{Team: 1, Priority: 1, Need: need},
-		{Team: 0, Priority: 9, Need: need},
-		{Team: 1, Priority: 1, Need: need, Deadline: now.Add(time.Minute), Run: 30 * time.Second},
-		{Team: 1, Priority: 1, Need: need, Deadline: now.Add(50 * time.Second), Run: time.Second},
-		{Team: 2, Priority: 1, Need: need},
+	items := []policy.WaitingJob{
+		{TeamIndex: 0, Priority: 1, Demand: need},
+		{TeamIndex: 1, Priority: 1, Demand: need},
+		{TeamIndex: 0, Priority: 9, Demand: need},
+		{TeamIndex: 1, Priority: 1, Demand: need, Deadline: now.Add(time.Minute), RunTime: 30 * time.Second},
+		{TeamIndex: 1, Priority: 1, Demand: need, Deadline: now.Add(50 * time.Second), RunTime: time.Second},
+		{TeamIndex: 2, Priority: 1, Demand: need},
 	}
 	got := policy.Order(now, items, teams, total)
 	// The urgent one; team c has the least share for its weight; then b by slack, then a.
@@ -116,14 +116,14 @@
 // are far off alike, but not before one that is due, and never without a deadline.
 func TestOrderLargestOfAboutAsUrgent(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	item := func(size int64, due time.Duration, sent int) policy.Item {
-		i := policy.Item{Size: amount(size, size, 0), Run: time.Minute, Submitted: now.Add(time.Duration(sent) * time.Second)}
+	item := func(size int64, due time.Duration, sent int) policy.WaitingJob {
+		i := policy.WaitingJob{TaskSize: amount(size, size, 0), RunTime: time.Minute, Submitted: now.Add(time.Duration(sent) * time.Second)}
 		if due > 0 {
 			i.Deadline = now.Add(due)
 		}
 		return i
 	}
-	items := []policy.Item{
+	items := []policy.WaitingJob{
 		item(1000, 40*time.Minute, 0), item(9000, 41*time.Minute, 1), item(500, 3*time.Minute, 2), item(100, 0, 3), item(8000, 0, 4),
 	}
 	got := policy.Order(now, items, []policy.Team{{Name: "a", Weight: 1}}, amount(100_000, 100_000, 0))
@@ -138,7 +138,7 @@
 		{Name: "borrows", Weight: 1, Used: amount(1000, 1000, 0)},
 		{Name: "owns", Weight: 1, Used: amount(20_000, 20_000, 0), Quota: amount(40_000, 40_000, 0)},
 	}
-	items := []policy.Item{{Team: 0, Need: amount(1000, 1000, 0)}, {Team: 1, Need: amount(1000, 1000, 0)}}
+	items := []policy.WaitingJob{{TeamIndex: 0, Demand: amount(1000, 1000, 0)}, {TeamIndex: 1, Demand: amount(1000, 1000, 0)}}
 	if got := policy.Order(time.Time{}, items, teams, total); got[0] != 1 {
 		t.Errorf("have %v: the team within its quota must go first", got)
 	}
@@ -154,7 +154,7 @@
 	w := policy.Weights{Waiting: 0.4, Packing: 0.6}
 	b.ReportAllocs()
 	for b.Loop() {
-		policy.Place(amount(2000, 2000, 0), cs, policy.Shape{}, w)
+		policy.Place(amount(2000, 2000, 0), cs, policy.Constraints{}, w)
 	}
 }
 
--- a/internal/policy/preempt.go
+++ b/internal/policy/preempt.go
@@ -9,11 +9,11 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// MaxPreempted is how often a task may be preempted; after that it is left alone.
-const MaxPreempted = 2
+// MaxPreemptions is how often a task may be preempted; after that it is left alone.
+const MaxPreemptions = 2
 
-// Running is a task that might be preempted.
-type Running struct {
+// RunningTask is a task that might be preempted.
+type RunningTask struct {
 	Priority int
 	Size     resource.Amount
 	// Attempt is the task's attempt: a high one has been disturbed before.
@@ -25,13 +25,13 @@
 // fits, or false when no choice is enough. Only preemptible tasks of a lower
 // priority are taken: the least urgent first, then the least disturbed, and none
 // whose room is not needed.
-func Victims(size, free resource.Amount, priority int, tasks []Running) ([]int, bool) {
+func Victims(size, free resource.Amount, priority int, tasks []RunningTask) ([]int, bool) {
 	if free.Fits(size) {
 		return nil, true
 	}
 	var may []int
 	for i, t := range tasks {
-		if t.Preemptible && t.Priority < priority && t.Attempt <= MaxPreempted {
+		if t.Preemptible && t.Priority < priority && t.Attempt <= MaxPreemptions {
 			may = append(may, i)
 		}
 	}
@@ -53,7 +53,7 @@
 }
 
 // spare leaves out the tasks whose room turned out not to be needed.
-func spare(size, free resource.Amount, tasks []Running, chosen []int) []int {
+func spare(size, free resource.Amount, tasks []RunningTask, chosen []int) []int {
 	var needed []int
 	for _, i := range chosen {
 		if without := free.Sub(tasks[i].Size); without.Fits(size) {
--- a/internal/policy/preempt_test.go
+++ b/internal/policy/preempt_test.go
@@ -15,24 +15,24 @@
 )
 
 func TestVictims(t *testing.T) {
-	low := policy.Running{Priority: 1, Size: amount(1000, 1000, 0), Attempt: 1, Preemptible: true}
+	low := policy.RunningTask{Priority: 1, Size: amount(1000, 1000, 0), Attempt: 1, Preemptible: true}
 	mid, fixed, weary, large := low, low, low, low
 	mid.Priority = 5
 	fixed.Preemptible = false
-	weary.Attempt = policy.MaxPreempted + 1
+	weary.Attempt = policy.MaxPreemptions + 1
 	large.Size = amount(3000, 3000, 0)
 	tests := []struct {
 		name     string
 		priority int
-		tasks    []policy.Running
+		tasks    []policy.RunningTask
 		want     string
 		ok       bool
 	}{
-		{"the least urgent goes", 9, []policy.Running{mid, low}, "[1]", true},
-		{"not one as urgent", 5, []policy.Running{mid, fixed}, "[]", false},
-		{"not one that may not", 9, []policy.Running{fixed}, "[]", false},
-		{"not one over and over", 9, []policy.Running{weary}, "[]", false},
-		{"none that is not needed", 9, []policy.Running{low, large}, "[1]", true},
+		{"the least urgent goes", 9, []policy.RunningTask{mid, low}, "[1]", true},
+		{"not one as urgent", 5, []policy.RunningTask{mid, fixed}, "[]", false},
+		{"not one that may not", 9, []policy.RunningTask{fixed}, "[]", false},
+		{"not one over and over", 9, []policy.RunningTask{weary}, "[]", false},
+		{"none that is not needed", 9, []policy.RunningTask{low, large}, "[1]", true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -53,9 +53,9 @@
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(13))
 	props.Property("enough, and none to spare", prop.ForAll(func(seed int64) bool {
 		r := rand.New(rand.NewPCG(uint64(seed), 2))
-		tasks := make([]policy.Running, r.IntN(12))
+		tasks := make([]policy.RunningTask, r.IntN(12))
 		for i := range tasks {
-			tasks[i] = policy.Running{
+			tasks[i] = policy.RunningTask{
 				Priority: r.IntN(5), Size: amount(1+r.Int64N(2000), 1+r.Int64N(2000), r.Int64N(2)),
 				Attempt: 1 + r.IntN(4), Preemptible: r.IntN(3) > 0,
 			}
@@ -67,7 +67,7 @@
 		}
 		all := free
 		for _, i := range chosen {
-			if t := tasks[i]; !t.Preemptible || t.Priority >= 3 || t.Attempt > policy.MaxPreempted {
+			if t := tasks[i]; !t.Preemptible || t.Priority >= 3 || t.Attempt > policy.MaxPreemptions {
 				return false
 			}
 			all = all.Add(tasks[i].Size)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -249,7 +249,7 @@
 			}
 			continue
 		}
-		i, ok := policy.Place(spec.Size, candidates, policy.Shape{Spread: req.Spread}, weights)
+		i, ok := policy.Place(spec.Size, candidates, policy.Constraints{Spread: req.Spread}, weights)
 		preempts := !ok && req.Preempt
 		if preempts {
 			i, ok = p.preemptLocked(spec, candidates)
@@ -273,7 +273,7 @@
 func (p *Pool) noteLocked(candidates []policy.Candidate, i int, size resource.Amount) {
 	candidates[i].Free = candidates[i].Free.Sub(size)
 	candidates[i].JobTasks++
-	candidates[i].Closed = p.order[i].probing
+	candidates[i].Unschedulable = p.order[i].probing
 	for j := range candidates {
 		if p.order[j].host.Rack == p.order[i].host.Rack {
 			candidates[j].RackTasks++
@@ -296,7 +296,7 @@
 func (p *Pool) candidatesLocked(now time.Time, job string) []policy.Candidate {
 	cs := make([]policy.Candidate, len(p.order))
 	for i, w := range p.order {
-		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.used), Capacity: w.host.Capacity, Closed: !w.openLocked(now)}
+		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.used), Capacity: w.host.Capacity, Unschedulable: !w.openLocked(now)}
 	}
 	p.countJobLocked(cs, job)
 	return cs
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -15,7 +15,7 @@
 func (p *Pool) preemptLocked(spec worker.Spec, candidates []policy.Candidate) (int, bool) {
 	best, fewest := -1, []*task(nil)
 	for i, w := range p.order {
-		if candidates[i].Closed {
+		if candidates[i].Unschedulable {
 			continue
 		}
 		victims, ok := w.victimsLocked(spec, candidates[i].Free)
@@ -40,13 +40,13 @@
 // victimsLocked returns the tasks of the worker that would have to go for spec.
 func (w *workerState) victimsLocked(spec worker.Spec, free resource.Amount) ([]*task, bool) {
 	var tasks []*task
-	var candidates []policy.Running
+	var candidates []policy.RunningTask
 	for _, t := range w.tasks {
 		if t.state != running || t.stopping {
 			continue
 		}
 		tasks = append(tasks, t)
-		candidates = append(candidates, policy.Running{
+		candidates = append(candidates, policy.RunningTask{
 			Priority: t.spec.Priority, Size: t.room(), Attempt: t.spec.Attempt.N, Preemptible: t.spec.Preemptible,
 		})
 	}
--- a/internal/tables/busyfeed_test.go
+++ b/internal/tables/busyfeed_test.go
@@ -57,7 +57,7 @@
 		svc := &busyService{began: time.Now()}
 		var behind time.Duration
 		f := tables.Follower{
-			Service: svc, Table: "t", Parts: []string{""}, Silence: time.Second, Pause: pause, Failed: func(error) {},
+			Service: svc, Table: "t", Parts: []string{""}, FeedWait: time.Second, Pause: pause, OnError: func(error) {},
 			Apply: func(rows []tables.Row, _ bool) {
 				if len(rows) > 0 {
 					behind = time.Duration(svc.version()-rows[0].Version) * time.Second / changesPerSecond
--- a/internal/tables/follow.go
+++ b/internal/tables/follow.go
@@ -17,19 +17,19 @@
 	Table   string
 	// Parts are the parts to list; the feed covers all of them.
 	Parts []string
-	// Silence is how long one call of the feed waits for a change.
-	Silence time.Duration
-	// Relist is how long after a list a feed that says nothing makes the table be
+	// FeedWait is how long one call of the feed waits for a change.
+	FeedWait time.Duration
+	// RelistAfter is how long after a list a feed that says nothing makes the table be
 	// listed again; 0: never, which is for large rows that rarely change.
-	Relist time.Duration
+	RelistAfter time.Duration
 	// Pause is the least time between two calls of the feed.
 	Pause time.Duration
 	// After is the version up to which the caller knows the table; 0: list first.
 	After int64
 	// Apply takes changed rows; whole is true for a full list of the parts.
 	Apply func(rows []Row, whole bool)
-	// Failed is told of the first failed call after one that was answered.
-	Failed func(err error)
+	// OnError is told of the first failed call after one that was answered.
+	OnError func(err error)
 
 	failing bool
 	// listedAt is when the table was last listed.
@@ -65,20 +65,20 @@
 				continue
 			}
 		}
-		res, err := f.Service.Feed(ctx, FeedRequest{Table: f.Table, After: after, Wait: f.Silence})
+		res, err := f.Service.Feed(ctx, FeedRequest{Table: f.Table, After: after, Wait: f.FeedWait})
 		if err != nil {
 			gone := KindOf(err) == KindHistoryGone
 			if gone {
 				after = 0
 			}
-			relist = gone || f.Relist > 0 || f.failing
+			relist = gone || f.RelistAfter > 0 || f.failing
 			f.fail(ctx, err)
 			continue
 		}
 		f.failing = false
 		if len(res.Rows) == 0 {
-			relist = f.Relist > 0 && time.Since(f.listedAt) >= f.Relist
-			if f.Relist == 0 {
+			relist = f.RelistAfter > 0 && time.Since(f.listedAt) >= f.RelistAfter
+			if f.RelistAfter == 0 {
 				after = f.advance(after, res.Version)
 			}
 			continue
@@ -118,9 +118,9 @@
 	return version
 }
 
-// ListParallel bounds the parts that are listed at once: all in one or two rounds,
+// MaxParallelLists bounds the parts that are listed at once: all in one or two rounds,
 // since each list takes 0.4 s while the service is slow.
-const ListParallel = 40
+const MaxParallelLists = 40
 
 // list reads all parts. The version is the oldest of theirs, from which the feed
 // repeats what later lists have shown.
@@ -128,7 +128,7 @@
 	lists := make([][]Row, len(f.Parts))
 	versions := make([]int64, len(f.Parts))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(ListParallel)
+	g.SetLimit(MaxParallelLists)
 	for i, part := range f.Parts {
 		g.Go(func() (err error) {
 			lists[i], versions[i], err = ListAll(ctx, f.Service, ListRequest{Table: f.Table, Part: part})
@@ -145,7 +145,7 @@
 func (f *Follower) fail(ctx context.Context, err error) {
 	if ctx.Err() == nil && !f.failing {
 		f.failing = true
-		f.Failed(err)
+		f.OnError(err)
 	}
 	Sleep(ctx, retryPause)
 }
--- a/internal/tables/follow_test.go
+++ b/internal/tables/follow_test.go
@@ -51,13 +51,13 @@
 		svc := &partialService{away: "b", began: time.Now()}
 		var seen []int64
 		f := tables.Follower{
-			Service: svc, Table: "t", Parts: []string{"a", "b"}, Silence: 300 * time.Millisecond, After: known,
+			Service: svc, Table: "t", Parts: []string{"a", "b"}, FeedWait: 300 * time.Millisecond, After: known,
 			Apply: func(rows []tables.Row, _ bool) {
 				for _, r := range rows {
 					seen = append(seen, r.Version)
 				}
 			},
-			Failed: func(error) {},
+			OnError: func(error) {},
 		}
 		f.Run(ctx)
 		if len(seen) != seconds || seen[0] != known+1 {
--- a/internal/tables/quiet_test.go
+++ b/internal/tables/quiet_test.go
@@ -109,7 +109,7 @@
 				var seen int64
 				var seenAt time.Duration
 				f := tables.Follower{
-					Service: svc, Table: "t", Parts: []string{""}, Silence: time.Second,
+					Service: svc, Table: "t", Parts: []string{""}, FeedWait: time.Second,
 					Apply: func(rows []tables.Row, _ bool) {
 						for _, r := range rows {
 							if r.Version > seen {
@@ -117,7 +117,7 @@
 							}
 						}
 					},
-					Failed: func(error) {},
+					OnError: func(error) {},
 				}
 				f.Run(ctx)
 				if want := max(1, svc.changed()); seen != want {
--- a/internal/tables/relay.go
+++ b/internal/tables/relay.go
@@ -58,8 +58,8 @@
 // Direct returns the service itself, for calls made on behalf of a peer.
 func (r *Relay) Direct() Service { return r.direct }
 
-// DirectGood reports whether the service serves this node, as far as is known.
-func (r *Relay) DirectGood() bool {
+// DirectAvailable reports whether the service serves this node, as far as is known.
+func (r *Relay) DirectAvailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.bad
@@ -76,7 +76,7 @@
 func (r *Relay) Probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		Sleep(ctx, probeEvery)
-		if r.DirectGood() {
+		if r.DirectAvailable() {
 			continue
 		}
 		if err := r.lookOnce(ctx, probeTimeout); err == nil {
@@ -96,8 +96,8 @@
 	return r.list(ctx, req, false)
 }
 
-// ListOwn reads rows, but not through peers.
-func (r *Relay) ListOwn(ctx context.Context, req ListRequest) (ListResult, error) {
+// ListDirect reads rows, but not through peers.
+func (r *Relay) ListDirect(ctx context.Context, req ListRequest) (ListResult, error) {
 	return r.list(ctx, req, true)
 }
 
@@ -110,8 +110,8 @@
 	return r.feed(ctx, req, false)
 }
 
-// FeedOwn waits for changes, but not through peers.
-func (r *Relay) FeedOwn(ctx context.Context, req FeedRequest) (FeedResult, error) {
+// FeedDirect waits for changes, but not through peers.
+func (r *Relay) FeedDirect(ctx context.Context, req FeedRequest) (FeedResult, error) {
 	return r.feed(ctx, req, true)
 }
 
@@ -153,7 +153,7 @@
 
 // relayed makes a call directly, or through peers while the service turns this node away.
 func relayed[Res any](ctx context.Context, r *Relay, lim limits, call request[Res]) (res Res, err error) {
-	directFirst := r.DirectGood()
+	directFirst := r.DirectAvailable()
 	if directFirst {
 		var settled bool
 		if res, settled, err = directlyFirst(ctx, r, lim, call); settled {
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -29,8 +29,8 @@
 	Value []byte `json:"value,omitempty"`
 	// Version is that of the transaction which wrote the row; 0: there is no row.
 	Version int64 `json:"version,omitempty"`
-	// Gone is set in a feed for a row that was removed.
-	Gone bool `json:"gone,omitempty"`
+	// Deleted is set in a feed for a row that was removed.
+	Deleted bool `json:"gone,omitempty"`
 }
 
 // Txn takes effect as a whole, and only if each row in If has the version named there.
@@ -52,8 +52,8 @@
 	return n
 }
 
-// MaxEntries is the most rows that a Txn may name (the table service's limit).
-const MaxEntries = 100
+// MaxTxnRows is the most rows that a Txn may name (the table service's limit).
+const MaxTxnRows = 100
 
 // TxnResult is the answer to a Txn.
 type TxnResult struct {
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -124,7 +124,7 @@
 // thirdOfParts returns every third part of the jobs' rows.
 func thirdOfParts() []string {
 	var away []string
-	for i, p := range owner.PartsOf(service) {
+	for i, p := range owner.JobParts(service) {
 		if i%3 == 0 {
 			away = append(away, p)
 		}
--- a/matrix/site/marked_test.go
+++ b/matrix/site/marked_test.go
@@ -43,7 +43,7 @@
 // pinned returns the shard that the job's pin names.
 func (w *world) pinned() cluster.ShardID {
 	w.t.Helper()
-	value := w.site.Store.Value(owner.TablePins, owner.PartOf(service, markedID), markedID)
+	value := w.site.Store.Value(owner.TablePins, owner.JobPart(service, markedID), markedID)
 	at, err := owner.ParsePin(service, tables.Row{Key: markedID, Value: value})
 	if err != nil || len(at) != 1 {
 		w.t.Fatalf("the pin holds %s: %v", value, err)
@@ -81,7 +81,7 @@
 		defer w.close()
 		time.Sleep(2 * time.Second)
 		w.handInForLater()
-		shard, part := w.pinned(), owner.PartOf(service, markedID)
+		shard, part := w.pinned(), owner.JobPart(service, markedID)
 		before := w.site.Store.Version(owner.TablePins, part, markedID)
 		w.markIn(shard)
 		w.startAgain()
@@ -117,13 +117,13 @@
 // moveByHand rewrites the job's rows as the second write of a move does.
 func (w *world) moveByHand(from, to cluster.ShardID) {
 	w.t.Helper()
-	part := owner.PartOf(service, markedID)
+	part := owner.JobPart(service, markedID)
 	var job cluster.Job
 	if err := json.Unmarshal(w.site.Store.Value(owner.TableJobs(from), part, markedID), &job); err != nil {
 		w.t.Fatal(err)
 	}
 	job.Shard, job.Moves = to.Index, job.Moves+1
-	txn, err := owner.AcceptJob([]cluster.Job{job})
+	txn, err := owner.AcceptJobTxn([]cluster.Job{job})
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/matrix/site/movesaway_test.go
+++ b/matrix/site/movesaway_test.go
@@ -28,13 +28,13 @@
 		var away []string
 		// Jobs that came together are moved the latest first.
 		for _, id := range ids[len(ids)/2:] {
-			away = append(away, owner.PartOf(service, id))
+			away = append(away, owner.JobPart(service, id))
 		}
 		w.site.Store.SetAway(away...)
 		w.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
 		time.Sleep(endsWithin)
 		for _, id := range ids {
-			if n, _ := w.starts(id); n != 1 && !slices.Contains(away, owner.PartOf(service, id)) {
+			if n, _ := w.starts(id); n != 1 && !slices.Contains(away, owner.JobPart(service, id)) {
 				t.Errorf("job %s was started %d times within %v, want once: its part of the store answers", id, n, endsWithin)
 			}
 		}
--- a/matrix/site/parts_test.go
+++ b/matrix/site/parts_test.go
@@ -136,7 +136,7 @@
 	chain := idsWith(func(part string) bool { return slices.Contains(away, part) }, 1)[0]
 	w.submitChain(chain)
 	time.Sleep(partsAway / 2)
-	away = append(away, owner.PartOf(service, w.lastingJob()))
+	away = append(away, owner.JobPart(service, w.lastingJob()))
 	w.site.Store.SetAway(away...)
 	restart := lose(w)
 	time.Sleep(partsAway / 3)
@@ -213,7 +213,7 @@
 func idsWith(wanted func(part string) bool, n int) []string {
 	var ids []string
 	for i := 0xc000; len(ids) < n; i++ {
-		if id := fmt.Sprintf("%016x", i); wanted(owner.PartOf(service, id)) {
+		if id := fmt.Sprintf("%016x", i); wanted(owner.JobPart(service, id)) {
 			ids = append(ids, id)
 		}
 	}
--- a/matrix/site/shards_test.go
+++ b/matrix/site/shards_test.go
@@ -94,7 +94,7 @@
 // version of their acceptance.
 func (w *world) tellLate(ids []string) {
 	for _, id := range ids {
-		version := w.site.Store.Version(owner.TablePins, owner.PartOf(service, id), id)
+		version := w.site.Store.Version(owner.TablePins, owner.JobPart(service, id), id)
 		for shard := range 2 {
 			body, err := json.Marshal(struct {
 				Job     cluster.Job `json:"job"`
--- a/matrix/site/spoiltrows_test.go
+++ b/matrix/site/spoiltrows_test.go
@@ -27,13 +27,13 @@
 // spoiltRows are the rows that a node reads, but for the directory's.
 func spoiltRows() []spoiltRow {
 	shard := cluster.ShardID{Service: service}
-	part := owner.PartOf(service, spoiltID)
+	part := owner.JobPart(service, spoiltID)
 	return []spoiltRow{
 		{"the configuration", "op", "", "config", "succeeded"},
 		{"a member's row", "cell", "", "node/n0", "succeeded"},
 		{"the owner's row", "cell", "", "owner/" + shard.String(), "succeeded"},
 		{"the layout", "cell", "", "layout/" + service, "succeeded"},
-		{"the fence", owner.TableProgress, owner.ProgressPart(shard), owner.FenceKey(shard).Key, "succeeded"},
+		{"the fence", owner.TableProgress, owner.ProgressPart(shard), owner.FenceRow(shard).Key, "succeeded"},
 		{"the list of workers", owner.TableProgress, owner.ProgressPart(shard), "!workers", "succeeded"},
 		{"the job's pin", owner.TablePins, part, spoiltID, "succeeded"},
 		{"the job's progress", owner.TableProgress, owner.ProgressPart(shard), spoiltID, "succeeded"},
--- a/matrix/site/sweep_test.go
+++ b/matrix/site/sweep_test.go
@@ -52,7 +52,7 @@
 	time.Sleep(sweptWithin)
 	w.checkAll(ids, http.StatusGone)
 	for _, id := range ids {
-		part := owner.PartOf(service, id)
+		part := owner.JobPart(service, id)
 		if w.site.Store.Version(owner.TablePins, part, id) != 0 {
 			t.Errorf("job %s is pinned still", id)
 		}
--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -238,9 +238,9 @@
 func (s *sim) makeRoom(p *pending) (int, bool) {
 	best, victims := -1, []int(nil)
 	for w := range s.workers {
-		var tasks []policy.Running
+		var tasks []policy.RunningTask
 		for _, r := range s.on[w] {
-			tasks = append(tasks, policy.Running{Priority: r.job.priority, Size: r.job.size, Attempt: r.n, Preemptible: r.job.preempt})
+			tasks = append(tasks, policy.RunningTask{Priority: r.job.priority, Size: r.job.size, Attempt: r.n, Preemptible: r.job.preempt})
 		}
 		chosen, ok := policy.Victims(p.size, s.workers[w].Free, p.priority, tasks)
 		if ok && (best < 0 || len(chosen) < len(victims)) {
@@ -282,10 +282,10 @@
 	return decider{
 		name: "switchbank", preempt: true,
 		order: func(now time.Duration, jobs []*pending, teams []policy.Team, total resource.Amount) []int {
-			items := make([]policy.Item, len(jobs))
+			items := make([]policy.WaitingJob, len(jobs))
 			for i, p := range jobs {
-				items[i] = policy.Item{
-					Team: p.team, Priority: p.priority, Run: p.declared, Submitted: epoch.Add(p.at), Size: p.size, Need: p.size.Times(int64(p.left)),
+				items[i] = policy.WaitingJob{
+					TeamIndex: p.team, Priority: p.priority, RunTime: p.declared, Submitted: epoch.Add(p.at), TaskSize: p.size, Demand: p.size.Times(int64(p.left)),
 				}
 				if p.deadline > 0 {
 					items[i].Deadline = epoch.Add(p.deadline)
@@ -294,7 +294,7 @@
 			return policy.Order(epoch.Add(now), items, teams, total)
 		},
 		place: func(size resource.Amount, cs []policy.Candidate) (int, bool) {
-			return policy.Place(size, cs, policy.Shape{}, weights)
+			return policy.Place(size, cs, policy.Constraints{}, weights)
 		},
 	}
 }
@@ -320,7 +320,7 @@
 }
 
 func bestFit(size resource.Amount, cs []policy.Candidate) (int, bool) {
-	return policy.Place(size, cs, policy.Shape{}, policy.Weights{Packing: 1})
+	return policy.Place(size, cs, policy.Constraints{}, policy.Weights{Packing: 1})
 }
 
 func deciders(weights policy.Weights) []decider {
