--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -131,7 +131,7 @@
 	t.Cleanup(c.site.Close)
 	c.site.Configure(1, site.Route{
 		Name: "urgent", Host: "h", PathPrefix: "/urgent/", MaxAttempts: 3, Stretch: 1.5, TargetMS: 250, Upstream: "billing",
-		Advice: &site.Advice{DecideMS: 20, EachMS: 0.1, ValidMS: 2500},
+		Advice: &site.AdviceCost{DecideMS: 20, EachMS: 0.1, ValidMS: 2500},
 	})
 	for i := range siteWorkers {
 		c.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000})
@@ -327,13 +327,13 @@
 
 // judge holds what the workers saw against the promises.
 func (c *siteCell) judge() {
-	for _, wrong := range c.site.Breaches(site.Claims{}) {
+	for _, wrong := range c.site.Violations(site.Expectations{}) {
 		c.t.Error(wrong)
 	}
 	// No worker drains in this play.
-	for _, e := range c.site.Sights() {
-		if e.What == site.SawDraining {
-			c.t.Errorf("%s: %s on %s", e.What, e.Task, e.Worker)
+	for _, e := range c.site.Events() {
+		if e.Kind == site.EventStartWhileDraining {
+			c.t.Errorf("%s: %s on %s", e.Kind, e.Task, e.Worker)
 		}
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -176,7 +176,7 @@
 	for i := range soakWorkers {
 		// Seeds that failed before workers could start again under their IDs stay as they were.
 		tells := s.seed%2 == 1 && !slices.Contains(failedSeeds, s.seed)
-		w := s.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000, Born: tells})
+		w := s.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000, ReportStartTime: tells})
 		s.workers, s.addresses[w.ID] = append(s.workers, w), w.Address
 	}
 }
@@ -240,7 +240,7 @@
 		return open == ""
 	})
 	s.checkConfig()
-	for _, wrong := range s.site.Breaches(site.Claims{Refused: s.refused, HeldUp: s.heldUp, Lasting: lasting}) {
+	for _, wrong := range s.site.Violations(site.Expectations{Refused: s.refused, OrdersDelayed: s.heldUp, LongRunning: lasting}) {
 		s.t.Error(wrong)
 	}
 }
@@ -271,7 +271,7 @@
 		}
 	}
 	for i, w := range s.workers {
-		if n := w.Running(); n > 0 {
+		if n := w.RunningTasks(); n > 0 {
 			return fmt.Sprintf("worker %d runs %d tasks", i, n)
 		}
 	}
--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -134,9 +134,9 @@
 		}
 		s.t.Logf("%6.2f s: %d of %d parts of the store are away for %s, that of the owners' rows: %v",
 			time.Since(s.began).Seconds(), len(away), len(parts), d, slices.Contains(away, ""))
-		s.site.Store.SetAway(away...)
+		s.site.Store.SetUnavailableParts(away...)
 		time.Sleep(d)
-		s.site.Store.SetAway()
+		s.site.Store.SetUnavailableParts()
 	}
 }
 
@@ -164,7 +164,7 @@
 	calm := func() { w.SetFaults(site.WorkerFaults{}) }
 	switch s.rng.IntN(4) {
 	case 0:
-		if w.TellsBorn() {
+		if w.ReportsStartTime() {
 			s.during(thing, "starts again in series", func() { s.startAgain(i) }, func() {})
 			return
 		}
@@ -205,7 +205,7 @@
 	route := site.Route{Name: "batch", Host: "h", PathPrefix: "/batch/", Priority: 2, MaxAttempts: 3, Stretch: 2, TargetMS: 1200, Upstream: "billing"}
 	urgent := route
 	urgent.Name, urgent.PathPrefix, urgent.Priority = "urgent", "/urgent/", 0
-	urgent.Advice = &site.Advice{DecideMS: 20, EachMS: 0.1, ValidMS: 2500}
+	urgent.Advice = &site.AdviceCost{DecideMS: 20, EachMS: 0.1, ValidMS: 2500}
 	extra := route
 	extra.Name, extra.PathPrefix = fmt.Sprintf("extra%d", s.version), fmt.Sprintf("/extra%d/", s.version)
 	routes := []site.Route{urgent, route, extra}
@@ -247,7 +247,7 @@
 		if time.Since(s.began) > soakTime {
 			return
 		}
-		s.site.SpoilSome(rng)
+		s.site.CorruptSomeEntries(rng)
 	}
 }
 
--- a/e2e/soaklasting_test.go
+++ b/e2e/soaklasting_test.go
@@ -118,18 +118,18 @@
 		}
 		s.mu.Unlock()
 		for _, w := range failing {
-			w.SetFailsNew(true)
+			w.SetFailNewRuns(true)
 		}
 		time.Sleep(d)
 		for _, w := range failing {
-			w.SetFailsNew(false)
+			w.SetFailNewRuns(false)
 		}
 	}
 }
 
 // calm lets the system settle after the last fault, and then a light load go on for a
 // while in which every task that lasts has room. It returns what is judged of them.
-func (s *soak) calm() []site.Lasting {
+func (s *soak) calm() []site.LongRunningJob {
 	time.Sleep(settleTime)
 	from := time.Now()
 	s.t.Logf("%6.2f s: calm", from.Sub(s.began).Seconds())
@@ -148,11 +148,11 @@
 	}
 	until := time.Now()
 	calls.Wait()
-	var judged []site.Lasting
+	var judged []site.LongRunningJob
 	for i, j := range stayingJobs {
 		id := jobID(stayingBase, i)
 		if s.hasRoom(id, j) {
-			judged = append(judged, site.Lasting{Job: id, Tasks: j.tasks, From: from, Until: until})
+			judged = append(judged, site.LongRunningJob{Job: id, Tasks: j.tasks, From: from, Until: until})
 		}
 	}
 	return judged
@@ -169,7 +169,7 @@
 	}
 	rejected := 0
 	for _, w := range s.workers {
-		if j.queue == "urgent" && !s.site.Advises(id+".0.0", w.ID) {
+		if j.queue == "urgent" && !s.site.AdviceAllows(id+".0.0", w.ID) {
 			rejected++
 		}
 	}
@@ -199,7 +199,7 @@
 // A gang's run fails once, however many of its tasks do.
 func (s *soak) usedUp(job string) bool {
 	failed := make(map[string]map[int64]bool)
-	for _, e := range s.site.Sights() {
+	for _, e := range s.site.Events() {
 		of, task, _ := strings.Cut(e.Task, ".")
 		if of != job || !e.Failed {
 			continue
--- a/matrix/site/cell_test.go
+++ b/matrix/site/cell_test.go
@@ -143,7 +143,7 @@
 func routes() []site.Route {
 	return []site.Route{
 		{Name: "urgent", Host: "h", PathPrefix: "/urgent/", MaxAttempts: 2, Stretch: 1.5, TargetMS: 250, Upstream: service,
-			Advice: &site.Advice{DecideMS: 20, EachMS: 0.1, ValidMS: 2500}},
+			Advice: &site.AdviceCost{DecideMS: 20, EachMS: 0.1, ValidMS: 2500}},
 		{Name: "batch", Host: "h", PathPrefix: "/batch/", Priority: 2, MaxAttempts: batchAttempts, Stretch: 2, TargetMS: 1200, Upstream: service},
 	}
 }
--- a/matrix/site/entries_test.go
+++ b/matrix/site/entries_test.go
@@ -23,10 +23,10 @@
 
 // spoilt are some of the ways in which an entry can be spoilt, one of each kind, and one
 // that names a service which nobody has configured.
-func spoilt() []site.Spoilt {
+func spoilt() []site.CorruptEntry {
 	names := []string{"bytes that can't be read", "an unknown state", "without Capacity", "a text for the labels", "no port"}
-	list := slices.DeleteFunc(site.SpoiltEntries(), func(s site.Spoilt) bool { return !slices.Contains(names, s.Name) })
-	return append(list, site.OtherService())
+	list := slices.DeleteFunc(site.CorruptEntries(), func(s site.CorruptEntry) bool { return !slices.Contains(names, s.Name) })
+	return append(list, site.UnknownServiceEntry())
 }
 
 // TestSpoiltEntry spoils the entry of one worker that runs something, while the others'
@@ -45,7 +45,7 @@
 	}
 }
 
-func playSpoilt(t *testing.T, kind site.Spoilt, listed bool) {
+func playSpoilt(t *testing.T, kind site.CorruptEntry, listed bool) {
 	w := newWorld(t)
 	defer w.close()
 	time.Sleep(4 * time.Second)
@@ -56,18 +56,18 @@
 	if listed {
 		w.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
 	}
-	victim.SetQuiet(true)
-	victim.Spoil(kind)
+	victim.SetAnnouncementsPaused(true)
+	victim.OverwriteEntry(kind)
 	time.Sleep(noticedWithin)
 	noticed := time.Now().Add(-time.Millisecond)
 	w.fill()
 	if n := w.startsOn(victim.ID, noticed); n != 0 {
 		t.Errorf("%d runs began on a worker whose entry names none", n)
 	}
-	if n, now := w.starts(lasting); n != 1 || now != victim.ID || victim.Running() != 1 {
-		t.Errorf("what ran there was started %d times, last on %s, and %d runs go on there; want it to go on on %s", n, now, victim.Running(), victim.ID)
+	if n, now := w.starts(lasting); n != 1 || now != victim.ID || victim.RunningTasks() != 1 {
+		t.Errorf("what ran there was started %d times, last on %s, and %d runs go on there; want it to go on on %s", n, now, victim.RunningTasks(), victim.ID)
 	}
-	victim.SetQuiet(false)
+	victim.SetAnnouncementsPaused(false)
 	rightAt := time.Now()
 	time.Sleep(noticedWithin)
 	w.fill()
@@ -98,21 +98,21 @@
 		time.Sleep(4 * time.Second)
 		owner := w.site.Owner()
 		const refused = `switchbank_worker_entries_refused_total{reason="invalid"}`
-		bad := site.SpoiltEntries()
-		bad = slices.DeleteFunc(bad, func(s site.Spoilt) bool { return s.Name != "an unknown state" })
-		w.workers[0].SetQuiet(true)
+		bad := site.CorruptEntries()
+		bad = slices.DeleteFunc(bad, func(s site.CorruptEntry) bool { return s.Name != "an unknown state" })
+		w.workers[0].SetAnnouncementsPaused(true)
 		w.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
 		for range 5 {
-			w.workers[0].Spoil(bad[0])
+			w.workers[0].OverwriteEntry(bad[0])
 			time.Sleep(2 * time.Second)
 		}
 		if got := w.metric(owner, refused); got != 1 {
 			t.Errorf("an entry that stays spoilt is counted %v times, want once", got)
 		}
-		w.workers[0].SetQuiet(false)
+		w.workers[0].SetAnnouncementsPaused(false)
 		time.Sleep(2 * time.Second)
-		w.workers[0].SetQuiet(true)
-		w.workers[0].Spoil(bad[0])
+		w.workers[0].SetAnnouncementsPaused(true)
+		w.workers[0].OverwriteEntry(bad[0])
 		time.Sleep(2 * time.Second)
 		if got := w.metric(owner, refused); got != 2 {
 			t.Errorf("an entry that is spoilt again is counted %v times, want twice", got)
@@ -137,7 +137,7 @@
 				time.Sleep(4 * time.Second)
 				load := w.beginLoad(lasts, pause)
 				for at := time.Duration(0); at < lasts; at += pause {
-					w.site.SpoilSome(rng)
+					w.site.CorruptSomeEntries(rng)
 					if at == lasts/2 {
 						w.kill(w.site.Owner())
 					}
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -115,8 +115,8 @@
 		storeFault("store writes late", site.StoreFaults{Late: 10, LateBy: 3 * time.Second}),
 		storeFault("store without history", site.StoreFaults{NoHistory: true}),
 		{"part of the store's parts away", func(w *world) func() {
-			w.site.Store.SetAway(append(w.progressParts(), thirdOfParts()...)...)
-			return func() { w.site.Store.SetAway() }
+			w.site.Store.SetUnavailableParts(append(w.progressParts(), thirdOfParts()...)...)
+			return func() { w.site.Store.SetUnavailableParts() }
 		}},
 	}
 }
@@ -187,7 +187,7 @@
 	done := make(chan struct{})
 	go func() {
 		for {
-			w.site.SpoilSome(rng)
+			w.site.CorruptSomeEntries(rng)
 			select {
 			case <-done:
 				return
--- a/matrix/site/input_test.go
+++ b/matrix/site/input_test.go
@@ -142,8 +142,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		starts := 0
-		for _, e := range w.site.Sights() {
-			if e.What == "start" {
+		for _, e := range w.site.Events() {
+			if e.Kind == "start" {
 				starts++
 			}
 		}
--- a/matrix/site/joint_test.go
+++ b/matrix/site/joint_test.go
@@ -27,8 +27,8 @@
 
 // saw counts what workers saw of one kind.
 func (w *world) saw(what string) (n int) {
-	for _, e := range w.site.Sights() {
-		if e.What == what {
+	for _, e := range w.site.Events() {
+		if e.Kind == what {
 			n++
 		}
 	}
@@ -70,7 +70,7 @@
 			t.Errorf("gang %s is %q", id, state)
 		}
 	}
-	if alone := w.saw(site.SawAlone); alone > 0 {
+	if alone := w.saw(site.EventGangTimeout); alone > 0 {
 		t.Errorf("%d members waited for the others in vain", alone)
 	}
 	w.checkJudged()
@@ -150,7 +150,7 @@
 			w.cancelled[id] = time.Now()
 			time.Sleep(10 * time.Second)
 			for _, k := range w.workers {
-				if n := k.Running(); n > 0 {
+				if n := k.RunningTasks(); n > 0 {
 					t.Errorf("cancelled after %s: %d tasks run on %s", after, n, k.ID)
 				}
 			}
@@ -176,8 +176,8 @@
 			t.Errorf("the job is %q", state)
 		}
 		runs := make(map[int64]bool)
-		for _, e := range w.site.Sights() {
-			if e.What == site.SawStart && strings.HasPrefix(e.Task, id) {
+		for _, e := range w.site.Events() {
+			if e.Kind == site.EventStart && strings.HasPrefix(e.Task, id) {
 				runs[e.Run] = true
 			}
 		}
--- a/matrix/site/lasting_test.go
+++ b/matrix/site/lasting_test.go
@@ -91,9 +91,9 @@
 func playLasting(t *testing.T, w *world, f fault) {
 	defer w.close()
 	time.Sleep(2 * time.Second)
-	var claims []site.Lasting
+	var claims []site.LongRunningJob
 	for _, j := range lastingJobs() {
-		claims = append(claims, site.Lasting{Job: w.submit(j.queue, j.spec, j.step), Tasks: j.step.Count})
+		claims = append(claims, site.LongRunningJob{Job: w.submit(j.queue, j.spec, j.step), Tasks: j.step.Count})
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { w.load(faultAt + outage + lastingSettles + lastingCalm) })
@@ -105,7 +105,7 @@
 		claims[i].From, claims[i].Until = from, time.Now()
 	}
 	wg.Wait()
-	for _, wrong := range w.site.Breaches(site.Claims{Refused: w.refused, Cancelled: w.cancelled, Drained: w.site.Drained(), Lasting: claims}) {
+	for _, wrong := range w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), LongRunning: claims}) {
 		t.Error(wrong)
 	}
 }
--- a/matrix/site/leaving_test.go
+++ b/matrix/site/leaving_test.go
@@ -19,8 +19,8 @@
 // startsOn returns how many runs a worker has begun since a time.
 func (w *world) startsOn(worker string, since time.Time) int {
 	n := 0
-	for _, e := range w.site.Sights() {
-		if e.What == site.SawStart && e.Worker == worker && e.At.After(since) {
+	for _, e := range w.site.Events() {
+		if e.Kind == site.EventStart && e.Worker == worker && e.At.After(since) {
 			n++
 		}
 	}
@@ -44,7 +44,7 @@
 		if w.startsOn(leaving.ID, began) == 0 {
 			t.Fatal("the worker was given nothing before it left")
 		}
-		leaving.LeaveUnsaid()
+		leaving.RemoveFromDirectory()
 		left := time.Now()
 		<-done
 		if n := w.startsOn(leaving.ID, left.Add(leftAfter)); n != 0 {
--- a/matrix/site/load_test.go
+++ b/matrix/site/load_test.go
@@ -88,7 +88,7 @@
 	}
 	running := 0
 	for _, k := range w.workers {
-		running += k.Running()
+		running += k.RunningTasks()
 	}
 	if running != 2 {
 		w.t.Errorf("%d tasks run at the end, want the 2 that last", running)
--- a/matrix/site/movesaway_test.go
+++ b/matrix/site/movesaway_test.go
@@ -30,7 +30,7 @@
 		for _, id := range ids[len(ids)/2:] {
 			away = append(away, owner.JobPart(service, id))
 		}
-		w.site.Store.SetAway(away...)
+		w.site.Store.SetUnavailableParts(away...)
 		w.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
 		time.Sleep(endsWithin)
 		for _, id := range ids {
@@ -38,7 +38,7 @@
 				t.Errorf("job %s was started %d times within %v, want once: its part of the store answers", id, n, endsWithin)
 			}
 		}
-		w.site.Store.SetAway()
+		w.site.Store.SetUnavailableParts()
 		time.Sleep(endsWithin)
 		for _, id := range ids {
 			if state := w.state("batch", id); state != "succeeded" {
--- a/matrix/site/parts_test.go
+++ b/matrix/site/parts_test.go
@@ -37,14 +37,14 @@
 func playProgressAway(t *testing.T, w *world) {
 	defer w.close()
 	load := w.beginLoad(2*partsAway, partsAway/2)
-	w.site.Store.SetAway(w.progressParts()...)
+	w.site.Store.SetUnavailableParts(w.progressParts()...)
 	var jobs sync.WaitGroup
 	for i, node := range w.names() {
 		jobs.Go(func() { w.checkServed(node, fmt.Sprintf("%016x", 0xb000+i)) })
 	}
 	time.Sleep(partsAway)
 	jobs.Wait()
-	w.site.Store.SetAway()
+	w.site.Store.SetUnavailableParts()
 	load.Wait()
 	w.checkSettled()
 	if left := w.site.Store.Keys("spill"); len(left) > 0 {
@@ -62,11 +62,11 @@
 func playOwnerLostSpilling(t *testing.T, w *world) {
 	defer w.close()
 	load := w.beginLoad(3*partsAway, partsAway/2)
-	w.site.Store.SetAway(w.progressParts()...)
+	w.site.Store.SetUnavailableParts(w.progressParts()...)
 	time.Sleep(partsAway)
 	ended := w.endedJobs()
 	restart := w.killOwner()
-	w.site.Store.SetAway()
+	w.site.Store.SetUnavailableParts()
 	for range 10 {
 		w.checkStayEnded(ended)
 		time.Sleep(partsAway / 20)
@@ -137,7 +137,7 @@
 	w.submitChain(chain)
 	time.Sleep(partsAway / 2)
 	away = append(away, owner.JobPart(service, w.lastingJob()))
-	w.site.Store.SetAway(away...)
+	w.site.Store.SetUnavailableParts(away...)
 	restart := lose(w)
 	time.Sleep(partsAway / 3)
 	var jobs sync.WaitGroup
@@ -147,7 +147,7 @@
 	}
 	time.Sleep(partsAway)
 	jobs.Wait()
-	w.site.Store.SetAway()
+	w.site.Store.SetUnavailableParts()
 	restart()
 	load.Wait()
 	w.checkSettled()
@@ -185,8 +185,8 @@
 // done returns how often tasks of a job were done.
 func (w *world) done(job string) int {
 	n := 0
-	for _, e := range w.site.Sights() {
-		if e.What == site.SawDone && strings.HasPrefix(e.Task, job) {
+	for _, e := range w.site.Events() {
+		if e.Kind == site.EventSuccess && strings.HasPrefix(e.Task, job) {
 			n++
 		}
 	}
--- a/matrix/site/reborn_test.go
+++ b/matrix/site/reborn_test.go
@@ -20,7 +20,7 @@
 	w := newWorldWith(t, 0, perShard, func(w *world) { w.site.Configure(1, routes()...) })
 	for i := range shardedWorkers {
 		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
-			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, Born: true,
+			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: true,
 		}))
 	}
 	return w
@@ -44,7 +44,7 @@
 // again begins the next life on the machine of a worker that has crashed: under its old ID
 // if the worker tells its start, under a new one if not.
 func (w *world) again(old *site.Worker, clockSet time.Duration) *site.Worker {
-	if old.TellsBorn() {
+	if old.ReportsStartTime() {
 		return w.site.RestartSameID(old, clockSet)
 	}
 	return w.site.Restart(old)
@@ -186,7 +186,7 @@
 	telling := rng.IntN(4)
 	for i := range shardedWorkers {
 		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
-			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, Born: telling > 0 || i%2 == 0,
+			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: telling > 0 || i%2 == 0,
 		}))
 	}
 	w.site.SetRejectOneIn(1 << 30)
@@ -239,11 +239,11 @@
 // runningOf returns how many tasks of a job run, by what the workers saw.
 func (w *world) runningOf(job string) int {
 	running := make(map[string]bool)
-	for _, e := range w.site.Sights() {
+	for _, e := range w.site.Events() {
 		if len(e.Task) < len(job) || e.Task[:len(job)] != job {
 			continue
 		}
-		if e.What == site.SawStart {
+		if e.Kind == site.EventStart {
 			running[e.Task] = true
 		} else {
 			delete(running, e.Task)
--- a/matrix/site/shards_test.go
+++ b/matrix/site/shards_test.go
@@ -19,8 +19,8 @@
 
 // starts returns how many tasks of a job were started, and the worker of the last.
 func (w *world) starts(job string) (n int, worker string) {
-	for _, e := range w.site.Sights() {
-		if e.What == site.SawStart && len(e.Task) > len(job) && e.Task[:len(job)] == job {
+	for _, e := range w.site.Events() {
+		if e.Kind == site.EventStart && len(e.Task) > len(job) && e.Task[:len(job)] == job {
 			n, worker = n+1, e.Worker
 		}
 	}
--- a/matrix/site/slowlink_test.go
+++ b/matrix/site/slowlink_test.go
@@ -44,7 +44,7 @@
 	for i := range n {
 		list = append(list, site.Route{
 			Name: fmt.Sprintf("r-%07x", i*7919), Host: "another.example", PathPrefix: fmt.Sprintf("/%07x/", i*7919), Priority: 2,
-			MaxAttempts: 3, Stretch: 1.5, TargetMS: 1200, Upstream: service, Advice: &site.Advice{DecideMS: 20.125, EachMS: 0.15, ValidMS: 2500},
+			MaxAttempts: 3, Stretch: 1.5, TargetMS: 1200, Upstream: service, Advice: &site.AdviceCost{DecideMS: 20.125, EachMS: 0.15, ValidMS: 2500},
 		})
 	}
 	return list
--- a/matrix/site/spoiltrows_test.go
+++ b/matrix/site/spoiltrows_test.go
@@ -90,7 +90,7 @@
 		w := newWorld(t)
 		defer w.close()
 		load := w.beginLoad(2*partsAway, partsAway/2)
-		w.site.Store.SetAway(w.progressParts()...)
+		w.site.Store.SetUnavailableParts(w.progressParts()...)
 		time.Sleep(partsAway / 2)
 		spilled := w.site.Store.Keys("spill")
 		if len(spilled) == 0 {
@@ -101,7 +101,7 @@
 		}
 		restart := w.killOwner()
 		time.Sleep(time.Second)
-		w.site.Store.SetAway()
+		w.site.Store.SetUnavailableParts()
 		restart()
 		load.Wait()
 		w.checkSettled()
--- a/matrix/site/verdict_test.go
+++ b/matrix/site/verdict_test.go
@@ -6,7 +6,7 @@
 
 // judge holds what the workers saw against the promises.
 func (w *world) judge() []string {
-	return w.site.Breaches(site.Claims{Refused: w.refused, Cancelled: w.cancelled, Drained: w.site.Drained(), HeldUp: w.heldUp})
+	return w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), OrdersDelayed: w.heldUp})
 }
 
 // checkJudged checks that no promise was broken.
--- a/matrix/site/widegang_test.go
+++ b/matrix/site/widegang_test.go
@@ -60,7 +60,7 @@
 func (w *world) allowed(step string, from int) int {
 	n := 0
 	for _, k := range w.workers[from : from+perShard] {
-		if w.site.Advises(step, k.ID) {
+		if w.site.AdviceAllows(step, k.ID) {
 			n++
 		}
 	}
--- a/standin/site/advice.go
+++ b/standin/site/advice.go
@@ -99,5 +99,5 @@
 // SetRejectOneIn sets of how many workers advice rejects one for a step, before it is asked.
 func (s *Site) SetRejectOneIn(n int) { s.advice.rejectOneIn = n }
 
-// Advises reports whether the advice service lets a step run on a worker.
-func (s *Site) Advises(step, worker string) bool { return s.advice.good(step, worker) }
+// AdviceAllows reports whether the advice service lets a step run on a worker.
+func (s *Site) AdviceAllows(step, worker string) bool { return s.advice.good(step, worker) }
--- a/standin/site/entries.go
+++ b/standin/site/entries.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 )
 
-// Spoilt is an entry of the directory as another writer may leave it: it names no
+// CorruptEntry is an entry of the directory as another writer may leave it: it names no
 // worker to use.
-type Spoilt struct {
+type CorruptEntry struct {
 	// Name says what is wrong with it.
 	Name string
 	// Field is the member that is wrong, "" for an entry that can't be read at all.
@@ -20,9 +20,9 @@
 	raw string
 }
 
-// SpoiltEntries are the ways in which an entry can be spoilt.
-func SpoiltEntries() []Spoilt {
-	list := []Spoilt{
+// CorruptEntries are the ways in which an entry can be spoilt.
+func CorruptEntries() []CorruptEntry {
+	list := []CorruptEntry{
 		{Name: "empty", raw: ""},
 		{Name: "bytes that can't be read", raw: "\xff\x00{"},
 		{Name: "cut short", raw: `{"Upstream":"billing","Addr`},
@@ -50,14 +50,14 @@
 		{Name: "a text for the clock", Field: "ClockMs", value: "now"},
 	}
 	for _, field := range []string{"Upstream", "Address", "Zone", "Version", "Slots", "State", "ColdRemainingMs", "Seq", "Capacity", "Labels"} {
-		list = append(list, Spoilt{Name: "without " + field, Field: field})
+		list = append(list, CorruptEntry{Name: "without " + field, Field: field})
 	}
 	return list
 }
 
-// SpoiltStarts are the ways in which the start that an entry tells can be spoilt.
-func SpoiltStarts() []Spoilt {
-	return []Spoilt{
+// CorruptStartTimes are the ways in which the start that an entry tells can be spoilt.
+func CorruptStartTimes() []CorruptEntry {
+	return []CorruptEntry{
 		{Name: "a text for the start", Field: "born", value: "1764742000000"},
 		{Name: "a fraction for the start", Field: "born", value: 1764742000000.5},
 		{Name: "a negative start", Field: "born", value: -1},
@@ -69,8 +69,8 @@
 	}
 }
 
-// Of returns the worker's entry, spoilt.
-func (s Spoilt) Of(w *Worker) []byte {
+// Encode returns the worker's entry, spoilt.
+func (s CorruptEntry) Encode(w *Worker) []byte {
 	if s.Field == "" {
 		return []byte(s.raw)
 	}
@@ -96,13 +96,15 @@
 	return body
 }
 
-// Spoil writes over the worker's entry as another writer does. Unless the worker is
+// OverwriteEntry writes over the worker's entry as another writer does. Unless the worker is
 // quiet, it writes its own again with the next announcement.
-func (w *Worker) Spoil(s Spoilt) { w.site.Store.PutRaw("servers", "", w.ID, s.Of(w)) }
+func (w *Worker) OverwriteEntry(s CorruptEntry) {
+	w.site.Store.PutRaw("servers", "", w.ID, s.Encode(w))
+}
 
-// SetQuiet keeps the worker from announcing itself, while its entry stays, or lets it
+// SetAnnouncementsPaused keeps the worker from announcing itself, while its entry stays, or lets it
 // announce itself at once.
-func (w *Worker) SetQuiet(quiet bool) {
+func (w *Worker) SetAnnouncementsPaused(quiet bool) {
 	w.mu.Lock()
 	w.quiet = quiet
 	w.mu.Unlock()
@@ -111,29 +113,29 @@
 	}
 }
 
-// SpoilSome is another writer at work: it spoils the entry of one worker in four, and
+// CorruptSomeEntries is another writer at work: it spoils the entry of one worker in four, and
 // as often writes one under a name that no worker has.
-func (s *Site) SpoilSome(rng *rand.Rand) {
+func (s *Site) CorruptSomeEntries(rng *rand.Rand) {
 	const oneIn = 4
 	s.mu.Lock()
 	workers := append([]*Worker(nil), s.workers...)
 	s.mu.Unlock()
-	kinds := SpoiltEntries()
+	kinds := CorruptEntries()
 	for _, w := range workers {
 		kind := kinds[rng.IntN(len(kinds))]
 		switch rng.IntN(2 * oneIn) {
 		case 0, 1:
 			if !w.Crashed() {
-				w.Spoil(kind)
+				w.OverwriteEntry(kind)
 			}
 		case 2, 3:
-			s.Store.PutRaw("servers", "", "i-of-nobody-"+w.ID, kind.Of(w))
+			s.Store.PutRaw("servers", "", "i-of-nobody-"+w.ID, kind.Encode(w))
 		}
 	}
 }
 
-// OtherService is an entry that can be read, and names a service which no
+// UnknownServiceEntry is an entry that can be read, and names a service which no
 // configuration does.
-func OtherService() Spoilt {
-	return Spoilt{Name: "another service", Field: "Upstream", value: "of-nobody"}
+func UnknownServiceEntry() CorruptEntry {
+	return CorruptEntry{Name: "another service", Field: "Upstream", value: "of-nobody"}
 }
--- a/standin/site/hold.go
+++ b/standin/site/hold.go
@@ -55,7 +55,7 @@
 			return false
 		}
 		if e.how == "done" && e.at.After(w.lapsedAt) {
-			w.site.saw(w, e.task, e.run, SawConfirmed, w.fence)
+			w.site.saw(w, e.task, e.run, EventSuccessConfirmed, w.fence)
 		}
 		return true
 	})
--- a/standin/site/lasting.go
+++ b/standin/site/lasting.go
@@ -11,16 +11,16 @@
 // its last run, each runs again as long as there is room.
 const runsAgainWithin = 6 * time.Second
 
-// Lasting is a job of one step whose tasks last, and a time without faults in which all
+// LongRunningJob is a job of one step whose tasks last, and a time without faults in which all
 // of them have room.
-type Lasting struct {
+type LongRunningJob struct {
 	Job         string
 	Tasks       int
 	From, Until time.Time
 }
 
-// Breaches describes the times for which a task ran nowhere for longer than the bound.
-func (l Lasting) Breaches(sights []Sight) []string {
+// Violations describes the times for which a task ran nowhere for longer than the bound.
+func (l LongRunningJob) Violations(sights []Event) []string {
 	var wrong []string
 	for i := range l.Tasks {
 		task := fmt.Sprintf("%s.0.0.%d", l.Job, i)
@@ -34,20 +34,20 @@
 }
 
 // aways returns for how long a task ran nowhere, each time.
-func (l Lasting) aways(task string, sights []Sight) []time.Duration {
+func (l LongRunningJob) aways(task string, sights []Event) []time.Duration {
 	var list []time.Duration
 	away, since := true, l.From
 	for _, e := range sights {
 		if e.Task != task || e.At.After(l.Until) {
 			continue
 		}
-		switch e.What {
-		case SawStart:
+		switch e.Kind {
+		case EventStart:
 			if away {
 				list = append(list, e.At.Sub(later(since, l.From)))
 			}
 			away = false
-		case SawEnd, SawDone, SawAlone:
+		case EventEnd, EventSuccess, EventGangTimeout:
 			away, since = true, e.At
 		}
 	}
--- a/standin/site/orders.go
+++ b/standin/site/orders.go
@@ -96,7 +96,7 @@
 	}
 	step := req.Task[:strings.LastIndexByte(req.Task, '.')]
 	if req.Ticket != "" && !ticketHolds(req.Ticket, step, w.ID, time.Now()) {
-		w.site.saw(w, req.Task, req.Run, SawNoTicket, req.Fence)
+		w.site.saw(w, req.Task, req.Run, EventInvalidTicket, req.Fence)
 		return "ticket"
 	}
 	w.begin(req)
@@ -116,12 +116,12 @@
 		w.site.joinGang(t)
 	}
 	w.running[req.Task] = t
-	w.site.saw(w, req.Task, req.Run, SawStart, req.Fence)
+	w.site.saw(w, req.Task, req.Run, EventStart, req.Fence)
 	if w.used() > w.cfg.CPUMilli {
-		w.site.saw(w, req.Task, req.Run, SawOverload, req.Fence)
+		w.site.saw(w, req.Task, req.Run, EventOverload, req.Fence)
 	}
 	if w.drain {
-		w.site.saw(w, req.Task, req.Run, SawDraining, req.Fence)
+		w.site.saw(w, req.Task, req.Run, EventStartWhileDraining, req.Fence)
 	}
 }
 
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -48,7 +48,7 @@
 	advice  *advice
 	mu      sync.Mutex
 	workers []*Worker
-	sights  []Sight
+	sights  []Event
 	// drained is when the store took each worker's announcement that it drains.
 	drained map[string]time.Time
 	// gangs are the runs of gangs, by step and run.
@@ -58,30 +58,30 @@
 	stops []func()
 }
 
-// Sight is something that a worker saw.
-type Sight struct {
+// Event is something that a worker saw.
+type Event struct {
 	At     time.Time
 	Worker string
 	Task   string
 	Run    int64
-	What   string
+	Kind   string
 	Fence  int64
 	// Failed is set for the end of a run that failed, by itself or with its worker.
 	Failed bool
 }
 
-// What a worker can see. SawDone is an end with success, SawAlone that of a member of a
-// gang which has waited in vain for the others, and SawConfirmed that the worker was told
+// What a worker can see. EventSuccess is an end with success, EventGangTimeout that of a member of a
+// gang which has waited in vain for the others, and EventSuccessConfirmed that the worker was told
 // that a success has been read.
 const (
-	SawStart     = "start"
-	SawEnd       = "end"
-	SawDone      = "done"
-	SawAlone     = "alone"
-	SawConfirmed = "confirmed"
-	SawOverload  = "overload"
-	SawNoTicket  = "no_ticket"
-	SawDraining  = "start_while_draining"
+	EventStart              = "start"
+	EventEnd                = "end"
+	EventSuccess            = "done"
+	EventGangTimeout        = "alone"
+	EventSuccessConfirmed   = "confirmed"
+	EventOverload           = "overload"
+	EventInvalidTicket      = "no_ticket"
+	EventStartWhileDraining = "start_while_draining"
 )
 
 // New returns a site whose store, advice and machines are served.
@@ -104,8 +104,8 @@
 	}
 }
 
-// Drained returns when the store took each worker's announcement that it drains.
-func (s *Site) Drained() map[string]time.Time {
+// DrainedAt returns when the store took each worker's announcement that it drains.
+func (s *Site) DrainedAt() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.drained)
@@ -137,19 +137,19 @@
 	s.mu.Unlock()
 }
 
-// Sights returns what the workers saw so far, in order.
-func (s *Site) Sights() []Sight {
+// Events returns what the workers saw so far, in order.
+func (s *Site) Events() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Sight(nil), s.sights...)
+	return append([]Event(nil), s.sights...)
 }
 
 func (s *Site) saw(w *Worker, task string, run int64, what string, fence int64) {
-	s.note(Sight{Worker: w.ID, Task: task, Run: run, What: what, Fence: fence})
+	s.note(Event{Worker: w.ID, Task: task, Run: run, Kind: what, Fence: fence})
 }
 
 // note keeps a sight of this moment.
-func (s *Site) note(e Sight) {
+func (s *Site) note(e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.At = time.Now()
@@ -158,19 +158,19 @@
 
 // Route is one queue of the configuration.
 type Route struct {
-	Name        string  `json:"Name"`
-	Host        string  `json:"Host"`
-	PathPrefix  string  `json:"PathPrefix"`
-	Priority    int     `json:"Priority"`
-	MaxAttempts int     `json:"MaxAttempts"`
-	Stretch     float64 `json:"Stretch"`
-	TargetMS    int64   `json:"TargetLatencyMs"`
-	Upstream    string  `json:"Upstream"`
-	Advice      *Advice `json:"advice,omitempty"`
+	Name        string      `json:"Name"`
+	Host        string      `json:"Host"`
+	PathPrefix  string      `json:"PathPrefix"`
+	Priority    int         `json:"Priority"`
+	MaxAttempts int         `json:"MaxAttempts"`
+	Stretch     float64     `json:"Stretch"`
+	TargetMS    int64       `json:"TargetLatencyMs"`
+	Upstream    string      `json:"Upstream"`
+	Advice      *AdviceCost `json:"advice,omitempty"`
 }
 
-// Advice is what a call of the advice service costs.
-type Advice struct {
+// AdviceCost is what a call of the advice service costs.
+type AdviceCost struct {
 	DecideMS float64 `json:"decide_ms"`
 	EachMS   float64 `json:"each_ms"`
 	ValidMS  int64   `json:"valid_ms"`
--- a/standin/site/storefaults.go
+++ b/standin/site/storefaults.go
@@ -38,9 +38,9 @@
 	s.faults = f
 }
 
-// SetAway replaces the parts that don't answer while others do, which goes on beside
+// SetUnavailableParts replaces the parts that don't answer while others do, which goes on beside
 // the faults in force.
-func (s *Store) SetAway(parts ...string) {
+func (s *Store) SetUnavailableParts(parts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.away = parts
--- a/standin/site/task.go
+++ b/standin/site/task.go
@@ -149,14 +149,14 @@
 	if t.inGang {
 		w.site.leaveGang(t, how == "done")
 	}
-	saw := SawEnd
+	saw := EventEnd
 	switch how {
 	case "done":
-		saw = SawDone
+		saw = EventSuccess
 	case "alone":
-		saw = SawAlone
+		saw = EventGangTimeout
 	}
-	w.site.note(Sight{Worker: w.ID, Task: t.task, Run: t.run, What: saw, Fence: w.fence, Failed: how == "failed"})
+	w.site.note(Event{Worker: w.ID, Task: t.task, Run: t.run, Kind: saw, Fence: w.fence, Failed: how == "failed"})
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
--- a/standin/site/task_test.go
+++ b/standin/site/task_test.go
@@ -14,7 +14,7 @@
 )
 
 // playTask starts a task on a worker, prepared by a test, and returns its end after a second.
-func playTask(t *testing.T, order string, prepare func(*site.Worker)) (end site.Sight) {
+func playTask(t *testing.T, order string, prepare func(*site.Worker)) (end site.Event) {
 	synctest.Test(t, func(t *testing.T) {
 		var worker http.Handler
 		s := site.New(site.Config{
@@ -40,8 +40,8 @@
 			t.Fatalf("the start is answered with %d", rec.Code)
 		}
 		time.Sleep(time.Second)
-		for _, e := range s.Sights() {
-			if e.What != site.SawStart {
+		for _, e := range s.Events() {
+			if e.Kind != site.EventStart {
 				end = e
 			}
 		}
@@ -66,7 +66,7 @@
 // tasks that last too.
 func TestWorkerFailsNew(t *testing.T) {
 	const order = `{"Task":"j.0.0.0","Run":1,"Spec":"100 lasting","DeadlineMs":5000,"Fence":1}`
-	if end := playTask(t, order, func(w *site.Worker) { w.SetFailsNew(true) }); !end.Failed {
+	if end := playTask(t, order, func(w *site.Worker) { w.SetFailNewRuns(true) }); !end.Failed {
 		t.Errorf("the run ends so: %+v", end)
 	}
 	if end := playTask(t, order, func(*site.Worker) {}); end.Failed {
--- a/standin/site/verdict.go
+++ b/standin/site/verdict.go
@@ -14,26 +14,26 @@
 // drainWithin is the platform's bound for starts on a worker that is draining.
 const drainWithin = 2 * time.Second
 
-// Claims is what callers and the directory said, against which the workers' sights
+// Expectations is what callers and the directory said, against which the workers' sights
 // are held. Times that are left out are not judged.
-type Claims struct {
+type Expectations struct {
 	// Refused are the jobs of which every call was refused.
 	Refused map[string]bool
-	// Cancelled is when a job's cancel was acknowledged, Drained when the store took a
+	// CancelledAt is when a job's cancel was acknowledged, Drained when the store took a
 	// worker's announcement that it drains.
-	Cancelled map[string]time.Time
-	Drained   map[string]time.Time
-	// HeldUp reports whether orders that reached a worker at a time may have been on
+	CancelledAt map[string]time.Time
+	DrainedAt   map[string]time.Time
+	// OrdersDelayed reports whether orders that reached a worker at a time may have been on
 	// their way for seconds, so that their tickets ran out; nil: never.
-	HeldUp func(worker string, at time.Time) bool
-	// Lasting are jobs of one step whose tasks last, with times in which there was room
+	OrdersDelayed func(worker string, at time.Time) bool
+	// LongRunning are jobs of one step whose tasks last, with times in which there was room
 	// for them and no fault.
-	Lasting []Lasting
+	LongRunning []LongRunningJob
 }
 
 // verdict is what the sights up to one have shown.
 type verdict struct {
-	claims Claims
+	claims Expectations
 	// running is the worker on which each task runs, highest the highest epoch that
 	// each worker took.
 	running map[string]string
@@ -52,15 +52,15 @@
 	run  int64
 }
 
-// Breaches holds what the workers saw against the promises, and describes each one broken.
-func (s *Site) Breaches(c Claims) []string {
+// Violations holds what the workers saw against the promises, and describes each one broken.
+func (s *Site) Violations(c Expectations) []string {
 	v := &verdict{claims: c, running: make(map[string]string), highest: make(map[string]int64),
 		done: make(map[string][]int64), again: make(map[taskRunKey]bool), confirmed: make(map[string]bool)}
-	for _, e := range s.Sights() {
+	for _, e := range s.Events() {
 		v.judge(e)
 	}
-	for _, l := range c.Lasting {
-		v.wrong = append(v.wrong, l.Breaches(s.Sights())...)
+	for _, l := range c.LongRunning {
+		v.wrong = append(v.wrong, l.Violations(s.Events())...)
 	}
 	return v.wrong
 }
@@ -71,29 +71,29 @@
 }
 
 // judge holds one sight against the promises.
-func (v *verdict) judge(e Sight) {
-	switch e.What {
-	case SawStart:
+func (v *verdict) judge(e Event) {
+	switch e.Kind {
+	case EventStart:
 		v.judgeStart(e)
-	case SawEnd, SawAlone:
+	case EventEnd, EventGangTimeout:
 		delete(v.running, e.Task)
-	case SawDone:
+	case EventSuccess:
 		delete(v.running, e.Task)
 		v.done[e.Task] = append(v.done[e.Task], e.Run)
-	case SawConfirmed:
+	case EventSuccessConfirmed:
 		v.confirmed[e.Task] = true
 		if v.again[taskRunKey{e.Task, e.Run}] {
 			v.add("%s has started again after a success that was confirmed", e.Task)
 		}
-	case SawOverload:
+	case EventOverload:
 		v.add("%s has more than its room with %s", e.Worker, e.Task)
-	case SawNoTicket:
-		if v.claims.HeldUp != nil && v.claims.HeldUp(e.Worker, e.At) {
+	case EventInvalidTicket:
+		if v.claims.OrdersDelayed != nil && v.claims.OrdersDelayed(e.Worker, e.At) {
 			return
 		}
 		v.add("%s came to %s without a valid ticket", e.Task, e.Worker)
-	case SawDraining:
-		if at, ok := v.claims.Drained[e.Worker]; ok && e.At.Sub(at) > drainWithin {
+	case EventStartWhileDraining:
+		if at, ok := v.claims.DrainedAt[e.Worker]; ok && e.At.Sub(at) > drainWithin {
 			v.add("%s starts on %s, which drains since %s", e.Task, e.Worker, e.At.Sub(at))
 		}
 	}
@@ -101,7 +101,7 @@
 
 // judgeStart holds a start against the task's other runs, its job's refusal and
 // cancel, and the epochs that the worker took before.
-func (v *verdict) judgeStart(e Sight) {
+func (v *verdict) judgeStart(e Event) {
 	job, _, _ := strings.Cut(e.Task, ".")
 	if where, ok := v.running[e.Task]; ok {
 		v.add("%s runs on %s and starts on %s", e.Task, where, e.Worker)
@@ -116,7 +116,7 @@
 	if v.claims.Refused[job] {
 		v.add("%s starts, and its job was refused", e.Task)
 	}
-	if at, ok := v.claims.Cancelled[job]; ok && e.At.Sub(at) > cancelWithin {
+	if at, ok := v.claims.CancelledAt[job]; ok && e.At.Sub(at) > cancelWithin {
 		v.add("%s starts %s after its cancel", e.Task, e.At.Sub(at))
 	}
 	if e.Fence < v.highest[e.Worker] {
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -17,8 +17,8 @@
 	MemoryMB int64
 	// Service is the worker's pool; "": the site's.
 	Service string
-	// Born lets the worker tell when its life began, in its entry and its lists of runs.
-	Born bool
+	// ReportStartTime lets the worker tell when its life began, in its entry and its lists of runs.
+	ReportStartTime bool
 }
 
 // Worker is one life of a stand-in worker. The Spec of a job tells how its tasks
@@ -87,7 +87,7 @@
 		ID: "i-" + strconv.Itoa(s.lives), Address: s.cfg.WorkerAddress(n), machine: "m-" + strconv.Itoa(n), site: s, cfg: cfg, n: n,
 		running: make(map[string]*taskRun), over: make(map[string]int64), changed: make(chan struct{}), began: time.Now(),
 	}
-	if cfg.Born {
+	if cfg.ReportStartTime {
 		w.born = w.began.UnixMilli()
 	}
 	return w
@@ -102,7 +102,7 @@
 	return s.restart(old, func(cfg WorkerConfig, n int) *Worker {
 		w := s.newLife(cfg, n)
 		w.ID = old.ID
-		if cfg.Born {
+		if cfg.ReportStartTime {
 			w.born += clockSet.Milliseconds()
 			if w.born == old.born {
 				w.born++
@@ -121,9 +121,9 @@
 	return w
 }
 
-// TellsBorn reports whether the worker tells when its life began. One that doesn't never has
+// ReportsStartTime reports whether the worker tells when its life began. One that doesn't never has
 // its ID again.
-func (w *Worker) TellsBorn() bool { return w.cfg.Born }
+func (w *Worker) ReportsStartTime() bool { return w.cfg.ReportStartTime }
 
 const (
 	// beatEvery is how often a worker announces itself.
@@ -161,9 +161,9 @@
 	w.beat()
 }
 
-// LeaveUnsaid lets the worker's entry go, as of one that leaves without saying so: it
+// RemoveFromDirectory lets the worker's entry go, as of one that leaves without saying so: it
 // serves on, but announces itself no more.
-func (w *Worker) LeaveUnsaid() {
+func (w *Worker) RemoveFromDirectory() {
 	w.mu.Lock()
 	w.unlisted = true
 	w.mu.Unlock()
@@ -178,7 +178,7 @@
 		if t.inGang {
 			w.site.leaveGang(t, false)
 		}
-		w.site.saw(w, t.task, t.run, SawEnd, w.fence)
+		w.site.saw(w, t.task, t.run, EventEnd, w.fence)
 	}
 	clear(w.running)
 	w.mu.Unlock()
@@ -211,16 +211,16 @@
 	}
 }
 
-// SetFailsNew lets all that starts from now on fail at once, also tasks that last, and
+// SetFailNewRuns lets all that starts from now on fail at once, also tasks that last, and
 // leaves alone what runs already; other faults go on beside it.
-func (w *Worker) SetFailsNew(fails bool) {
+func (w *Worker) SetFailNewRuns(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failsNew = fails
 }
 
-// Running returns how many tasks run.
-func (w *Worker) Running() int {
+// RunningTasks returns how many tasks run.
+func (w *Worker) RunningTasks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.running)
