--- a/internal/owner/advice.go
+++ b/internal/owner/advice.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// dearCall is from when a call keeps cheap ones waiting for longer than the
+	// minLongCall is from when a call keeps cheap ones waiting for longer than the
 	// shortest latency target (250 ms) allows.
-	dearCall = 120 * time.Millisecond
-	// cheapShare is the share of nodes that dear calls leave alone.
-	cheapShare = 0.34
-	// cheapDepth is how many cheap calls one node may have open: the service
+	minLongCall = 120 * time.Millisecond
+	// shortOnlyShare is the share of nodes that dear calls leave alone.
+	shortOnlyShare = 0.34
+	// maxShortCalls is how many cheap calls one node may have open: the service
 	// takes a node's calls one at a time, and a second one hides the way there.
-	cheapDepth = 2
-	// adviceSlack is how much longer than expected a call may take.
-	adviceSlack = 800 * time.Millisecond
-	// avoidAdviser is how long a node is left alone after its call failed.
-	avoidAdviser = time.Second
+	maxShortCalls = 2
+	// adviceTimeoutSlack is how much longer than expected a call may take.
+	adviceTimeoutSlack = 800 * time.Millisecond
+	// adviserBackoff is how long a node is left alone after its call failed.
+	adviserBackoff = time.Second
 )
 
 // AdviceQueue spreads the calls of the advice service over the nodes, since the
@@ -32,7 +32,7 @@
 type AdviceQueue struct {
 	ctx      context.Context // the calls end with the owner, not with who adds them
 	advisers func() []Adviser
-	answered func(scheduler.Advise, Advice)
+	onAnswer func(scheduler.Advise, Advice)
 
 	mu      sync.Mutex
 	pending []scheduler.Advise
@@ -41,23 +41,23 @@
 
 // adviserLoad is what one node has to do for the advice service.
 type adviserLoad struct {
-	// cheap and dear are the calls that it has open.
-	cheap, dear int
-	// avoidUntil is until when it is left alone, since a call failed.
-	avoidUntil time.Time
+	// short and long are the calls that it has open.
+	short, long int
+	// backoffUntil is until when it is left alone, since a call failed.
+	backoffUntil time.Time
 }
 
-// count adds n calls like a to those that are open.
-func (l *adviserLoad) count(a scheduler.Advise, n int) {
-	if isDear(a) {
-		l.dear += n
+// addOpen adds n calls like a to those that are open.
+func (l *adviserLoad) addOpen(a scheduler.Advise, n int) {
+	if isLongCall(a) {
+		l.long += n
 	} else {
-		l.cheap += n
+		l.short += n
 	}
 }
 
-// isDear reports whether a call keeps cheap ones waiting for too long.
-func isDear(a scheduler.Advise) bool { return a.Takes >= dearCall }
+// isLongCall reports whether a call keeps cheap ones waiting for too long.
+func isLongCall(a scheduler.Advise) bool { return a.Takes >= minLongCall }
 
 // Advice is the answer to a call of the advice service.
 type Advice struct {
@@ -72,8 +72,8 @@
 
 // NewAdviceQueue returns an empty queue. Its calls go to the nodes that advisers names, in
 // the order of preference, end with ctx, and their answers go to answered.
-func NewAdviceQueue(ctx context.Context, advisers func() []Adviser, answered func(scheduler.Advise, Advice)) *AdviceQueue {
-	return &AdviceQueue{ctx: ctx, advisers: advisers, answered: answered, load: make(map[string]*adviserLoad)}
+func NewAdviceQueue(ctx context.Context, advisers func() []Adviser, onAnswer func(scheduler.Advise, Advice)) *AdviceQueue {
+	return &AdviceQueue{ctx: ctx, advisers: advisers, onAnswer: onAnswer, load: make(map[string]*adviserLoad)}
 }
 
 // Add takes in a call, to be sent as soon as a node can take it.
@@ -98,69 +98,69 @@
 		return
 	}
 	advisers, now := q.advisers(), time.Now()
-	avoidAll, alone := q.avoidsAll(advisers, now), leftAlone(advisers)
-	rest := q.pending[:0]
+	ignoreBackoff, shortOnly := q.allBackingOff(advisers, now), shortOnlyNodes(advisers)
+	unsent := q.pending[:0]
 	for _, a := range q.pending {
-		adviser, load := q.pick(advisers, isDear(a), alone, now, avoidAll)
+		adviser, load := q.pick(advisers, isLongCall(a), shortOnly, now, ignoreBackoff)
 		if adviser == nil {
-			rest = append(rest, a)
-			if isDear(a) {
-				advisers = q.keepOne(advisers, alone, now, avoidAll)
+			unsent = append(unsent, a)
+			if isLongCall(a) {
+				advisers = q.reserveForLongCall(advisers, shortOnly, now, ignoreBackoff)
 			}
 			continue
 		}
-		load.count(a, 1)
+		load.addOpen(a, 1)
 		go q.call(q.ctx, adviser, load, a)
 	}
-	q.pending = rest
+	q.pending = unsent
 }
 
 // pick returns the node that can take the call soonest, or nil; nodes that are left
 // alone count only if all are. The caller holds mu.
-func (q *AdviceQueue) pick(advisers []Adviser, dear bool, alone map[string]bool, now time.Time, avoidAll bool) (Adviser, *adviserLoad) {
+func (q *AdviceQueue) pick(advisers []Adviser, long bool, shortOnly map[string]bool, now time.Time, ignoreBackoff bool) (Adviser, *adviserLoad) {
 	var best Adviser
 	var bestLoad *adviserLoad
 	for _, a := range advisers {
 		l := q.loadOf(a)
-		full := l.dear > 0 || l.cheap >= cheapDepth || (dear && l.cheap > 0)
-		if full || (now.Before(l.avoidUntil) && !avoidAll) || (dear && alone[a.Name()]) {
+		full := l.long > 0 || l.short >= maxShortCalls || (long && l.short > 0)
+		if full || (now.Before(l.backoffUntil) && !ignoreBackoff) || (long && shortOnly[a.Name()]) {
 			continue
 		}
-		if best == nil || l.cheap < bestLoad.cheap {
+		if best == nil || l.short < bestLoad.short {
 			best, bestLoad = a, l
 		}
 	}
 	return best, bestLoad
 }
 
-// keepOne leaves out the node that can take a dear call next, so that the less urgent cheap
+// reserveForLongCall leaves out the node that can take a dear call next, so that the less urgent cheap
 // calls behind it in the queue go elsewhere: a dear call goes to a node without any open
 // call, of which there is none while cheap ones keep coming. The caller holds mu.
-func (q *AdviceQueue) keepOne(advisers []Adviser, alone map[string]bool, now time.Time, avoidAll bool) []Adviser {
-	kept, least := -1, cheapDepth+1
+func (q *AdviceQueue) reserveForLongCall(advisers []Adviser, shortOnly map[string]bool, now time.Time, ignoreBackoff bool) []Adviser {
+	reserved, fewestShort := -1, maxShortCalls+1
 	for i, a := range advisers {
 		l := q.loadOf(a)
-		if alone[a.Name()] || l.dear > 0 || l.cheap >= least || (now.Before(l.avoidUntil) && !avoidAll) {
+		if shortOnly[a.Name()] || l.long > 0 || l.short >= fewestShort || (now.Before(l.backoffUntil) && !ignoreBackoff) {
 			continue
 		}
-		kept, least = i, l.cheap
+		reserved, fewestShort = i, l.short
 	}
-	if kept < 0 {
+	if reserved < 0 {
 		return advisers
 	}
-	return slices.Delete(slices.Clone(advisers), kept, kept+1)
+	return slices.Delete(slices.Clone(advisers), reserved, reserved+1)
 }
 
-// leftAlone returns the names of the nodes that dear calls leave alone, the first ones.
-func leftAlone(advisers []Adviser) map[string]bool {
-	alone := make(map[string]bool)
+// shortOnlyNodes returns the names of the nodes that dear calls leave alone, the first ones.
+func shortOnlyNodes(advisers []Adviser) map[string]bool {
+	shortOnly := make(map[string]bool)
 	if len(advisers) <= 1 {
-		return alone
+		return shortOnly
 	}
-	for _, a := range advisers[:int(float64(len(advisers))*cheapShare+0.5)] {
-		alone[a.Name()] = true
+	for _, a := range advisers[:int(float64(len(advisers))*shortOnlyShare+0.5)] {
+		shortOnly[a.Name()] = true
 	}
-	return alone
+	return shortOnly
 }
 
 // loadOf returns the load of a node. The caller holds mu.
@@ -173,11 +173,11 @@
 	return l
 }
 
-// avoidsAll reports whether the last call of every node failed, which tells nothing
+// allBackingOff reports whether the last call of every node failed, which tells nothing
 // about any one of them: the service or the network was at fault. The caller holds mu.
-func (q *AdviceQueue) avoidsAll(advisers []Adviser, now time.Time) bool {
+func (q *AdviceQueue) allBackingOff(advisers []Adviser, now time.Time) bool {
 	for _, a := range advisers {
-		if !now.Before(q.loadOf(a).avoidUntil) {
+		if !now.Before(q.loadOf(a).backoffUntil) {
 			return false
 		}
 	}
@@ -186,31 +186,31 @@
 
 // call makes one call through a node, and hands the answer to the scheduler.
 func (q *AdviceQueue) call(ctx context.Context, adviser Adviser, load *adviserLoad, a scheduler.Advise) {
-	c, cancel := context.WithTimeout(ctx, a.Takes*2+adviceSlack)
+	c, cancel := context.WithTimeout(ctx, a.Takes*2+adviceTimeoutSlack)
 	sent := time.Now()
 	tickets, validFor, err := adviser.Advise(c, a.Step, a.Workers)
 	cancel()
 	if ctx.Err() != nil {
 		return
 	}
-	given := givenBy(sent, a.Takes)
+	issuedAt := estimateIssuedAt(sent, a.Takes)
 	q.mu.Lock()
-	load.count(a, -1)
+	load.addOpen(a, -1)
 	if err != nil {
-		given = time.Now()
-		load.avoidUntil = given.Add(avoidAdviser)
+		issuedAt = time.Now()
+		load.backoffUntil = issuedAt.Add(adviserBackoff)
 	}
 	q.mu.Unlock()
-	q.answered(a, Advice{tickets, validFor, given, err})
+	q.onAnswer(a, Advice{tickets, validFor, issuedAt, err})
 	q.Dispatch()
 }
 
-// givenBy returns by when an answer that comes now was given. What a call takes beyond its
+// estimateIssuedAt returns by when an answer that comes now was given. What a call takes beyond its
 // time at the service, and behind another call there, counts as the answer's way, such as
 // by a node that stands still: its tickets run out meanwhile, and starts that brought them
 // later would be rejected.
-func givenBy(sent time.Time, takes time.Duration) time.Time {
-	now, expected := time.Now(), sent.Add(takes+dearCall)
+func estimateIssuedAt(sent time.Time, takes time.Duration) time.Time {
+	now, expected := time.Now(), sent.Add(takes+minLongCall)
 	if now.After(expected) {
 		return expected
 	}
--- a/internal/owner/feed.go
+++ b/internal/owner/feed.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// jobsSilence is how long the jobs' feed waits in one call.
-	jobsSilence = 2 * time.Second
-	// jobsPause batches the jobs that other nodes could not hand over directly.
-	jobsPause = 100 * time.Millisecond
+	// jobsFeedWait is how long the jobs' feed waits in one call.
+	jobsFeedWait = 2 * time.Second
+	// minJobsPause batches the jobs that other nodes could not hand over directly.
+	minJobsPause = 100 * time.Millisecond
 )
 
 // followJobs takes jobs and cancels that reach the store but not this node.
 func (o *Owner) followJobs(ctx context.Context) error {
 	f := tables.Follower{
-		Service: o.Tables, Table: TableJobs(o.cfg.Shard), Parts: JobParts(o.cfg.Shard.Service), After: o.feedFrom,
-		FeedWait: jobsSilence, Pause: jobsPause,
+		Service: o.Tables, Table: TableJobs(o.cfg.Shard), Parts: JobParts(o.cfg.Shard.Service), After: o.feedVersion,
+		FeedWait: jobsFeedWait, Pause: minJobsPause,
 		Apply: func(rows []tables.Row, _ bool) {
-			o.do(func(s *scheduler.Shard, now time.Time) { o.applyJobs(s, now, rows) })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { o.applyJobs(s, now, rows) })
 		},
-		OnError: o.followFailed(TableJobs(o.cfg.Shard)),
+		OnError: o.feedErrorLogger(TableJobs(o.cfg.Shard)),
 	}
 	f.Run(ctx)
 	return nil
@@ -37,13 +37,13 @@
 // applyJobs hands the rows of the jobs' feed to the scheduler.
 func (o *Owner) applyJobs(s *scheduler.Shard, now time.Time, rows []tables.Row) {
 	for _, r := range rows {
-		o.jobsUpTo = max(o.jobsUpTo, r.Version)
+		o.jobsVersion = max(o.jobsVersion, r.Version)
 		if r.Deleted {
 			continue
 		}
-		id, cancel := cancelled(r.Key)
-		if o.isUnread(id) {
-			o.unread.rows = append(o.unread.rows, r)
+		id, cancel := parseCancelKey(r.Key)
+		if o.mayBeUnread(id) {
+			o.unreadParts.rows = append(o.unreadParts.rows, r)
 			continue
 		}
 		if cancel {
@@ -64,8 +64,8 @@
 	}
 }
 
-// followFailed returns what logs that a table's feed or list failed.
-func (o *Owner) followFailed(table string) func(error) {
+// feedErrorLogger returns what logs that a table's feed or list failed.
+func (o *Owner) feedErrorLogger(table string) func(error) {
 	return func(err error) {
 		if tables.KindOf(err) == tables.KindHistoryGone {
 			o.Log.Info("feed lost its history", events.StoreFailed, zap.String("table", table))
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -27,9 +27,9 @@
 // IDs hold only hex digits.
 const fenceKey = "!owner"
 
-// fenceRetry is the pause before the fence is tried again while its part of the store
+// fenceRetryDelay is the pause before the fence is tried again while its part of the store
 // doesn't answer.
-const fenceRetry = 50 * time.Millisecond
+const fenceRetryDelay = 50 * time.Millisecond
 
 // fenceRecord is the value of the fence row.
 type fenceRecord struct {
@@ -64,12 +64,12 @@
 func (o *Owner) takeFence(ctx context.Context) error {
 	seen := o.cfg.Fence
 	for ctx.Err() == nil {
-		row, err := o.tryFence(ctx, seen)
+		row, err := o.tryTakeFence(ctx, seen)
 		switch epoch := o.fenceEpoch(row); {
 		case err != nil:
 			seen = tables.Row{}
 			o.Log.Warn("fence not taken", events.StoreFailed, zap.Stringer("shard", o.cfg.Shard), zap.Int64("epoch", o.Epoch()), zap.Error(err))
-			tables.Sleep(ctx, tables.RetryPause(err, fenceRetry))
+			tables.Sleep(ctx, tables.RetryPause(err, fenceRetryDelay))
 		case epoch == o.Epoch():
 			o.fenceVersion = row.Version
 			return nil
@@ -83,9 +83,9 @@
 	return &Error{"take fence", KindLoad, ctx.Err()}
 }
 
-// tryFence reads the fence, unless it was seen, and replaces it if it holds a lower epoch
+// tryTakeFence reads the fence, unless it was seen, and replaces it if it holds a lower epoch
 // than this owner's. It returns the row as it stands then.
-func (o *Owner) tryFence(ctx context.Context, seen tables.Row) (tables.Row, error) {
+func (o *Owner) tryTakeFence(ctx context.Context, seen tables.Row) (tables.Row, error) {
 	if seen.Key == "" {
 		var err error
 		if seen, err = ReadFence(ctx, o.Tables, o.cfg.Shard); err != nil {
@@ -133,8 +133,8 @@
 	return rec.Epoch
 }
 
-// lostToAnother is why an ownership ends whose fence has changed.
-const lostToAnother = "another owner writes progress"
+// fenceChangedEvidence is why an ownership ends whose fence has changed.
+const fenceChangedEvidence = "another owner writes progress"
 
 // fenceLost reports whether rows as they stand, which a write was answered with whose
 // conditions did not hold, show that another owner has written the fence.
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// holdWait is how long a worker may keep a hold open for an end: so old may
+	// maxHoldWait is how long a worker may keep a hold open for an end: so old may
 	// the progress of its runs be.
-	holdWait = 500 * time.Millisecond
-	// holdSlack is how much longer an answer may take.
-	holdSlack = 300 * time.Millisecond
-	// holdGap is the least pause between two holds: ends that come together are
+	maxHoldWait = 500 * time.Millisecond
+	// holdTimeoutSlack is how much longer an answer may take.
+	holdTimeoutSlack = 300 * time.Millisecond
+	// minHoldPause is the least pause between two holds: ends that come together are
 	// reported together. A worker doesn't wait while it has ends that are not
 	// confirmed, so holdUnconfirmed keeps from asking until they are persisted.
-	holdGap         = 8 * time.Millisecond
-	holdUnconfirmed = 60 * time.Millisecond
-	// holdRetry is the pause after a hold that failed.
-	holdRetry = 200 * time.Millisecond
+	minHoldPause        = 8 * time.Millisecond
+	maxUnconfirmedPause = 60 * time.Millisecond
+	// holdRetryDelay is the pause after a hold that failed.
+	holdRetryDelay = 200 * time.Millisecond
 )
 
-func (o *Owner) startHolding(ctx context.Context, id string) {
+func (o *Owner) startHoldLoop(ctx context.Context, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.holding[id] {
+	if o.holdLoops[id] {
 		return
 	}
-	o.holding[id] = true
+	o.holdLoops[id] = true
 	o.group.Go(func() error {
 		o.holdLoop(ctx, id)
 		o.mu.Lock()
-		delete(o.holding, id)
+		delete(o.holdLoops, id)
 		o.mu.Unlock()
 		return nil
 	})
@@ -52,12 +52,12 @@
 		if !ok {
 			return
 		}
-		knows := order.DeadlineMS != 0
-		if !knows {
+		renewsLease := order.DeadlineMS != 0
+		if !renewsLease {
 			// What it runs has to be known first.
 			wait = 0
 		}
-		c, cancel := context.WithTimeout(ctx, wait+holdSlack)
+		c, cancel := context.WithTimeout(ctx, wait+holdTimeoutSlack)
 		report, reply := o.Workers.Hold(c, order, lastSeen, wait)
 		cancel()
 		if ctx.Err() != nil {
@@ -65,43 +65,43 @@
 		}
 		switch reply {
 		case cluster.ReplyOK:
-			o.do(func(s *scheduler.Shard, now time.Time) { s.Observe(now, id, seq, report) })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Observe(now, id, seq, report) })
 			wait, failures = 0, 0
-			if knows {
-				wait = holdWait
+			if renewsLease {
+				wait = maxHoldWait
 			}
-			o.pauseHold(ctx, id)
+			o.pauseBetweenHolds(ctx, id)
 			continue
 		case cluster.ReplyFence:
-			if o.isOutdated(order) {
+			if o.isOutdatedOrder(order) {
 				continue
 			}
 			o.EndOwnership("worker " + id + " has seen a higher epoch")
 			return
 		case cluster.ReplyOtherLife:
-			o.do(func(s *scheduler.Shard, now time.Time) { s.WorkerOver(now, id, "another life answers at its address") })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerOver(now, id, "another life answers at its address") })
 			return
 		}
-		notify(o.listMachines)
+		notify(o.wakeMachineList)
 		wait = 0
 		failures++
 		if failures > 1 || reply == cluster.ReplyNotSent {
-			o.do(func(s *scheduler.Shard, now time.Time) { s.HoldFailed(now, id, string(reply)) })
-			tables.Sleep(ctx, holdRetry)
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.HoldFailed(now, id, string(reply)) })
+			tables.Sleep(ctx, holdRetryDelay)
 		}
 	}
 }
 
-// pauseHold waits between two holds, longer while ends are not persisted yet.
-func (o *Owner) pauseHold(ctx context.Context, id string) {
-	tables.Sleep(ctx, holdGap)
-	for waited := holdGap; waited < holdUnconfirmed; waited += holdGap {
+// pauseBetweenHolds waits between two holds, longer while ends are not persisted yet.
+func (o *Owner) pauseBetweenHolds(ctx context.Context, id string) {
+	tables.Sleep(ctx, minHoldPause)
+	for waited := minHoldPause; waited < maxUnconfirmedPause; waited += minHoldPause {
 		o.mu.Lock()
-		open := o.shard.Unconfirmed(id)
+		unconfirmed := o.shard.Unconfirmed(id)
 		o.mu.Unlock()
-		if !open {
+		if !unconfirmed {
 			return
 		}
-		tables.Sleep(ctx, holdGap)
+		tables.Sleep(ctx, minHoldPause)
 	}
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// loadRetry is the pause before a list that failed is read again.
-	loadRetry = 100 * time.Millisecond
-	// loadPatience is how long a load waits at least for parts of the jobs that don't
+	// listRetryDelay is the pause before a list that failed is read again.
+	listRetryDelay = 100 * time.Millisecond
+	// minPartsWait is how long a load waits at least for parts of the jobs that don't
 	// answer: a fast store answers in 4 ms, and one lost answer costs 0.2 s.
-	loadPatience = 300 * time.Millisecond
-	// loadRounds is how many times as long as the lists of progress took it waits:
+	minPartsWait = 300 * time.Millisecond
+	// partsWaitFactor is how many times as long as the lists of progress took it waits:
 	// the lists of the jobs are read in two rounds, and a slow store takes 0.4 s for each.
-	loadRounds = 3
+	partsWaitFactor = 3
 )
 
-// partJobs are the jobs' rows of one part.
-type partJobs struct {
+// jobPartRows are the jobs' rows of one part.
+type jobPartRows struct {
 	part    string
 	rows    []tables.Row
 	version int64
@@ -37,14 +37,14 @@
 type loadedRows struct {
 	jobs []tables.Row
 	// progress is that of the jobs, by their IDs.
-	progress map[string]tables.Row
-	roster   tables.Row
-	// spilled is progress that was written beside the rows of the jobs' own.
-	spilled []tables.Row
+	progress   map[string]tables.Row
+	workerList tables.Row
+	// fallbackRows is progress that was written beside the rows of the jobs' own.
+	fallbackRows []tables.Row
 	// version is the oldest of the lists of jobs, from which their feed goes on.
 	version int64
-	// missing are the parts of the jobs that have not been read.
-	missing map[string]bool
+	// missingParts are the parts of the jobs that have not been read.
+	missingParts map[string]bool
 }
 
 // load takes the fence, and then reads the jobs, their progress and the roster of
@@ -57,41 +57,41 @@
 	}
 	began := time.Now()
 	rows := &loadedRows{progress: make(map[string]tables.Row)}
-	read := o.readParts(ctx)
-	if err := o.loadProgress(ctx, rows); err != nil {
+	partsRead := o.readJobParts(ctx)
+	if err := o.readProgress(ctx, rows); err != nil {
 		return &Error{"load", KindLoad, err}
 	}
-	patience := max(loadPatience, loadRounds*time.Since(began))
-	if err := o.awaitParts(ctx, rows, read, began.Add(patience)); err != nil {
+	wait := max(minPartsWait, partsWaitFactor*time.Since(began))
+	if err := o.collectJobParts(ctx, rows, partsRead, began.Add(wait)); err != nil {
 		return &Error{"load", KindLoad, err}
 	}
 	o.mu.Lock()
-	jobs := o.take(rows)
-	o.loaded, o.feedFrom, o.jobsUpTo = true, rows.version, rows.version
+	jobs := o.applyLoaded(rows)
+	o.loaded, o.feedVersion, o.jobsVersion = true, rows.version, rows.version
 	o.mu.Unlock()
 	o.Log.Info("shard loaded", events.ShardLoaded, zap.Stringer("shard", o.cfg.Shard), zap.Int64("epoch", o.Epoch()),
-		zap.Int("jobs", jobs), zap.Int("progress", len(rows.progress)), zap.Int("parts_left", len(rows.missing)),
+		zap.Int("jobs", jobs), zap.Int("progress", len(rows.progress)), zap.Int("parts_left", len(rows.missingParts)),
 		zap.Duration("took", time.Since(began)))
-	if len(rows.missing) > 0 {
-		o.group.Go(func() error { o.takeLateParts(ctx, read); return nil })
+	if len(rows.missingParts) > 0 {
+		o.group.Go(func() error { o.applyLateParts(ctx, partsRead); return nil })
 	}
 	return nil
 }
 
-// readParts reads the jobs of all parts, each until that succeeds. Each read has a turn, so
+// readJobParts reads the jobs of all parts, each until that succeeds. Each read has a turn, so
 // that few answers come at once; one that doesn't answer soon keeps no other from its turn,
 // since some parts may be away.
-func (o *Owner) readParts(ctx context.Context) <-chan partJobs {
-	read := make(chan partJobs, NumJobParts)
+func (o *Owner) readJobParts(ctx context.Context) <-chan jobPartRows {
+	read := make(chan jobPartRows, NumJobParts)
 	o.group.Go(func() error {
 		g, ctx := errgroup.WithContext(ctx)
-		turns := make(chan struct{}, o.cfg.MaxParallelReads)
+		readSlots := make(chan struct{}, o.cfg.MaxParallelReads)
 		for _, part := range JobParts(o.cfg.Shard.Service) {
 			g.Go(func() error {
-				defer takeTurn(ctx, turns)()
-				rows, version, err := o.listUntilRead(ctx, tables.ListRequest{Table: TableJobs(o.cfg.Shard), Part: part})
+				defer acquireReadSlot(ctx, readSlots)()
+				rows, version, err := o.listWithRetry(ctx, tables.ListRequest{Table: TableJobs(o.cfg.Shard), Part: part})
 				if err == nil {
-					read <- partJobs{part, rows, version}
+					read <- jobPartRows{part, rows, version}
 				}
 				return err
 			})
@@ -105,74 +105,74 @@
 	return read
 }
 
-// turnTime is how long a read keeps its turn at most: an answer takes 4 ms as a rule.
-const turnTime = 50 * time.Millisecond
+// maxReadSlotTime is how long a read keeps its turn at most: an answer takes 4 ms as a rule.
+const maxReadSlotTime = 50 * time.Millisecond
 
-// takeTurn waits for a turn, which ends when the returned function is called or turnTime
+// acquireReadSlot waits for a turn, which ends when the returned function is called or turnTime
 // is over.
-func takeTurn(ctx context.Context, turns chan struct{}) (end func()) {
+func acquireReadSlot(ctx context.Context, slots chan struct{}) (releaseSlot func()) {
 	select {
-	case turns <- struct{}{}:
+	case slots <- struct{}{}:
 	case <-ctx.Done():
 		return func() {}
 	}
 	var once sync.Once
-	release := func() { once.Do(func() { <-turns }) }
-	t := time.AfterFunc(turnTime, release)
+	releaseOnce := func() { once.Do(func() { <-slots }) }
+	t := time.AfterFunc(maxReadSlotTime, releaseOnce)
 	return func() {
 		t.Stop()
-		release()
+		releaseOnce()
 	}
 }
 
-// awaitParts takes the parts as they are read, until all are or the time is over.
+// collectJobParts takes the parts as they are read, until all are or the time is over.
 // The feed needs the version of one.
-func (o *Owner) awaitParts(ctx context.Context, to *loadedRows, read <-chan partJobs, until time.Time) error {
-	patience := time.NewTimer(time.Until(until))
-	defer patience.Stop()
-	over := false
-	to.missing = make(map[string]bool, NumJobParts)
+func (o *Owner) collectJobParts(ctx context.Context, loaded *loadedRows, partsRead <-chan jobPartRows, deadline time.Time) error {
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
+	timedOut := false
+	loaded.missingParts = make(map[string]bool, NumJobParts)
 	for _, part := range JobParts(o.cfg.Shard.Service) {
-		to.missing[part] = true
+		loaded.missingParts[part] = true
 	}
-	for len(to.missing) > 0 && (!over || len(to.missing) == NumJobParts) {
+	for len(loaded.missingParts) > 0 && (!timedOut || len(loaded.missingParts) == NumJobParts) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-patience.C:
-			over = true
-		case p := <-read:
-			delete(to.missing, p.part)
-			to.jobs = append(to.jobs, p.rows...)
-			if to.version == 0 || p.version < to.version {
-				to.version = p.version
+		case <-timeout.C:
+			timedOut = true
+		case p := <-partsRead:
+			delete(loaded.missingParts, p.part)
+			loaded.jobs = append(loaded.jobs, p.rows...)
+			if loaded.version == 0 || p.version < loaded.version {
+				loaded.version = p.version
 			}
 		}
 	}
 	return nil
 }
 
-// progressFrom are the keys from which a shard's progress is read, each to the next one:
+// progressRangeStarts are the keys from which a shard's progress is read, each to the next one:
 // together it is some hundred kilobytes, which owners on slow links have read by several
 // others.
-var progressFrom = []string{"", "4", "8", "c"}
+var progressRangeStarts = []string{"", "4", "8", "c"}
 
-// loadProgress reads the progress of all jobs, also what is spilled of it, and the roster.
-func (o *Owner) loadProgress(ctx context.Context, to *loadedRows) error {
-	ranges := make([][]tables.Row, len(progressFrom))
+// readProgress reads the progress of all jobs, also what is spilled of it, and the roster.
+func (o *Owner) readProgress(ctx context.Context, loaded *loadedRows) error {
+	ranges := make([][]tables.Row, len(progressRangeStarts))
 	g, ctx := errgroup.WithContext(ctx)
-	for i, from := range progressFrom {
+	for i, from := range progressRangeStarts {
 		req := tables.ListRequest{Table: TableProgress, Part: ProgressPart(o.cfg.Shard), From: from}
-		if i+1 < len(progressFrom) {
-			req.To = progressFrom[i+1]
+		if i+1 < len(progressRangeStarts) {
+			req.To = progressRangeStarts[i+1]
 		}
 		g.Go(func() (err error) {
-			ranges[i], _, err = o.listUntilRead(ctx, req)
+			ranges[i], _, err = o.listWithRetry(ctx, req)
 			return err
 		})
 	}
 	g.Go(func() (err error) {
-		to.spilled, _, err = o.listUntilRead(ctx, spilledBy(o.cfg.Shard))
+		loaded.fallbackRows, _, err = o.listWithRetry(ctx, shardFallbackRequest(o.cfg.Shard))
 		return err
 	})
 	if err := g.Wait(); err != nil {
@@ -181,24 +181,24 @@
 	for _, r := range slices.Concat(ranges...) {
 		switch r.Key {
 		case fenceKey:
-		case rosterKey:
-			to.roster = r
+		case workerListKey:
+			loaded.workerList = r
 		default:
-			to.progress[r.Key] = r
+			loaded.progress[r.Key] = r
 		}
 	}
 	return nil
 }
 
-// listUntilRead reads rows, again and again until that succeeds.
-func (o *Owner) listUntilRead(ctx context.Context, req tables.ListRequest) ([]tables.Row, int64, error) {
+// listWithRetry reads rows, again and again until that succeeds.
+func (o *Owner) listWithRetry(ctx context.Context, req tables.ListRequest) ([]tables.Row, int64, error) {
 	for {
 		rows, version, err := tables.ListAll(ctx, o.Tables, req)
 		if err == nil {
 			return rows, version, nil
 		}
 		o.Log.Warn("list not read", events.StoreFailed, zap.String("table", req.Table), zap.String("part", req.Part), zap.Error(err))
-		tables.Sleep(ctx, loadRetry)
+		tables.Sleep(ctx, listRetryDelay)
 		if ctx.Err() != nil {
 			return nil, 0, ctx.Err()
 		}
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -38,93 +38,93 @@
 }
 
 const (
-	// moveEvery is how often jobs that should move are looked for, and movesAtOnce
+	// moveInterval is how often jobs that should move are looked for, and movesAtOnce
 	// how many go in one round: the loads that decide are up to a second old.
-	moveEvery   = 200 * time.Millisecond
-	movesAtOnce = 4
-	// settlePause is the pause between two tries to find out how a move ended.
-	settlePause = 100 * time.Millisecond
+	moveInterval     = 200 * time.Millisecond
+	maxMovesPerRound = 4
+	// moveRetryDelay is the pause between two tries to find out how a move ended.
+	moveRetryDelay = 100 * time.Millisecond
 )
 
 // moveLoop moves jobs of which nothing has run to shards that have room for them.
 func (o *Owner) moveLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tables.Sleep(ctx, moveEvery)
-		if o.spill.isOn() {
+		tables.Sleep(ctx, moveInterval)
+		if o.fallback.active() {
 			// A move needs the part of the progress.
 			continue
 		}
 		o.mu.Lock()
-		moves, load := o.shard.Moves(time.Now(), movesAtOnce), o.shard.Load()
+		moves, load := o.shard.Moves(time.Now(), maxMovesPerRound), o.shard.Load()
 		o.mu.Unlock()
-		var round sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, m := range moves {
 			if m.Join {
-				round.Go(func() { o.move(ctx, m, o.cfg.Shard) })
+				wg.Go(func() { o.moveJob(ctx, m, o.cfg.Shard) })
 			} else if to, ok := o.Shards.BetterShard(o.cfg.Shard, load, m); ok {
-				round.Go(func() { o.move(ctx, m, to) })
+				wg.Go(func() { o.moveJob(ctx, m, to) })
 			} else {
-				o.stays(m.Job.ID)
+				o.keepJob(m.Job.ID)
 			}
 		}
-		round.Wait()
+		wg.Wait()
 	}
 	return nil
 }
 
-// stays lets a job start here for which no better shard was found.
-func (o *Owner) stays(id string) {
-	o.do(func(s *scheduler.Shard, _ time.Time) { s.Stays(id) })
+// keepJob lets a job start here for which no better shard was found.
+func (o *Owner) keepJob(id string) {
+	o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.Stays(id) })
 }
 
-// returns lets a job start here that may have been marked; its mark is replaced.
-func (o *Owner) returns(id string) {
-	o.do(func(s *scheduler.Shard, _ time.Time) {
+// keepMarkedJob lets a job start here that may have been marked; its mark is replaced.
+func (o *Owner) keepMarkedJob(id string) {
+	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
 		s.Stays(id)
 		s.Rewrite(id)
 	})
 }
 
-// gone forgets a job that has another shard now, and removes its mark.
-func (o *Owner) gone(id string) {
+// forgetMovedJob forgets a job that has another shard now, and removes its mark.
+func (o *Owner) forgetMovedJob(id string) {
 	mark := ProgressRow(o.cfg.Shard, id)
-	o.do(func(s *scheduler.Shard, now time.Time) { mark.Version = s.Moved(now, id) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { mark.Version = s.Moved(now, id) })
 	if mark.Version > 0 {
-		o.litter.add(mark)
+		o.deleteQueue.add(mark)
 	}
 }
 
-// move moves a job to another shard, or makes it one that all shards run together, or
+// moveJob moves a job to another shard, or makes it one that all shards run together, or
 // finds out that it stays as it is. It reads the pin once: the
 // next moves wait for it, and nothing of the job starts here until it is answered.
-func (o *Owner) move(ctx context.Context, m scheduler.Move, to cluster.ShardID) {
-	pin, here, err := o.seePin(ctx, m.Job.ID)
+func (o *Owner) moveJob(ctx context.Context, m scheduler.Move, to cluster.ShardID) {
+	pin, here, err := o.readPinOnce(ctx, m.Job.ID)
 	if !here {
 		if ctx.Err() == nil {
 			o.Log.Warn("job not moved", events.JobMoved, zap.String("job", m.Job.ID),
 				zap.String("cause", "its pin names another shard, or can't be read"), zap.Error(err))
-			o.stays(m.Job.ID)
+			o.keepJob(m.Job.ID)
 		}
 		return
 	}
-	if !o.mark(ctx, m) {
-		o.returns(m.Job.ID)
+	if !o.writeMark(ctx, m) {
+		o.keepMarkedJob(m.Job.ID)
 		return
 	}
-	parts := o.moved(m, to)
-	moved, err := o.repin(ctx, parts, pin)
+	parts := o.movedParts(m, to)
+	moved, err := o.commitMove(ctx, parts, pin)
 	if err != nil && tables.IsUnknown(err) {
 		o.group.Go(func() error {
-			o.endMove(ctx, parts, m, !o.staysPinned(ctx, m.Job.ID), err)
+			o.finishMove(ctx, parts, m, !o.resolveMove(ctx, m.Job.ID), err)
 			return nil
 		})
 		return
 	}
-	o.endMove(ctx, parts, m, moved, err)
+	o.finishMove(ctx, parts, m, moved, err)
 }
 
-// moved returns a job, in its parts, as it is once it has moved.
-func (o *Owner) moved(m scheduler.Move, to cluster.ShardID) []cluster.Job {
+// movedParts returns a job, in its parts, as it is once it has movedParts.
+func (o *Owner) movedParts(m scheduler.Move, to cluster.ShardID) []cluster.Job {
 	job := m.Job
 	job.Shard = to.Index
 	job.Moves++
@@ -135,8 +135,8 @@
 	return []cluster.Job{job}
 }
 
-// endMove notes whether a job has moved.
-func (o *Owner) endMove(ctx context.Context, parts []cluster.Job, m scheduler.Move, moved bool, err error) {
+// finishMove notes whether a job has moved.
+func (o *Owner) finishMove(ctx context.Context, parts []cluster.Job, m scheduler.Move, moved bool, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -145,21 +145,21 @@
 		zap.Int("shards", len(parts)), zap.Bool("moved", moved), zap.Bool("unfit", m.Unfit), zap.Int("moves", job.Moves), zap.Error(err))
 	switch {
 	case !moved:
-		o.returns(job.ID)
+		o.keepMarkedJob(job.ID)
 		return
 	case m.Join:
-		o.do(func(s *scheduler.Shard, _ time.Time) { s.Joined(job) })
+		o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.Joined(job) })
 	default:
-		o.gone(job.ID)
+		o.forgetMovedJob(job.ID)
 	}
 	o.Shards.JobMoved(parts)
 }
 
-// mark writes that a job is moving, on condition that this owner still has the shard
-// and of the progress that it knows, and reports whether that is in the store. A mark
+// writeMark writes that a job is moving, on condition that this owner still has the shard
+// and of the progress that it knows, and reports whether that is in the store. A writeMark
 // without an answer may still get there, and does no harm: the job's next progress
 // replaces it, and a later owner that finds it learns from the pin that the job stayed.
-func (o *Owner) mark(ctx context.Context, m scheduler.Move) bool {
+func (o *Owner) writeMark(ctx context.Context, m scheduler.Move) bool {
 	row := ProgressRow(o.cfg.Shard, m.Job.ID)
 	row.Version = m.Version
 	txn := tables.Txn{If: []tables.Row{o.fence(), row}}
@@ -171,29 +171,29 @@
 		o.Log.Info("job not marked", events.StoreFailed, zap.String("job", m.Job.ID), zap.Error(err))
 		return false
 	case res.Committed:
-		o.do(func(s *scheduler.Shard, _ time.Time) { s.SetVersion(m.Job.ID, res.Version) })
+		o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.SetVersion(m.Job.ID, res.Version) })
 		return true
 	}
-	o.noteVersion(m.Job.ID, res.Current)
+	o.updateVersion(m.Job.ID, res.Current)
 	return false
 }
 
-// noteVersion takes the version of a job's progress from rows that differed.
-func (o *Owner) noteVersion(id string, current []tables.Row) {
+// updateVersion takes the version of a job's progress from rows that differed.
+func (o *Owner) updateVersion(id string, current []tables.Row) {
 	if o.fenceLost(current) {
-		o.EndOwnership(lostToAnother)
+		o.EndOwnership(fenceChangedEvidence)
 		return
 	}
 	for _, r := range current {
 		if r.Key == id {
-			o.do(func(s *scheduler.Shard, _ time.Time) { s.SetVersion(id, r.Version) })
+			o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.SetVersion(id, r.Version) })
 		}
 	}
 }
 
-// repin writes the rows of a marked job for its new shard, on condition of its pin, and
+// commitMove writes the rows of a marked job for its new shard, on condition of its pin, and
 // reports whether the job is there. Where the error is an unknown outcome, that is open.
-func (o *Owner) repin(ctx context.Context, parts []cluster.Job, pin tables.Row) (moved bool, err error) {
+func (o *Owner) commitMove(ctx context.Context, parts []cluster.Job, pin tables.Row) (moved bool, err error) {
 	job := parts[0]
 	txn, err := AcceptJobTxn(parts)
 	if err != nil {
@@ -215,17 +215,17 @@
 // name this shard.
 func (o *Owner) readPin(ctx context.Context, id string) (pin tables.Row, found bool) {
 	for ctx.Err() == nil {
-		pin, found, err := o.seePin(ctx, id)
+		pin, found, err := o.readPinOnce(ctx, id)
 		if err == nil {
 			return pin, found
 		}
-		tables.Sleep(ctx, settlePause)
+		tables.Sleep(ctx, moveRetryDelay)
 	}
 	return tables.Row{}, false
 }
 
-// seePin is readPin tried once.
-func (o *Owner) seePin(ctx context.Context, id string) (pin tables.Row, found bool, err error) {
+// readPinOnce is readPin tried once.
+func (o *Owner) readPinOnce(ctx context.Context, id string) (pin tables.Row, found bool, err error) {
 	row, ok, err := tables.Get(ctx, o.Tables, TablePins, JobPart(o.cfg.Shard.Service, id), id)
 	return row, err == nil && ok && o.isPinnedHere(row), err
 }
@@ -233,61 +233,61 @@
 // isPinnedHere reports whether a job's pin names this shard alone. One that can't be read is
 // taken for it, since the job's row is here, and replaced.
 func (o *Owner) isPinnedHere(row tables.Row) bool {
-	at, err := ParsePin(o.cfg.Shard.Service, row)
+	shards, err := ParsePin(o.cfg.Shard.Service, row)
 	if err != nil {
 		o.Log.Warn("pin replaced", events.RowSkipped, zap.String("job", row.Key), zap.Error(err))
 		return true
 	}
-	return len(at) == 1 && at[0] == o.cfg.Shard
+	return len(shards) == 1 && shards[0] == o.cfg.Shard
 }
 
-// staysPinned finds out whether a marked job has stayed in this shard: its pin gets a
+// resolveMove finds out whether a marked job has stayed in this shard: its pin gets a
 // new version, so that a move that is still on its way can't take effect any more.
-func (o *Owner) staysPinned(ctx context.Context, id string) bool {
+func (o *Owner) resolveMove(ctx context.Context, id string) bool {
 	for ctx.Err() == nil {
 		seen, here := o.readPin(ctx, id)
 		if !here {
 			return false
 		}
-		row := pinTo(id, []cluster.ShardID{o.cfg.Shard})
+		row := newPinRow(id, []cluster.ShardID{o.cfg.Shard})
 		res, err := o.Tables.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}})
 		if err == nil && res.Committed {
 			return true
 		}
-		tables.Sleep(ctx, settlePause)
+		tables.Sleep(ctx, moveRetryDelay)
 	}
 	return false
 }
 
-// settleMarked finds out where a job is that an earlier owner had marked as moving.
-func (o *Owner) settleMarked(ctx context.Context, id string) {
-	stays := o.staysPinned(ctx, id)
+// resolveMarkedJob finds out where a job is that an earlier owner had marked as moving.
+func (o *Owner) resolveMarkedJob(ctx context.Context, id string) {
+	stayed := o.resolveMove(ctx, id)
 	if ctx.Err() != nil {
 		return
 	}
-	o.Log.Info("move settled", events.JobMoved, zap.String("job", id), zap.Stringer("from", o.cfg.Shard), zap.Bool("moved", !stays))
-	if stays {
-		o.returns(id)
+	o.Log.Info("move settled", events.JobMoved, zap.String("job", id), zap.Stringer("from", o.cfg.Shard), zap.Bool("moved", !stayed))
+	if stayed {
+		o.keepMarkedJob(id)
 		return
 	}
-	o.gone(id)
-	o.takeJoined(ctx, id)
+	o.forgetMovedJob(id)
+	o.reloadJoinedJob(ctx, id)
 }
 
-// takeJoined takes a job again that left this shard, as it was known here, only to be run
+// reloadJoinedJob takes a job again that left this shard, as it was known here, only to be run
 // by all shards together: the feed may have shown its new row while the old one was known.
-func (o *Owner) takeJoined(ctx context.Context, id string) {
+func (o *Owner) reloadJoinedJob(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		row, found, err := tables.Get(ctx, o.Tables, TableJobs(o.cfg.Shard), JobPart(o.cfg.Shard.Service, id), id)
 		switch {
 		case err != nil:
-			tables.Sleep(ctx, settlePause)
+			tables.Sleep(ctx, moveRetryDelay)
 			continue
 		case !found:
 			return
 		}
 		if job, ok := o.decodeJob(row); ok {
-			o.do(func(s *scheduler.Shard, now time.Time) { s.AddJob(now, job, nil, true) })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.AddJob(now, job, nil, true) })
 		}
 		return
 	}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// scheduleEvery is the longest pause between two rounds of decisions.
-	scheduleEvery = 100 * time.Millisecond
-	// scheduleGap is the least pause: what arrives together is decided together. A round
+	// maxSchedulePause is the longest pause between two rounds of decisions.
+	maxSchedulePause = 100 * time.Millisecond
+	// minSchedulePause is the least pause: what arrives together is decided together. A round
 	// that takes long is followed by scheduleRest times as long a pause: each round looks
 	// at all that waits, so that decisions would else take the processor from orders and
 	// signs of life just when most waits.
-	scheduleGap  = 4 * time.Millisecond
-	scheduleRest = 4
+	minSchedulePause    = 4 * time.Millisecond
+	schedulePauseFactor = 4
 )
 
 func (o *Owner) scheduleLoop(ctx context.Context) error {
-	tick := time.NewTicker(scheduleEvery)
+	tick := time.NewTicker(maxSchedulePause)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-o.wake:
+		case <-o.wakeScheduler:
 		case <-tick.C:
 		}
 		o.mu.Lock()
@@ -38,66 +38,66 @@
 		took := time.Since(began)
 		o.mu.Unlock()
 		for _, c := range commands {
-			o.carryOut(ctx, c)
+			o.execute(ctx, c)
 		}
 		o.advice.Dispatch()
-		notify(o.persist)
-		tables.Sleep(ctx, max(scheduleGap, scheduleRest*took))
+		notify(o.wakePersist)
+		tables.Sleep(ctx, max(minSchedulePause, schedulePauseFactor*took))
 	}
 }
 
-func (o *Owner) carryOut(ctx context.Context, c scheduler.Command) {
+func (o *Owner) execute(ctx context.Context, c scheduler.Command) {
 	switch c := c.(type) {
 	case scheduler.Start:
-		go o.order(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Start(ctx, c.StartOrder) },
+		go o.sendOrder(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Start(ctx, c.StartOrder) },
 			func(s *scheduler.Shard, now time.Time, r cluster.Reply) {
 				s.StartReplied(now, c.Worker, c.Task, c.Run, r)
 			})
 	case scheduler.Stop:
-		go o.order(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Stop(ctx, c.Order, c.Task, c.Run) },
+		go o.sendOrder(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Stop(ctx, c.Order, c.Task, c.Run) },
 			func(s *scheduler.Shard, now time.Time, r cluster.Reply) {
 				s.StopReplied(now, c.Worker, c.Task, c.Run, r)
 			})
 	case scheduler.Pace:
-		go o.order(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Pace(ctx, c.Order, c.Task, c.Run, c.Percent) },
+		go o.sendOrder(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Pace(ctx, c.Order, c.Task, c.Run, c.Percent) },
 			func(s *scheduler.Shard, now time.Time, r cluster.Reply) {
 				s.PaceReplied(now, c.Worker, c.Task, c.Run, r)
 			})
 	case scheduler.Look:
-		go o.look(ctx, c.Worker)
+		go o.queryWorker(ctx, c.Worker)
 	case scheduler.Advise:
 		o.advice.Add(c)
 	}
 }
 
-// look asks a worker what it runs, beside the hold that it may be keeping open.
-func (o *Owner) look(ctx context.Context, id string) {
+// queryWorker asks a worker what it runs, beside the hold that it may be keeping open.
+func (o *Owner) queryWorker(ctx context.Context, id string) {
 	o.mu.Lock()
 	seq, order, lastSeen, ok := o.shard.HoldSent(time.Now(), id)
 	o.mu.Unlock()
 	if !ok {
 		return
 	}
-	c, cancel := context.WithTimeout(ctx, holdSlack)
+	c, cancel := context.WithTimeout(ctx, holdTimeoutSlack)
 	defer cancel()
 	report, reply := o.Workers.Hold(c, order, lastSeen, 0)
 	if ctx.Err() == nil && reply == cluster.ReplyOK {
-		o.do(func(s *scheduler.Shard, now time.Time) { s.Observe(now, id, seq, report) })
+		o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Observe(now, id, seq, report) })
 	}
 }
 
-// isOutdated reports whether an order was meant for an earlier life of its worker, which a
+// isOutdatedOrder reports whether an order was meant for an earlier life of its worker, which a
 // later one refuses.
-func (o *Owner) isOutdated(order cluster.Order) bool {
+func (o *Owner) isOutdatedOrder(order cluster.Order) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Outdated(order)
 }
 
-// order sends one order and feeds its reply back. An order that was cut short
+// sendOrder sends one sendOrder and feeds its reply back. An sendOrder that was cut short
 // because the ownership ended has no reply to feed back.
-func (o *Owner) order(ctx context.Context, to cluster.Order, send func(context.Context) cluster.Reply, replied func(*scheduler.Shard, time.Time, cluster.Reply)) {
-	c, cancel := context.WithTimeout(ctx, o.replies.Timeout())
+func (o *Owner) sendOrder(ctx context.Context, to cluster.Order, send func(context.Context) cluster.Reply, onReply func(*scheduler.Shard, time.Time, cluster.Reply)) {
+	c, cancel := context.WithTimeout(ctx, o.replyTimes.Timeout())
 	defer cancel()
 	sent := time.Now()
 	reply := send(c)
@@ -105,14 +105,14 @@
 		return
 	}
 	if reply == cluster.ReplyOK || reply == cluster.ReplyUnknown {
-		o.replies.Observe(time.Since(sent))
+		o.replyTimes.Observe(time.Since(sent))
 	}
 	if reply == cluster.ReplyNotSent {
-		notify(o.listMachines)
+		notify(o.wakeMachineList)
 	}
-	if reply == cluster.ReplyFence && !o.isOutdated(to) {
+	if reply == cluster.ReplyFence && !o.isOutdatedOrder(to) {
 		o.EndOwnership("worker " + to.Worker + " has seen a higher epoch")
 		return
 	}
-	o.do(func(s *scheduler.Shard, now time.Time) { replied(s, now, reply) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { onReply(s, now, reply) })
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -78,33 +78,33 @@
 
 	mu    sync.Mutex
 	shard *scheduler.Shard
-	// holding are the workers that have a loop of holds.
-	holding map[string]bool
-	// refused are the entries of the directory that name no worker, by key: what was
+	// holdLoops are the workers that have a loop of holds.
+	holdLoops map[string]bool
+	// refusedEntries are the entries of the directory that name no worker, by key: what was
 	// told of each.
-	refused *lru.Cache[string, string]
-	loaded  bool
-	began   time.Time
-	// feedFrom is the version from which the jobs' feed goes on after the load, and
-	// jobsUpTo the one up to which all of the shard's jobs have been seen.
-	feedFrom, jobsUpTo int64
+	refusedEntries *lru.Cache[string, string]
+	loaded         bool
+	startedAt      time.Time
+	// feedVersion is the version from which the jobs' feed goes on after the load, and
+	// jobsVersion the one up to which all of the shard's jobs have been seen.
+	feedVersion, jobsVersion int64
 	// fenceVersion is the version of the fence that this owner has written.
 	fenceVersion int64
 
-	advice  *AdviceQueue
-	replies ReplyTimeEstimator
-	litter  litter
-	spill   spill
-	unread  unread
-	wake    chan struct{}
-	persist chan struct{}
-	// listMachines asks for a listing of the machines before it is due.
-	listMachines chan struct{}
-	// lose ends the ownership; lost is why, if that came before Run.
-	lose  context.CancelCauseFunc
-	lost  error
-	group *errgroup.Group
-	ctx   context.Context
+	advice        *AdviceQueue
+	replyTimes    ReplyTimeEstimator
+	deleteQueue   deleteQueue
+	fallback      fallback
+	unreadParts   unreadParts
+	wakeScheduler chan struct{}
+	wakePersist   chan struct{}
+	// wakeMachineList asks for a listing of the machines before it is due.
+	wakeMachineList chan struct{}
+	// cancelRun ends the ownership; lost is why, if that came before Run.
+	cancelRun context.CancelCauseFunc
+	lostErr   error
+	group     *errgroup.Group
+	ctx       context.Context
 }
 
 // New returns an Owner that has not been started.
@@ -112,17 +112,17 @@
 	cfg.MaxParallelReads = cmp.Or(cfg.MaxParallelReads, tables.MaxParallelLists)
 	cfg.MaxWriteBytes = cmp.Or(cfg.MaxWriteBytes, math.MaxInt)
 	return &Owner{
-		cfg: cfg, Deps: deps, began: time.Now(), shard: scheduler.New(cfg.Params, time.Now(), deps.Log),
-		holding: make(map[string]bool), refused: newRefused(),
-		wake: make(chan struct{}, 1), persist: make(chan struct{}, 1), listMachines: make(chan struct{}, 1),
+		cfg: cfg, Deps: deps, startedAt: time.Now(), shard: scheduler.New(cfg.Params, time.Now(), deps.Log),
+		holdLoops: make(map[string]bool), refusedEntries: newRefusedEntries(),
+		wakeScheduler: make(chan struct{}, 1), wakePersist: make(chan struct{}, 1), wakeMachineList: make(chan struct{}, 1),
 	}
 }
 
 // Age returns how long the shard has been owned here.
-func (o *Owner) Age() time.Duration { return time.Since(o.began) }
+func (o *Owner) Age() time.Duration { return time.Since(o.startedAt) }
 
-// mine reports whether a worker or machine of that service and rack belongs to the shard.
-func (o *Owner) mine(service, rack string) bool {
+// inShard reports whether a worker or machine of that service and rack belongs to the shard.
+func (o *Owner) inShard(service, rack string) bool {
 	return service == o.cfg.Shard.Service && o.cfg.Layout.ShardOf(rack) == o.cfg.Shard.Index
 }
 
@@ -131,17 +131,17 @@
 
 // Run owns the shard until ctx ends or the ownership is lost.
 func (o *Owner) Run(ctx context.Context) error {
-	ctx, lose := context.WithCancelCause(ctx)
-	defer lose(nil)
+	ctx, cancelRun := context.WithCancelCause(ctx)
+	defer cancelRun(nil)
 	o.mu.Lock()
-	o.lose = lose
-	lost := o.lost
+	o.cancelRun = cancelRun
+	lostErr := o.lostErr
 	o.mu.Unlock()
-	if lost != nil {
-		return lost
+	if lostErr != nil {
+		return lostErr
 	}
 	o.group, o.ctx = errgroup.WithContext(ctx)
-	o.advice = NewAdviceQueue(o.ctx, func() []Adviser { return o.Advisers.Advisers(o.cfg.Shard) }, o.advised)
+	o.advice = NewAdviceQueue(o.ctx, func() []Adviser { return o.Advisers.Advisers(o.cfg.Shard) }, o.adviceReceived)
 	if err := o.load(o.ctx); err != nil {
 		return err
 	}
@@ -150,16 +150,16 @@
 	o.group.Go(func() error { return o.followJobs(o.ctx) })
 	o.group.Go(func() error { return o.followWorkers(o.ctx) })
 	o.group.Go(func() error { return o.watchMachines(o.ctx) })
-	o.group.Go(func() error { return o.sweepLoop(o.ctx) })
-	o.group.Go(func() error { return o.spillLoop(o.ctx) })
-	o.group.Go(func() error { return o.rosterLoop(o.ctx) })
+	o.group.Go(func() error { return o.deleteLoop(o.ctx) })
+	o.group.Go(func() error { return o.fallbackLoop(o.ctx) })
+	o.group.Go(func() error { return o.workerListLoop(o.ctx) })
 	if o.cfg.Layout.Shards > 1 {
 		o.group.Go(func() error { return o.moveLoop(o.ctx) })
 		o.group.Go(func() error { return o.gangLoop(o.ctx) })
-		o.group.Go(func() error { return o.guestLoop(o.ctx) })
+		o.group.Go(func() error { return o.remoteJobLoop(o.ctx) })
 	}
 	for _, id := range o.knownWorkers() {
-		o.startHolding(o.ctx, id)
+		o.startHoldLoop(o.ctx, id)
 	}
 	err := o.group.Wait()
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
@@ -172,23 +172,23 @@
 func (o *Owner) EndOwnership(evidence string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lost = &Error{"run", KindLost, errors.New(evidence)}
-	if o.lose != nil {
-		o.lose(o.lost)
+	o.lostErr = &Error{"run", KindLost, errors.New(evidence)}
+	if o.cancelRun != nil {
+		o.cancelRun(o.lostErr)
 	}
 }
 
-// do runs fn on the shard and wakes the scheduler.
-func (o *Owner) do(fn func(s *scheduler.Shard, now time.Time)) {
+// updateShard runs fn on the shard and wakes the scheduler.
+func (o *Owner) updateShard(fn func(s *scheduler.Shard, now time.Time)) {
 	o.mu.Lock()
 	fn(o.shard, time.Now())
 	o.mu.Unlock()
-	notify(o.wake)
+	notify(o.wakeScheduler)
 }
 
-// advised hands the answer of the advice service to the scheduler.
-func (o *Owner) advised(call scheduler.Advise, a Advice) {
-	o.do(func(s *scheduler.Shard, _ time.Time) {
+// adviceReceived hands the answer of the advice service to the scheduler.
+func (o *Owner) adviceReceived(call scheduler.Advise, a Advice) {
+	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
 		s.Advised(a.IssuedAt, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
 	})
 }
@@ -210,8 +210,8 @@
 		o.EndOwnership("a job was accepted for a later owner")
 		return
 	}
-	o.do(func(s *scheduler.Shard, now time.Time) {
-		if o.loaded && version > o.jobsUpTo && !o.isUnread(job.ID) {
+	o.updateShard(func(s *scheduler.Shard, now time.Time) {
+		if o.loaded && version > o.jobsVersion && !o.mayBeUnread(job.ID) {
 			s.AddJob(now, job, nil, false)
 		}
 	})
@@ -219,7 +219,7 @@
 
 // CancelJob takes a cancel that has been persisted.
 func (o *Owner) CancelJob(id string) {
-	o.do(func(s *scheduler.Shard, now time.Time) { s.CancelJob(now, id) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.CancelJob(now, id) })
 }
 
 // JobState returns a job's state; ok is false if this owner doesn't know the job.
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// batchJobs is the most jobs in one write: each needs a condition and a put,
+	// maxBatchJobs is the most jobs in one write: each needs a condition and a put,
 	// beside the condition on the owner's row.
-	batchJobs = (tables.MaxTxnRows - 1) / 2
-	// persistGap is the least pause between two writes: ends that come together
+	maxBatchJobs = (tables.MaxTxnRows - 1) / 2
+	// minPersistPause is the least pause between two writes: ends that come together
 	// are written together, and callers see a job's end this much later at most.
-	persistGap = 25 * time.Millisecond
-	// persistRetry is the pause after a write that failed.
-	persistRetry = 50 * time.Millisecond
+	minPersistPause = 25 * time.Millisecond
+	// persistRetryDelay is the pause after a write that failed.
+	persistRetryDelay = 50 * time.Millisecond
 )
 
 // persistLoop writes progress in batches, one at a time.
@@ -31,64 +31,64 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-o.persist:
+		case <-o.wakePersist:
 		}
-		pause := persistGap
-		if retry := o.persistOnce(ctx); retry > 0 {
+		pause := minPersistPause
+		if retry := o.persistBatch(ctx); retry > 0 {
 			pause = retry
-			notify(o.persist)
+			notify(o.wakePersist)
 		}
 		tables.Sleep(ctx, pause)
 	}
 }
 
-// persistOnce writes one batch, and returns the pause before it is to be tried again; 0:
+// persistBatch writes one batch, and returns the pause before it is to be tried again; 0:
 // that went well.
-func (o *Owner) persistOnce(ctx context.Context) (retry time.Duration) {
+func (o *Owner) persistBatch(ctx context.Context) (retry time.Duration) {
 	o.mu.Lock()
-	batch := o.shard.Dirty(batchJobs, o.cfg.MaxWriteBytes)
+	batch := o.shard.Dirty(maxBatchJobs, o.cfg.MaxWriteBytes)
 	o.mu.Unlock()
 	if batch.Empty() {
 		return 0
 	}
 	if len(batch.Records) == 0 {
-		o.do(func(s *scheduler.Shard, now time.Time) { s.Persisted(now, batch, 0) })
+		o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Persisted(now, batch, 0) })
 		return 0
 	}
-	if o.spill.isOn() {
-		if !o.spillBatch(ctx, batch) {
-			return persistRetry
+	if o.fallback.active() {
+		if !o.writeFallback(ctx, batch) {
+			return persistRetryDelay
 		}
 		return 0
 	}
 	began := time.Now()
 	res, err := o.Tables.Commit(ctx, o.progressTxn(batch))
-	o.litter.took(time.Since(began))
+	o.deleteQueue.observeWrite(time.Since(began))
 	switch {
 	case err != nil:
 		if ctx.Err() == nil {
 			o.Log.Warn("progress not written", events.StoreFailed, zap.Int("jobs", len(batch.Records)), zap.Error(err))
 		}
-		if !o.progressAnswers(ctx) && o.spillBatch(ctx, batch) {
+		if !o.progressPartAnswers(ctx) && o.writeFallback(ctx, batch) {
 			return 0
 		}
-		return tables.RetryPause(err, persistRetry)
+		return tables.RetryPause(err, persistRetryDelay)
 	case !res.Committed:
-		o.settle(batch, res.Current)
-		return persistRetry
+		o.correctVersions(batch, res.Current)
+		return persistRetryDelay
 	}
-	o.persisted(batch, res.Version)
+	o.batchPersisted(batch, res.Version)
 	return 0
 }
 
-// persisted notes that a batch is in the store under the version. Rows that it makes
+// batchPersisted notes that a batch is in the store under the version. Rows that it makes
 // needless are removed later: what was spilled of its jobs, and the jobs that ended.
-func (o *Owner) persisted(batch scheduler.Batch, version int64) {
-	o.do(func(s *scheduler.Shard, now time.Time) { s.Persisted(now, batch, version) })
+func (o *Owner) batchPersisted(batch scheduler.Batch, version int64) {
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Persisted(now, batch, version) })
 	for _, r := range batch.Records {
-		o.litter.add(o.spill.drop(r.Job)...)
+		o.deleteQueue.add(o.fallback.removeRows(r.Job)...)
 		if r.Final {
-			o.litter.add(jobRows(o.cfg.Shard, r.Job)...)
+			o.deleteQueue.add(jobRows(o.cfg.Shard, r.Job)...)
 		}
 	}
 }
@@ -107,26 +107,26 @@
 	return txn
 }
 
-// settle corrects the versions after a write whose conditions did not hold:
+// correctVersions corrects the versions after a write whose conditions did not hold:
 // either an earlier write took effect without an answer, or the shard is lost.
-func (o *Owner) settle(batch scheduler.Batch, current []tables.Row) {
+func (o *Owner) correctVersions(batch scheduler.Batch, current []tables.Row) {
 	if o.fenceLost(current) {
-		o.EndOwnership(lostToAnother)
+		o.EndOwnership(fenceChangedEvidence)
 		return
 	}
-	versions := make(map[string]tables.Row, len(current))
+	rows := make(map[string]tables.Row, len(current))
 	for _, r := range current {
-		versions[r.Key] = r
+		rows[r.Key] = r
 	}
-	same := 0
-	o.do(func(s *scheduler.Shard, _ time.Time) {
+	writtenBefore := 0
+	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
 		for _, r := range batch.Records {
-			row := versions[r.Job]
+			row := rows[r.Job]
 			if bytes.Equal(row.Value, r.Value) {
-				same++
+				writtenBefore++
 			}
 			s.SetVersion(r.Job, row.Version)
 		}
 	})
-	o.Log.Info("progress settled", events.ProgressSettled, zap.Int("jobs", len(batch.Records)), zap.Int("written_before", same))
+	o.Log.Info("progress settled", events.ProgressSettled, zap.Int("jobs", len(batch.Records)), zap.Int("written_before", writtenBefore))
 }
--- a/internal/owner/replies.go
+++ b/internal/owner/replies.go
@@ -21,13 +21,13 @@
 	MaxOrderTimeout = 600 * time.Millisecond
 	// InitialOrderTimeout is the wait before anything is known.
 	InitialOrderTimeout = 300 * time.Millisecond
-	// replyGain and deviationGain are the weights of one answer in the running mean and in
+	// meanGain and deviationGain are the weights of one answer in the running mean and in
 	// the running deviation, and deviations is how many of these an answer may take beyond
 	// the mean: those of the usual estimate of a retransmission time, with more slack, as
 	// an order that was given up in error throws work away.
-	replyGain     = 1.0 / 8
-	deviationGain = 1.0 / 4
-	deviations    = 6
+	meanGain        = 1.0 / 8
+	deviationGain   = 1.0 / 4
+	deviationFactor = 6
 )
 
 // ReplyTimeEstimator learns how long workers take to answer.
@@ -47,9 +47,9 @@
 		t.mean, t.deviation = sample, sample/2
 		return
 	}
-	off := sample - t.mean
-	t.mean += replyGain * off
-	t.deviation += deviationGain * (max(off, -off) - t.deviation)
+	delta := sample - t.mean
+	t.mean += meanGain * delta
+	t.deviation += deviationGain * (max(delta, -delta) - t.deviation)
 }
 
 // Timeout returns how long to wait for an answer.
@@ -59,6 +59,6 @@
 	if t.mean == 0 {
 		return InitialOrderTimeout
 	}
-	limit := time.Duration((t.mean + deviations*t.deviation) * float64(time.Second))
+	limit := time.Duration((t.mean + deviationFactor*t.deviation) * float64(time.Second))
 	return min(max(limit, MinOrderTimeout), MaxOrderTimeout)
 }
--- a/internal/owner/roster.go
+++ b/internal/owner/roster.go
@@ -16,26 +16,26 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// rosterEvery is how often the roster is written if workers have come or gone.
-const rosterEvery = time.Second
+// workerListInterval is how often the roster is written if workers have come or gone.
+const workerListInterval = time.Second
 
-// roster is the row in which an owner leaves its workers to the next one: just
+// workerList is the row in which an owner leaves its workers to the next one: just
 // enough to ask them what they run, some 40 bytes each. A row holds 64 KB.
-type roster struct {
-	Workers []rosterEntry `json:"workers"`
+type workerList struct {
+	Workers []workerListEntry `json:"workers"`
 }
 
-// rosterEntry is one life of a worker. What it has is read from the directory.
-type rosterEntry struct {
+// workerListEntry is one life of a worker. What it has is read from the directory.
+type workerListEntry struct {
 	cluster.Life
 	Address string `json:"a"`
 }
 
-// rosterLoop persists the workers and their addresses.
-func (o *Owner) rosterLoop(ctx context.Context) error {
+// workerListLoop persists the workers and their addresses.
+func (o *Owner) workerListLoop(ctx context.Context) error {
 	written := make(map[cluster.Life]bool)
 	for ctx.Err() == nil {
-		tables.Sleep(ctx, rosterEvery)
+		tables.Sleep(ctx, workerListInterval)
 		o.mu.Lock()
 		workers := o.shard.WorkerInfos()
 		o.mu.Unlock()
@@ -46,7 +46,7 @@
 		if len(workers) == 0 || maps.Equal(current, written) {
 			continue
 		}
-		if err := o.writeRoster(ctx, workers); err != nil {
+		if err := o.writeWorkerList(ctx, workers); err != nil {
 			if ctx.Err() == nil {
 				o.Log.Info("workers not persisted", events.StoreFailed, zap.Error(err))
 			}
@@ -57,27 +57,27 @@
 	return nil
 }
 
-func (o *Owner) writeRoster(ctx context.Context, workers []cluster.Worker) error {
-	var r roster
+func (o *Owner) writeWorkerList(ctx context.Context, workers []cluster.Worker) error {
+	var list workerList
 	for _, w := range workers {
-		r.Workers = append(r.Workers, rosterEntry{w.Life(), w.Address})
+		list.Workers = append(list.Workers, workerListEntry{w.Life(), w.Address})
 	}
-	value, err := json.Marshal(r)
+	value, err := json.Marshal(list)
 	if err != nil {
 		return &Error{"write roster", KindLoad, err}
 	}
-	row := tables.Row{Table: TableProgress, Part: ProgressPart(o.cfg.Shard), Key: rosterKey, Value: value}
+	row := tables.Row{Table: TableProgress, Part: ProgressPart(o.cfg.Shard), Key: workerListKey, Value: value}
 	res, err := o.Tables.Commit(ctx, tables.Txn{If: []tables.Row{o.fence()}, Put: []tables.Row{row}})
 	if err == nil && !res.Committed {
-		o.EndOwnership(lostToAnother)
+		o.EndOwnership(fenceChangedEvidence)
 	}
 	return err
 }
 
-// takeRoster makes the workers of the last owner known; those whose lives are
+// applyWorkerList makes the workers of the last owner known; those whose lives are
 // over show in the list of machines.
-func (o *Owner) takeRoster(s *scheduler.Shard, now time.Time, row tables.Row) {
-	var r roster
+func (o *Owner) applyWorkerList(s *scheduler.Shard, now time.Time, row tables.Row) {
+	var r workerList
 	if err := json.Unmarshal(row.Value, &r); err != nil {
 		o.Log.Warn("roster skipped", events.RowSkipped, zap.Error(err))
 		return
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -24,7 +24,7 @@
 const (
 	TablePins     = "pins"
 	TableProgress = "progress"
-	tableSpill    = "spill"
+	tableFallback = "spill"
 	jobsPrefix    = "jobs-"
 )
 
@@ -91,12 +91,12 @@
 		shards = append(shards, j.ShardID())
 		txn.Put = append(txn.Put, tables.Row{Table: TableJobs(j.ShardID()), Part: part, Key: job.ID, Value: value})
 	}
-	txn.Put = append(txn.Put, pinTo(job.ID, shards))
+	txn.Put = append(txn.Put, newPinRow(job.ID, shards))
 	return txn, nil
 }
 
-// pinTo returns the row that says which shards have the parts of a job.
-func pinTo(id string, shards []cluster.ShardID) tables.Row {
+// newPinRow returns the row that says which shards have the parts of a job.
+func newPinRow(id string, shards []cluster.ShardID) tables.Row {
 	var p pin
 	for _, s := range shards {
 		p.Shards = append(p.Shards, s.Index)
@@ -135,9 +135,9 @@
 	return tables.Row{Table: TableProgress, Part: ProgressPart(shard), Key: id}
 }
 
-// rosterKey is the key of the row that lists the workers, for the next owner: the
+// workerListKey is the key of the row that lists the workers, for the next owner: the
 // directory's entries lapse while the store is away.
-const rosterKey = "!workers"
+const workerListKey = "!workers"
 
 // CancelJobTxn returns the transaction that records a job's cancel. Its condition is
 // the job's pin: a job that moves to another shard meanwhile is looked up again.
@@ -150,8 +150,8 @@
 	return txn
 }
 
-// cancelled returns the job that a key names; ok is true if it is a cancel's.
-func cancelled(key string) (id string, ok bool) { return strings.CutSuffix(key, cancelSuffix) }
+// parseCancelKey returns the job that a key names; ok is true if it is a cancel's.
+func parseCancelKey(key string) (id string, ok bool) { return strings.CutSuffix(key, cancelSuffix) }
 
 // stateOf returns the state that a progress row holds.
 func stateOf(row tables.Row) cluster.State {
--- a/internal/owner/spill.go
+++ b/internal/owner/spill.go
@@ -22,15 +22,15 @@
 // answers, the progress is written where it belongs, and the spilled rows go.
 
 const (
-	// spillLook is how often the part is looked for meanwhile.
-	spillLook = 300 * time.Millisecond
-	// spillLookTimeout is how long a part may take to answer. It answers in 4 ms; one
+	// fallbackProbeInterval is how often the part is looked for meanwhile.
+	fallbackProbeInterval = 300 * time.Millisecond
+	// fallbackProbeTimeout is how long a part may take to answer. It answers in 4 ms; one
 	// that is found away in error costs a second write of the batch.
-	spillLookTimeout = 200 * time.Millisecond
+	fallbackProbeTimeout = 200 * time.Millisecond
 )
 
-// spill is progress that was written beside the rows of the jobs' own.
-type spill struct {
+// fallback is progress that was written beside the rows of the jobs' own.
+type fallback struct {
 	mu sync.Mutex
 	// since is when the part of the progress was found not to answer; zero: it answers.
 	since time.Time
@@ -38,15 +38,15 @@
 	rows map[string][]tables.Row
 }
 
-// isOn reports whether progress is spilled.
-func (s *spill) isOn() bool {
+// active reports whether progress is spilled.
+func (s *fallback) active() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.since.IsZero()
 }
 
-// begin notes that the part of the progress doesn't answer; false: that was known.
-func (s *spill) begin() bool {
+// activate notes that the part of the progress doesn't answer; false: that was known.
+func (s *fallback) activate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.since.IsZero() {
@@ -56,17 +56,17 @@
 	return true
 }
 
-// end notes that the part answers, and returns for how long it did not.
-func (s *spill) end() time.Duration {
+// deactivate notes that the part answers, and returns for how long it did not.
+func (s *fallback) deactivate() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	away := time.Since(s.since)
+	outage := time.Since(s.since)
 	s.since = time.Time{}
-	return away
+	return outage
 }
 
-// add notes the key of a spilled row of a job, once.
-func (s *spill) add(job string, row tables.Row) {
+// addRow notes the key of a spilled row of a job, once.
+func (s *fallback) addRow(job string, row tables.Row) {
 	key := tables.Row{Table: row.Table, Part: row.Part, Key: row.Key}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,8 +78,8 @@
 	}
 }
 
-// drop forgets the spilled rows of a job and returns their keys.
-func (s *spill) drop(job string) []tables.Row {
+// removeRows forgets the spilled rows of a job and returns their keys.
+func (s *fallback) removeRows(job string) []tables.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rows := s.rows[job]
@@ -88,7 +88,7 @@
 }
 
 // jobs returns the jobs that have spilled rows.
-func (s *spill) jobs() []string {
+func (s *fallback) jobs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := make([]string, 0, len(s.rows))
@@ -98,12 +98,12 @@
 	return ids
 }
 
-// spillBatch writes a batch beside the owner's row and reports whether that went well.
-func (o *Owner) spillBatch(ctx context.Context, batch scheduler.Batch) bool {
+// writeFallback writes a batch beside the owner's row and reports whether that went well.
+func (o *Owner) writeFallback(ctx context.Context, batch scheduler.Batch) bool {
 	txn := tables.Txn{If: []tables.Row{o.cfg.Row}}
 	for _, r := range batch.Records {
-		row := o.spilledRow(&r)
-		o.spill.add(r.Job, row)
+		row := o.fallbackRow(&r)
+		o.fallback.addRow(r.Job, row)
 		txn.Put = append(txn.Put, row)
 	}
 	res, err := o.Tables.Commit(ctx, txn)
@@ -117,53 +117,53 @@
 		o.EndOwnership("another owner is named in the store")
 		return false
 	}
-	if o.spill.begin() {
+	if o.fallback.activate() {
 		o.Log.Warn("progress is spilled", events.ProgressSpills, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
 	}
-	o.do(func(s *scheduler.Shard, now time.Time) { s.Spilled(now, batch) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Spilled(now, batch) })
 	return true
 }
 
-// progressAnswers reports whether the part of the shard's progress answers.
-func (o *Owner) progressAnswers(ctx context.Context) bool {
-	c, cancel := context.WithTimeout(ctx, spillLookTimeout)
+// progressPartAnswers reports whether the part of the shard's progress answers.
+func (o *Owner) progressPartAnswers(ctx context.Context) bool {
+	c, cancel := context.WithTimeout(ctx, fallbackProbeTimeout)
 	defer cancel()
 	_, err := ReadFence(c, o.Tables, o.cfg.Shard)
 	return err == nil
 }
 
-// spillLoop looks for the part of the progress while it doesn't answer.
-func (o *Owner) spillLoop(ctx context.Context) error {
+// fallbackLoop looks for the part of the progress while it doesn't answer.
+func (o *Owner) fallbackLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tables.Sleep(ctx, spillLook)
-		if o.spill.isOn() && o.progressAnswers(ctx) {
-			o.endSpill()
+		tables.Sleep(ctx, fallbackProbeInterval)
+		if o.fallback.active() && o.progressPartAnswers(ctx) {
+			o.endFallback()
 		}
 	}
 	return nil
 }
 
-// endSpill lets spilled progress be written where it belongs.
-func (o *Owner) endSpill() {
-	away := o.spill.end()
+// endFallback lets spilled progress be written where it belongs.
+func (o *Owner) endFallback() {
+	outage := o.fallback.deactivate()
 	o.mu.Lock()
-	n := o.rewriteSpilled()
+	jobs := o.rewriteFallbackJobs()
 	o.mu.Unlock()
 	o.Log.Info("progress is spilled no longer", events.ProgressSpills, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", false),
-		zap.Duration("away", away), zap.Int("jobs", n))
-	notify(o.wake)
+		zap.Duration("away", outage), zap.Int("jobs", jobs))
+	notify(o.wakeScheduler)
 }
 
-// rewriteSpilled lets the progress of the jobs that have spilled rows be written
+// rewriteFallbackJobs lets the progress of the jobs that have spilled rows be written
 // again, and returns how many they are. The rows of others are not needed any more.
 // The caller holds mu.
-func (o *Owner) rewriteSpilled() (n int) {
-	for _, id := range o.spill.jobs() {
+func (o *Owner) rewriteFallbackJobs() (n int) {
+	for _, id := range o.fallback.jobs() {
 		switch {
 		case o.shard.Rewrite(id):
 			n++
-		case !o.isUnread(id):
-			o.litter.add(o.spill.drop(id)...)
+		case !o.mayBeUnread(id):
+			o.deleteQueue.add(o.fallback.removeRows(id)...)
 		}
 	}
 	return n
--- a/internal/owner/spillrows.go
+++ b/internal/owner/spillrows.go
@@ -12,36 +12,38 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// spillPrefix begins the keys of a shard's spilled rows.
-func spillPrefix(shard cluster.ShardID) string { return shard.String() + "/" }
+// fallbackPrefix begins the keys of a shard's spilled rows.
+func fallbackPrefix(shard cluster.ShardID) string { return shard.String() + "/" }
 
-// spilledBy asks for all spilled rows of a shard.
-func spilledBy(shard cluster.ShardID) tables.ListRequest { return spilledUnder(spillPrefix(shard)) }
+// shardFallbackRequest asks for all spilled rows of a shard.
+func shardFallbackRequest(shard cluster.ShardID) tables.ListRequest {
+	return fallbackRequest(fallbackPrefix(shard))
+}
 
-// spilledOf asks for the spilled rows of a job.
-func spilledOf(shard cluster.ShardID, id string) tables.ListRequest {
-	return spilledUnder(spillPrefix(shard) + id + "/")
+// jobFallbackRequest asks for the spilled rows of a job.
+func jobFallbackRequest(shard cluster.ShardID, id string) tables.ListRequest {
+	return fallbackRequest(fallbackPrefix(shard) + id + "/")
 }
 
-// spilledUnder asks for the spilled rows whose keys begin with a prefix that ends
+// fallbackRequest asks for the spilled rows whose keys begin with a prefix that ends
 // in a slash.
-func spilledUnder(prefix string) tables.ListRequest {
+func fallbackRequest(prefix string) tables.ListRequest {
 	const afterSlash = string('/' + 1)
-	return tables.ListRequest{Table: tableSpill, From: prefix, To: strings.TrimSuffix(prefix, "/") + afterSlash}
+	return tables.ListRequest{Table: tableFallback, From: prefix, To: strings.TrimSuffix(prefix, "/") + afterSlash}
 }
 
-// spilledRow returns the row of one change of a job.
-func (o *Owner) spilledRow(r *scheduler.Record) tables.Row {
-	key := fmt.Sprintf("%s%s/%d-%d", spillPrefix(o.cfg.Shard), r.Job, o.Epoch(), r.Change)
-	return tables.Row{Table: tableSpill, Part: o.cfg.Row.Part, Key: key, Value: r.Value}
+// fallbackRow returns the row of one change of a job.
+func (o *Owner) fallbackRow(r *scheduler.Record) tables.Row {
+	key := fmt.Sprintf("%s%s/%d-%d", fallbackPrefix(o.cfg.Shard), r.Job, o.Epoch(), r.Change)
+	return tables.Row{Table: tableFallback, Part: o.cfg.Row.Part, Key: key, Value: r.Value}
 }
 
-// takeSpilled puts spilled progress in the place of what is older in the rows that
+// applyFallbackRows puts spilled progress in the place of what is older in the rows that
 // are the jobs' own. The caller holds mu.
-func (o *Owner) takeSpilled(rows *loadedRows) {
-	for _, r := range rows.spilled {
-		id, _, _ := strings.Cut(strings.TrimPrefix(r.Key, spillPrefix(o.cfg.Shard)), "/")
-		o.spill.add(id, r)
+func (o *Owner) applyFallbackRows(rows *loadedRows) {
+	for _, r := range rows.fallbackRows {
+		id, _, _ := strings.Cut(strings.TrimPrefix(r.Key, fallbackPrefix(o.cfg.Shard)), "/")
+		o.fallback.addRow(id, r)
 		if p := o.decodeProgress(r); p != nil {
 			rows.progress[id] = newerProgress(p, r, ProgressRow(o.cfg.Shard, id), rows.progress[id])
 		}
@@ -52,7 +54,7 @@
 // was persisted of the job. Spilled rows are read first: they go only after the job's
 // own row has something newer.
 func StoredJobState(ctx context.Context, svc tables.Service, shard cluster.ShardID, id string) (state cluster.State, found bool, err error) {
-	spilled, _, err := tables.ListAll(ctx, svc, spilledOf(shard, id))
+	fallbackRows, _, err := tables.ListAll(ctx, svc, jobFallbackRequest(shard, id))
 	if err != nil {
 		return "", false, err
 	}
@@ -60,7 +62,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	for _, r := range spilled {
+	for _, r := range fallbackRows {
 		// One that can't be read is logged by the owner that loads it.
 		if p, err := scheduler.ParseProgress(r.Value, r.Version); err == nil {
 			row = newerProgress(p, r, ProgressRow(shard, id), row)
@@ -74,13 +76,13 @@
 
 // newerProgress returns the row of a job's progress, with its value replaced by that
 // of a spilled one if that is newer. A row that can't be read is replaced too.
-func newerProgress(p *scheduler.Progress, spilled, key, own tables.Row) tables.Row {
+func newerProgress(fallbackProgress *scheduler.Progress, fallback, key, own tables.Row) tables.Row {
 	if len(own.Value) > 0 {
 		stored, err := scheduler.ParseProgress(own.Value, own.Version)
-		if err == nil && !p.NewerThan(stored) {
+		if err == nil && !fallbackProgress.NewerThan(stored) {
 			return own
 		}
 	}
-	key.Value, key.Version = spilled.Value, own.Version
+	key.Value, key.Version = fallback.Value, own.Version
 	return key
 }
--- a/internal/owner/sweep.go
+++ b/internal/owner/sweep.go
@@ -13,32 +13,32 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// sweepEvery is how often the rows of finished jobs are removed, a part at a
+// deleteInterval is how often the rows of finished jobs are removed, a part at a
 // time; until then they only make a takeover read more.
-const sweepEvery = 500 * time.Millisecond
+const deleteInterval = 500 * time.Millisecond
 
-// sweepLoop removes the rows that nothing needs any more.
-func (o *Owner) sweepLoop(ctx context.Context) error {
+// deleteLoop removes the rows that nothing needs any more.
+func (o *Owner) deleteLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tables.Sleep(ctx, sweepEvery)
+		tables.Sleep(ctx, deleteInterval)
 		o.mu.Lock()
-		forgotten := o.shard.Forgotten()
+		droppedJobs := o.shard.Forgotten()
 		o.mu.Unlock()
-		for _, id := range forgotten {
-			o.litter.add(pinRow(o.cfg.Shard, id))
+		for _, id := range droppedJobs {
+			o.deleteQueue.add(pinRow(o.cfg.Shard, id))
 		}
-		if rows := o.litter.next(); len(rows) > 0 {
-			o.sweep(ctx, rows)
+		if rows := o.deleteQueue.takeBatch(); len(rows) > 0 {
+			o.deleteRows(ctx, rows)
 		}
 	}
 	return nil
 }
 
-// sweep removes rows of one part, those that have a version only if it is still
+// deleteRows removes rows of one part, those that have a version only if it is still
 // theirs, and tries again later if that fails. If the fence
 // is lost, the rows are left to the next owner, which finds them when it loads. A
 // finished job's progress goes after its pin: without progress a job counts as pending.
-func (o *Owner) sweep(ctx context.Context, rows []tables.Row) {
+func (o *Owner) deleteRows(ctx context.Context, rows []tables.Row) {
 	txn := tables.Txn{Remove: rows}
 	if rows[0].Part == ProgressPart(o.cfg.Shard) {
 		txn.If = []tables.Row{o.fence()}
@@ -51,30 +51,30 @@
 	res, err := o.Tables.Commit(ctx, txn)
 	switch {
 	case err != nil:
-		o.litter.add(rows...)
+		o.deleteQueue.add(rows...)
 		if ctx.Err() == nil {
 			o.Log.Info("finished jobs not removed", events.StoreFailed, zap.Int("rows", len(rows)), zap.Error(err))
 		}
 	case res.Committed:
 		for _, r := range rows {
 			if r.Table == TablePins {
-				o.litter.add(ProgressRow(o.cfg.Shard, r.Key))
+				o.deleteQueue.add(ProgressRow(o.cfg.Shard, r.Key))
 			}
 		}
 	default:
-		o.litter.add(o.stillLitter(rows, res.Current)...)
+		o.deleteQueue.add(o.stillDeletable(rows, res.Current)...)
 	}
 }
 
-// stillLitter returns the rows that may go after a removal whose conditions did not
+// stillDeletable returns the rows that may go after a removal whose conditions did not
 // hold: those that have not been written since, unless another owner has the shard.
-func (o *Owner) stillLitter(rows, current []tables.Row) []tables.Row {
+func (o *Owner) stillDeletable(rows, current []tables.Row) []tables.Row {
 	if o.fenceLost(current) {
 		return nil
 	}
-	versions := make(map[rowName]int64, len(current))
+	versions := make(map[rowID]int64, len(current))
 	for _, r := range current {
-		versions[nameOf(r)] = r.Version
+		versions[rowIDOf(r)] = r.Version
 	}
-	return slices.DeleteFunc(rows, func(r tables.Row) bool { return r.Version > 0 && versions[nameOf(r)] != r.Version })
+	return slices.DeleteFunc(rows, func(r tables.Row) bool { return r.Version > 0 && versions[rowIDOf(r)] != r.Version })
 }
--- a/internal/owner/take.go
+++ b/internal/owner/take.go
@@ -14,40 +14,40 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// take hands the rows to the scheduler and returns how many jobs there are. The
+// applyLoaded hands the rows to the scheduler and returns how many jobs there are. The
 // caller holds mu.
-func (o *Owner) take(rows *loadedRows) int {
+func (o *Owner) applyLoaded(rows *loadedRows) int {
 	now := time.Now()
-	o.takeSpilled(rows)
-	if len(rows.missing) > 0 {
-		o.keepUnread(rows)
+	o.applyFallbackRows(rows)
+	if len(rows.missingParts) > 0 {
+		o.deferUnreadJobs(rows)
 	}
-	if rows.roster.Version > 0 {
-		o.takeRoster(o.shard, now, rows.roster)
+	if rows.workerList.Version > 0 {
+		o.applyWorkerList(o.shard, now, rows.workerList)
 	}
-	n := o.takeJobs(now, rows.jobs, rows.progress)
-	o.rewriteSpilled()
+	n := o.applyLoadedJobs(now, rows.jobs, rows.progress)
+	o.rewriteFallbackJobs()
 	return n
 }
 
-// takeJobs hands jobs and cancels to the scheduler, with the progress that they have,
+// applyLoadedJobs hands jobs and cancels to the scheduler, with the progress that they have,
 // and returns how many jobs there are. The caller holds mu.
-func (o *Owner) takeJobs(now time.Time, rows []tables.Row, progress map[string]tables.Row) int {
+func (o *Owner) applyLoadedJobs(now time.Time, rows []tables.Row, progress map[string]tables.Row) int {
 	var cancels []string
-	known, n := make(map[string]bool, len(rows)), 0
+	hasRow, n := make(map[string]bool, len(rows)), 0
 	for _, r := range rows {
-		known[r.Key] = true
-		if id, ok := cancelled(r.Key); ok {
+		hasRow[r.Key] = true
+		if id, ok := parseCancelKey(r.Key); ok {
 			cancels = append(cancels, id)
 			continue
 		}
-		if o.takeJob(now, r, progress) {
+		if o.applyLoadedJob(now, r, progress) {
 			n++
 		}
 	}
 	for key, r := range progress {
-		if !known[key] {
-			o.takeProgress(now, r)
+		if !hasRow[key] {
+			o.applyOrphanedProgress(now, r)
 		}
 	}
 	for _, id := range cancels {
@@ -56,23 +56,23 @@
 	return n
 }
 
-// takeProgress takes the progress of a job whose row is gone: the job is finished,
+// applyOrphanedProgress takes the progress of a job whose row is gone: the job is finished,
 // or it has moved away.
-func (o *Owner) takeProgress(now time.Time, r tables.Row) {
+func (o *Owner) applyOrphanedProgress(now time.Time, r tables.Row) {
 	p := o.decodeProgress(r)
 	if p == nil || !p.State.Finished() {
 		if r.Version > 0 {
 			// The job may come back: only what is there now is removed.
-			o.litter.add(tables.Row{Table: r.Table, Part: r.Part, Key: r.Key, Version: r.Version})
+			o.deleteQueue.add(tables.Row{Table: r.Table, Part: r.Part, Key: r.Key, Version: r.Version})
 		}
 		return
 	}
 	o.shard.AddJob(now, cluster.Job{ID: r.Key, Service: o.cfg.Shard.Service, Shard: o.cfg.Shard.Index}, p, false)
 }
 
-// takeJob hands a job's row and its progress to the scheduler; false: the row can't
+// applyLoadedJob hands a job's row and its progress to the scheduler; false: the row can't
 // be read.
-func (o *Owner) takeJob(now time.Time, r tables.Row, progress map[string]tables.Row) bool {
+func (o *Owner) applyLoadedJob(now time.Time, r tables.Row, progress map[string]tables.Row) bool {
 	job, ok := o.decodeJob(r)
 	if !ok {
 		return false
@@ -85,11 +85,11 @@
 		}
 	}
 	if p != nil && p.State.Finished() {
-		o.litter.add(jobRows(o.cfg.Shard, r.Key)...)
+		o.deleteQueue.add(jobRows(o.cfg.Shard, r.Key)...)
 	}
 	o.shard.AddJob(now, job, p, true)
 	if p != nil && p.Moving {
-		o.group.Go(func() error { o.settleMarked(o.ctx, job.ID); return nil })
+		o.group.Go(func() error { o.resolveMarkedJob(o.ctx, job.ID); return nil })
 	}
 	return true
 }
--- a/internal/owner/unread.go
+++ b/internal/owner/unread.go
@@ -13,8 +13,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// unread is what a load has left out, since parts of the store didn't answer.
-type unread struct {
+// unreadParts is what a load has left out, since parts of the store didn't answer.
+type unreadParts struct {
 	parts map[string]bool
 	// progress is that of jobs which are not known yet, by their IDs.
 	progress map[string]tables.Row
@@ -22,8 +22,8 @@
 	rows []tables.Row
 }
 
-// take removes what belongs to a part and returns its progress and its rows.
-func (u *unread) take(service, part string) (progress map[string]tables.Row, rows []tables.Row) {
+// takePart removes what belongs to a part and returns its progress and its rows.
+func (u *unreadParts) takePart(service, part string) (progress map[string]tables.Row, rows []tables.Row) {
 	delete(u.parts, part)
 	progress = make(map[string]tables.Row)
 	for id, r := range u.progress {
@@ -41,50 +41,50 @@
 	return progress, rows
 }
 
-// isUnread reports whether a job lies in a part that has not been read. The caller
+// mayBeUnread reports whether a job lies in a part that has not been read. The caller
 // holds mu.
-func (o *Owner) isUnread(id string) bool {
-	return o.unread.parts[JobPart(o.cfg.Shard.Service, id)]
+func (o *Owner) mayBeUnread(id string) bool {
+	return o.unreadParts.parts[JobPart(o.cfg.Shard.Service, id)]
 }
 
-// takeLateParts takes the jobs of the parts that answer after the load.
-func (o *Owner) takeLateParts(ctx context.Context, read <-chan partJobs) {
+// applyLateParts takes the jobs of the parts that answer after the load.
+func (o *Owner) applyLateParts(ctx context.Context, partsRead <-chan jobPartRows) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p, ok := <-read:
+		case p, ok := <-partsRead:
 			if !ok {
 				return
 			}
-			o.takeLate(p)
+			o.applyLatePart(p)
 		}
 	}
 }
 
-// takeLate takes the jobs of one part.
-func (o *Owner) takeLate(p partJobs) {
+// applyLatePart takes the jobs of one part.
+func (o *Owner) applyLatePart(p jobPartRows) {
 	o.mu.Lock()
 	now := time.Now()
-	progress, newer := o.unread.take(o.cfg.Shard.Service, p.part)
-	jobs := o.takeJobs(now, append(p.rows, newer...), progress)
+	progress, newer := o.unreadParts.takePart(o.cfg.Shard.Service, p.part)
+	jobs := o.applyLoadedJobs(now, append(p.rows, newer...), progress)
 	o.shard.JobsRead(now)
-	o.rewriteSpilled()
-	left := len(o.unread.parts)
+	o.rewriteFallbackJobs()
+	left := len(o.unreadParts.parts)
 	o.mu.Unlock()
-	notify(o.wake)
+	notify(o.wakeScheduler)
 	o.Log.Info("part of the jobs loaded late", events.PartLoaded, zap.Stringer("shard", o.cfg.Shard), zap.String("part", p.part),
-		zap.Int("jobs", jobs), zap.Int("parts_left", left), zap.Duration("after", now.Sub(o.began)))
+		zap.Int("jobs", jobs), zap.Int("parts_left", left), zap.Duration("after", now.Sub(o.startedAt)))
 }
 
-// keepUnread puts the progress of jobs that may be unread aside. The caller holds mu.
-func (o *Owner) keepUnread(rows *loadedRows) {
-	o.unread = unread{parts: rows.missing, progress: make(map[string]tables.Row)}
+// deferUnreadJobs puts the progress of jobs that may be unread aside. The caller holds mu.
+func (o *Owner) deferUnreadJobs(rows *loadedRows) {
+	o.unreadParts = unreadParts{parts: rows.missingParts, progress: make(map[string]tables.Row)}
 	for id, r := range rows.progress {
-		if o.isUnread(id) {
-			o.unread.progress[id] = r
+		if o.mayBeUnread(id) {
+			o.unreadParts.progress[id] = r
 			delete(rows.progress, id)
 		}
 	}
-	o.shard.SetUnread(o.isUnread)
+	o.shard.SetUnread(o.mayBeUnread)
 }
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -36,29 +36,29 @@
 }
 
 // slack is how long the item may still wait and meet its deadline.
-func (i *WaitingJob) slack(now time.Time) time.Duration {
-	if i.Deadline.IsZero() {
+func (j *WaitingJob) slack(now time.Time) time.Duration {
+	if j.Deadline.IsZero() {
 		return 1<<63 - 1
 	}
-	return i.Deadline.Sub(now) - i.RunTime
+	return j.Deadline.Sub(now) - j.RunTime
 }
 
 // urgency groups slacks by powers of two of the run time, so that among items
 // that are about as urgent the largest can go first.
-func (i *WaitingJob) urgency(now time.Time) int {
-	if i.Deadline.IsZero() {
+func (j *WaitingJob) urgency(now time.Time) int {
+	if j.Deadline.IsZero() {
 		return bits.UintSize
 	}
-	return bits.Len64(uint64(max(0, i.slack(now)) / max(i.RunTime, time.Second)))
+	return bits.Len64(uint64(max(0, j.slack(now)) / max(j.RunTime, time.Second)))
 }
 
-// bulk is the size by which items that are about as urgent are ordered; those
+// sortSize is the size by which items that are about as urgent are ordered; those
 // without a deadline keep the order in which they came.
-func (i *WaitingJob) bulk() int64 {
-	if i.Deadline.IsZero() {
+func (j *WaitingJob) sortSize() int64 {
+	if j.Deadline.IsZero() {
 		return 0
 	}
-	return i.TaskSize.CPUMilli + i.TaskSize.MemoryMB
+	return j.TaskSize.CPUMilli + j.TaskSize.MemoryMB
 }
 
 // Order returns the indices of the items in the order in which to place them:
@@ -66,40 +66,40 @@
 // share goes first, those within their quota before those that borrow; within
 // a team the least slack goes first, of those about as urgent the largest, then
 // the oldest.
-func Order(now time.Time, items []WaitingJob, teams []Team, total resource.Amount) []int {
-	byTeam := sortedByTeam(now, items, len(teams))
+func Order(now time.Time, jobs []WaitingJob, teams []Team, total resource.Amount) []int {
+	byTeam := sortByTeam(now, jobs, len(teams))
 	used := make([]resource.Amount, len(teams))
 	for i := range teams {
 		used[i] = teams[i].Used
 	}
-	order := make([]int, 0, len(items))
-	for len(order) < len(items) {
+	order := make([]int, 0, len(jobs))
+	for len(order) < len(jobs) {
 		best := -1
 		for t := range teams {
-			if len(byTeam[t]) > 0 && (best < 0 || before(items, byTeam, teams, used, total, t, best)) {
+			if len(byTeam[t]) > 0 && (best < 0 || goesBefore(jobs, byTeam, teams, used, total, t, best)) {
 				best = t
 			}
 		}
 		next := byTeam[best][0]
 		byTeam[best] = byTeam[best][1:]
-		used[best] = used[best].Add(items[next].Demand)
+		used[best] = used[best].Add(jobs[next].Demand)
 		order = append(order, next)
 	}
 	return order
 }
 
-func sortedByTeam(now time.Time, items []WaitingJob, teams int) [][]int {
-	byTeam := make([][]int, teams)
-	for i := range items {
-		byTeam[items[i].TeamIndex] = append(byTeam[items[i].TeamIndex], i)
+func sortByTeam(now time.Time, jobs []WaitingJob, teamCount int) [][]int {
+	byTeam := make([][]int, teamCount)
+	for i := range jobs {
+		byTeam[jobs[i].TeamIndex] = append(byTeam[jobs[i].TeamIndex], i)
 	}
 	for _, list := range byTeam {
 		slices.SortStableFunc(list, func(a, b int) int {
-			x, y := &items[a], &items[b]
+			x, y := &jobs[a], &jobs[b]
 			return cmp.Or(
 				cmp.Compare(y.Priority, x.Priority),
 				cmp.Compare(x.urgency(now), y.urgency(now)),
-				cmp.Compare(y.bulk(), x.bulk()),
+				cmp.Compare(y.sortSize(), x.sortSize()),
 				cmp.Compare(x.slack(now), y.slack(now)),
 				x.Submitted.Compare(y.Submitted),
 			)
@@ -108,22 +108,22 @@
 	return byTeam
 }
 
-// before reports whether team a's first item goes before team b's.
-func before(items []WaitingJob, byTeam [][]int, teams []Team, used []resource.Amount, total resource.Amount, a, b int) bool {
-	x, y := &items[byTeam[a][0]], &items[byTeam[b][0]]
+// goesBefore reports whether team a's first item goes goesBefore team b's.
+func goesBefore(jobs []WaitingJob, byTeam [][]int, teams []Team, used []resource.Amount, total resource.Amount, a, b int) bool {
+	x, y := &jobs[byTeam[a][0]], &jobs[byTeam[b][0]]
 	if x.Priority != y.Priority {
 		return x.Priority > y.Priority
 	}
-	if within(teams[a], used[a], x) != within(teams[b], used[b], y) {
-		return within(teams[a], used[a], x)
+	if fitsQuota(teams[a], used[a], x) != fitsQuota(teams[b], used[b], y) {
+		return fitsQuota(teams[a], used[a], x)
 	}
-	return weighted(teams[a], used[a], total) < weighted(teams[b], used[b], total)
+	return weightedShare(teams[a], used[a], total) < weightedShare(teams[b], used[b], total)
 }
 
-func within(t Team, used resource.Amount, i *WaitingJob) bool {
-	return t.Quota.Fits(used.Add(i.Demand))
+func fitsQuota(t Team, used resource.Amount, j *WaitingJob) bool {
+	return t.Quota.Fits(used.Add(j.Demand))
 }
 
-func weighted(t Team, used, total resource.Amount) float64 {
+func weightedShare(t Team, used, total resource.Amount) float64 {
 	return used.DominantShare(total) / max(t.Weight, 1e-9)
 }
--- a/internal/policy/place.go
+++ b/internal/policy/place.go
@@ -42,20 +42,20 @@
 }
 
 const (
-	rackPenalty   = 10.0
-	workerPenalty = 3.0
-	strandPenalty = 5.0
+	sameRackPenalty        = 10.0
+	sameWorkerPenalty      = 3.0
+	idleAcceleratorPenalty = 5.0
 )
 
 // Place returns the index of the best candidate that has room for size.
-func Place(size resource.Amount, candidates []Candidate, shape Constraints, w Weights) (int, bool) {
+func Place(size resource.Amount, candidates []Candidate, constraints Constraints, w Weights) (int, bool) {
 	best, bestScore := -1, math.Inf(-1)
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Unschedulable || !c.Free.Fits(size) {
 			continue
 		}
-		if s := score(size, c, shape, w); s > bestScore {
+		if s := score(size, c, constraints, w); s > bestScore {
 			best, bestScore = i, s
 		}
 	}
@@ -63,20 +63,20 @@
 }
 
 // score rates a candidate that has room; higher is better.
-func score(size resource.Amount, c *Candidate, shape Constraints, w Weights) float64 {
-	fill := filled(size, c)
-	s := w.Packing*fill - w.Waiting*fill
-	if shape.Spread {
-		s -= rackPenalty*float64(c.RackTasks) + workerPenalty*float64(c.JobTasks)
+func score(size resource.Amount, c *Candidate, constraints Constraints, w Weights) float64 {
+	utilization := meanUtilization(size, c)
+	s := w.Packing*utilization - w.Waiting*utilization
+	if constraints.Spread {
+		s -= sameRackPenalty*float64(c.RackTasks) + sameWorkerPenalty*float64(c.JobTasks)
 	}
 	if size.Accelerators == 0 && c.Capacity.Accelerators > 0 {
-		s -= strandPenalty * float64(c.Free.Accelerators) / float64(c.Capacity.Accelerators)
+		s -= idleAcceleratorPenalty * float64(c.Free.Accelerators) / float64(c.Capacity.Accelerators)
 	}
 	return s
 }
 
-// filled returns the mean share of the worker that is in use once size is on it.
-func filled(size resource.Amount, c *Candidate) float64 {
+// meanUtilization returns the mean share of the worker that is in use once size is on it.
+func meanUtilization(size resource.Amount, c *Candidate) float64 {
 	used := c.Capacity.Sub(c.Free).Add(size)
 	sum, n := 0.0, 0.0
 	for _, d := range [...]struct{ used, capacity int64 }{
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	packs = policy.Weights{Packing: 1}
-	waits = policy.Weights{Waiting: 1}
+	packing = policy.Weights{Packing: 1}
+	waiting = policy.Weights{Waiting: 1}
 )
 
 func amount(cpu, mem, acc int64) resource.Amount {
@@ -28,31 +28,31 @@
 func TestPlace(t *testing.T) {
 	full := policy.Candidate{Free: amount(1000, 1000, 0), Capacity: amount(4000, 4000, 0)}
 	empty := policy.Candidate{Free: amount(4000, 4000, 0), Capacity: amount(4000, 4000, 0)}
-	accel := policy.Candidate{Free: amount(4000, 4000, 2), Capacity: amount(4000, 4000, 2)}
-	closed := empty
-	closed.Unschedulable = true
+	withAccelerators := policy.Candidate{Free: amount(4000, 4000, 2), Capacity: amount(4000, 4000, 2)}
+	unschedulable := empty
+	unschedulable.Unschedulable = true
 	sameRack := empty
 	sameRack.RackTasks = 1
 	tests := []struct {
-		name    string
-		size    resource.Amount
-		cs      []policy.Candidate
-		shape   policy.Constraints
-		weights policy.Weights
-		want    int
-		ok      bool
+		name       string
+		size       resource.Amount
+		candidates []policy.Candidate
+		shape      policy.Constraints
+		weights    policy.Weights
+		want       int
+		ok         bool
 	}{
-		{"packing fills the fuller", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packs, 1, true},
-		{"waiting takes the emptier", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waits, 1, true},
-		{"no room", amount(5000, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, packs, -1, false},
-		{"closed", amount(500, 500, 0), []policy.Candidate{closed}, policy.Constraints{}, packs, -1, false},
-		{"accelerators are kept free", amount(500, 500, 0), []policy.Candidate{accel, empty}, policy.Constraints{}, packs, 1, true},
-		{"accelerators where asked", amount(500, 500, 1), []policy.Candidate{empty, accel}, policy.Constraints{}, packs, 1, true},
-		{"another rack", amount(500, 500, 0), []policy.Candidate{sameRack, full}, policy.Constraints{Spread: true}, waits, 1, true},
+		{"packing fills the fuller", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packing, 1, true},
+		{"waiting takes the emptier", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waiting, 1, true},
+		{"no room", amount(5000, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, packing, -1, false},
+		{"closed", amount(500, 500, 0), []policy.Candidate{unschedulable}, policy.Constraints{}, packing, -1, false},
+		{"accelerators are kept free", amount(500, 500, 0), []policy.Candidate{withAccelerators, empty}, policy.Constraints{}, packing, 1, true},
+		{"accelerators where asked", amount(500, 500, 1), []policy.Candidate{empty, withAccelerators}, policy.Constraints{}, packing, 1, true},
+		{"another rack", amount(500, 500, 0), []policy.Candidate{sameRack, full}, policy.Constraints{Spread: true}, waiting, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, ok := policy.Place(tt.size, tt.cs, tt.shape, tt.weights)
+			got, ok := policy.Place(tt.size, tt.candidates, tt.shape, tt.weights)
 			if got != tt.want || ok != tt.ok {
 				t.Errorf("have %d, %t", got, ok)
 			}
--- a/internal/policy/preempt.go
+++ b/internal/policy/preempt.go
@@ -29,17 +29,17 @@
 	if free.Fits(size) {
 		return nil, true
 	}
-	var may []int
+	var eligible []int
 	for i, t := range tasks {
 		if t.Preemptible && t.Priority < priority && t.Attempt <= MaxPreemptions {
-			may = append(may, i)
+			eligible = append(eligible, i)
 		}
 	}
-	slices.SortStableFunc(may, func(a, b int) int {
+	slices.SortStableFunc(eligible, func(a, b int) int {
 		return cmp.Or(cmp.Compare(tasks[a].Priority, tasks[b].Priority), cmp.Compare(tasks[a].Attempt, tasks[b].Attempt))
 	})
 	var chosen []int
-	for _, i := range may {
+	for _, i := range eligible {
 		if free.Fits(size) {
 			break
 		}
@@ -49,11 +49,11 @@
 	if !free.Fits(size) {
 		return nil, false
 	}
-	return spare(size, free, tasks, chosen), true
+	return dropUnneeded(size, free, tasks, chosen), true
 }
 
-// spare leaves out the tasks whose room turned out not to be needed.
-func spare(size, free resource.Amount, tasks []RunningTask, chosen []int) []int {
+// dropUnneeded leaves out the tasks whose room turned out not to be needed.
+func dropUnneeded(size, free resource.Amount, tasks []RunningTask, chosen []int) []int {
 	var needed []int
 	for _, i := range chosen {
 		if without := free.Sub(tasks[i].Size); without.Fits(size) {
--- a/internal/policy/preempt_test.go
+++ b/internal/policy/preempt_test.go
@@ -16,10 +16,10 @@
 
 func TestVictims(t *testing.T) {
 	low := policy.RunningTask{Priority: 1, Size: amount(1000, 1000, 0), Attempt: 1, Preemptible: true}
-	mid, fixed, weary, large := low, low, low, low
+	mid, nonPreemptible, preemptedOften, large := low, low, low, low
 	mid.Priority = 5
-	fixed.Preemptible = false
-	weary.Attempt = policy.MaxPreemptions + 1
+	nonPreemptible.Preemptible = false
+	preemptedOften.Attempt = policy.MaxPreemptions + 1
 	large.Size = amount(3000, 3000, 0)
 	tests := []struct {
 		name     string
@@ -29,9 +29,9 @@
 		ok       bool
 	}{
 		{"the least urgent goes", 9, []policy.RunningTask{mid, low}, "[1]", true},
-		{"not one as urgent", 5, []policy.RunningTask{mid, fixed}, "[]", false},
-		{"not one that may not", 9, []policy.RunningTask{fixed}, "[]", false},
-		{"not one over and over", 9, []policy.RunningTask{weary}, "[]", false},
+		{"not one as urgent", 5, []policy.RunningTask{mid, nonPreemptible}, "[]", false},
+		{"not one that may not", 9, []policy.RunningTask{nonPreemptible}, "[]", false},
+		{"not one over and over", 9, []policy.RunningTask{preemptedOften}, "[]", false},
 		{"none that is not needed", 9, []policy.RunningTask{low, large}, "[1]", true},
 	}
 	for _, tt := range tests {
@@ -65,19 +65,19 @@
 		if !ok {
 			return true
 		}
-		all := free
+		freed := free
 		for _, i := range chosen {
 			if t := tasks[i]; !t.Preemptible || t.Priority >= 3 || t.Attempt > policy.MaxPreemptions {
 				return false
 			}
-			all = all.Add(tasks[i].Size)
+			freed = freed.Add(tasks[i].Size)
 		}
 		for _, i := range chosen {
-			if all.Sub(tasks[i].Size).Fits(size) {
+			if freed.Sub(tasks[i].Size).Fits(size) {
 				return false
 			}
 		}
-		return all.Fits(size)
+		return freed.Fits(size)
 	}, gen.Int64()))
 	props.TestingRun(t)
 }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -49,9 +49,9 @@
 	return max(share(a.CPUMilli, total.CPUMilli), share(a.MemoryMB, total.MemoryMB), share(a.Accelerators, total.Accelerators))
 }
 
-func share(part, whole int64) float64 {
-	if whole <= 0 {
+func share(used, total int64) float64 {
+	if total <= 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(used) / float64(total)
 }
--- a/internal/tables/busyfeed_test.go
+++ b/internal/tables/busyfeed_test.go
@@ -15,16 +15,16 @@
 // that announce themselves every 1.5 s. A version is one change.
 type busyService struct {
 	fakeService
-	began time.Time
+	startedAt time.Time
 }
 
 const (
 	changesPerSecond = 733
-	feedMost         = 500
+	maxFeedRows      = 500
 )
 
 func (s *busyService) version() int64 {
-	return 1 + int64(time.Since(s.began).Seconds()*changesPerSecond)
+	return 1 + int64(time.Since(s.startedAt).Seconds()*changesPerSecond)
 }
 
 // List answers an empty list.
@@ -36,7 +36,7 @@
 func (s *busyService) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	tables.Sleep(ctx, 4*time.Millisecond)
 	var res tables.FeedResult
-	for res.Version = req.After; res.Version < s.version() && len(res.Rows) < feedMost; {
+	for res.Version = req.After; res.Version < s.version() && len(res.Rows) < maxFeedRows; {
 		res.Version++
 		res.Rows = append(res.Rows, tables.Row{Table: req.Table, Key: "k", Version: res.Version})
 	}
@@ -51,22 +51,22 @@
 // leaves by as much later.
 func TestFollowerKeepsUpWithABusyFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const pause, behindMost = time.Second, 1500 * time.Millisecond
+		const pause, maxLag = time.Second, 1500 * time.Millisecond
 		ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 		defer stop()
-		svc := &busyService{began: time.Now()}
-		var behind time.Duration
+		svc := &busyService{startedAt: time.Now()}
+		var lag time.Duration
 		f := tables.Follower{
 			Service: svc, Table: "t", Parts: []string{""}, FeedWait: time.Second, Pause: pause, OnError: func(error) {},
 			Apply: func(rows []tables.Row, _ bool) {
 				if len(rows) > 0 {
-					behind = time.Duration(svc.version()-rows[0].Version) * time.Second / changesPerSecond
+					lag = time.Duration(svc.version()-rows[0].Version) * time.Second / changesPerSecond
 				}
 			},
 		}
 		f.Run(ctx)
-		if behind > behindMost {
-			t.Errorf("after 20 s the follower is %s behind, want %s at most", behind, behindMost)
+		if lag > maxLag {
+			t.Errorf("after 20 s the follower is %s behind, want %s at most", lag, maxLag)
 		}
 	})
 }
--- a/internal/tables/follow.go
+++ b/internal/tables/follow.go
@@ -27,93 +27,93 @@
 	// After is the version up to which the caller knows the table; 0: list first.
 	After int64
 	// Apply takes changed rows; whole is true for a full list of the parts.
-	Apply func(rows []Row, whole bool)
+	Apply func(rows []Row, full bool)
 	// OnError is told of the first failed call after one that was answered.
 	OnError func(err error)
 
 	failing bool
 	// listedAt is when the table was last listed.
 	listedAt time.Time
-	// mark is a version that the feed has shown without a change, and markedAt when;
+	// quietVersion is a version that the feed has shown without a change, and markedAt when;
 	// only a table that isn't listed again needs it.
-	mark     int64
-	markedAt time.Time
+	quietVersion int64
+	quietAt      time.Time
 }
 
-// retryPause is the pause after a failed call: short beside the bounds on
+// followRetryDelay is the pause after a failed call: short beside the bounds on
 // configuration (2 s), long beside the answer time of the service (4 ms).
-const retryPause = 100 * time.Millisecond
+const followRetryDelay = 100 * time.Millisecond
 
-// feedFull is from how many rows on an answer of the feed may be cut short, with more
+// fullFeedRows is from how many rows on an answer of the feed may be cut short, with more
 // waiting behind it: the service answers 500 at most. Of 1,100 workers that each announce
 // themselves every 1.5 s, a pause of 1 s after each answer left more behind each second.
-const feedFull = 250
+const fullFeedRows = 250
 
-// markAge is how old a version has to be that the feed has shown without a change
+// minQuietAge is how old a version has to be that the feed has shown without a change
 // before the feed goes on from there. A feed can be deaf for a second before its history
 // is dropped; one that went on at once would then never learn of what it missed. It is
 // well below the 20 s for which the service keeps its history.
-const markAge = 5 * time.Second
+const minQuietAge = 5 * time.Second
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	after, relist := f.After, f.After == 0
 	for ctx.Err() == nil {
 		if relist {
-			after = f.listAfter(ctx, after)
+			after = f.listAndApply(ctx, after)
 			if after == 0 {
 				continue
 			}
 		}
 		res, err := f.Service.Feed(ctx, FeedRequest{Table: f.Table, After: after, Wait: f.FeedWait})
 		if err != nil {
-			gone := KindOf(err) == KindHistoryGone
-			if gone {
+			historyGone := KindOf(err) == KindHistoryGone
+			if historyGone {
 				after = 0
 			}
-			relist = gone || f.RelistAfter > 0 || f.failing
-			f.fail(ctx, err)
+			relist = historyGone || f.RelistAfter > 0 || f.failing
+			f.handleError(ctx, err)
 			continue
 		}
 		f.failing = false
 		if len(res.Rows) == 0 {
 			relist = f.RelistAfter > 0 && time.Since(f.listedAt) >= f.RelistAfter
 			if f.RelistAfter == 0 {
-				after = f.advance(after, res.Version)
+				after = f.advanceQuiet(after, res.Version)
 			}
 			continue
 		}
 		relist = false
 		f.Apply(res.Rows, false)
-		after, f.mark = res.Version, 0
-		if len(res.Rows) < feedFull {
+		after, f.quietVersion = res.Version, 0
+		if len(res.Rows) < fullFeedRows {
 			Sleep(ctx, f.Pause)
 		}
 	}
 }
 
-// advance returns from where the feed goes on after it has shown a version without a
+// advanceQuiet returns from where the feed goes on after it has shown a version without a
 // change: from an earlier such version, so that it stays within the history.
-func (f *Follower) advance(after, version int64) int64 {
+func (f *Follower) advanceQuiet(after, version int64) int64 {
 	now := time.Now()
-	if f.mark != 0 && now.Sub(f.markedAt) < markAge {
+	if f.quietVersion != 0 && now.Sub(f.quietAt) < minQuietAge {
 		return after
 	}
-	after = max(after, f.mark)
-	f.mark, f.markedAt = version, now
+	after = max(after, f.quietVersion)
+	f.quietVersion, f.quietAt = version, now
 	return after
 }
 
-// listAfter applies a list of all parts and returns the version from which the feed
+// listAndApply applies a list of all parts and returns the version from which the feed
 // goes on. A list fails while one of the parts is away: the feed then goes on from
 // where it was, if that is known.
-func (f *Follower) listAfter(ctx context.Context, after int64) int64 {
-	rows, version, err := f.list(ctx)
+func (f *Follower) listAndApply(ctx context.Context, after int64) int64 {
+	rows, version, err := f.listParts(ctx)
 	if err != nil {
-		f.fail(ctx, err)
+		f.handleError(ctx, err)
 		return after
 	}
-	f.failing, f.listedAt, f.mark = false, time.Now(), 0
+	f.failing, f.listedAt, f.quietVersion = false, time.Now(), 0
 	f.Apply(rows, true)
 	return version
 }
@@ -122,9 +122,9 @@
 // since each list takes 0.4 s while the service is slow.
 const MaxParallelLists = 40
 
-// list reads all parts. The version is the oldest of theirs, from which the feed
+// listParts reads all parts. The version is the oldest of theirs, from which the feed
 // repeats what later lists have shown.
-func (f *Follower) list(ctx context.Context) ([]Row, int64, error) {
+func (f *Follower) listParts(ctx context.Context) ([]Row, int64, error) {
 	lists := make([][]Row, len(f.Parts))
 	versions := make([]int64, len(f.Parts))
 	g, ctx := errgroup.WithContext(ctx)
@@ -141,13 +141,13 @@
 	return slices.Concat(lists...), max(slices.Min(versions), 1), nil
 }
 
-// fail tells of a failed call, unless the one before it failed too, and waits a little.
-func (f *Follower) fail(ctx context.Context, err error) {
+// handleError tells of a failed call, unless the one before it failed too, and waits a little.
+func (f *Follower) handleError(ctx context.Context, err error) {
 	if ctx.Err() == nil && !f.failing {
 		f.failing = true
 		f.OnError(err)
 	}
-	Sleep(ctx, retryPause)
+	Sleep(ctx, followRetryDelay)
 }
 
 // Sleep waits for d or until ctx ends.
--- a/internal/tables/follow_test.go
+++ b/internal/tables/follow_test.go
@@ -16,14 +16,14 @@
 // partialService is a table of which one part is away, and whose feed has a row a second.
 type partialService struct {
 	fakeService
-	// away is the part that can't be listed.
-	away  string
-	began time.Time
+	// unavailablePart is the part that can't be listed.
+	unavailablePart string
+	startedAt       time.Time
 }
 
 // List answers an empty list, unless the part is away.
 func (s *partialService) List(_ context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	if req.Part == s.away {
+	if req.Part == s.unavailablePart {
 		return tables.ListResult{}, &tables.Error{Op: "fake", Kind: tables.KindRefused, Err: errors.New("away")}
 	}
 	return tables.ListResult{Version: s.version()}, nil
@@ -39,29 +39,29 @@
 	return tables.FeedResult{Rows: []tables.Row{{Table: req.Table, Key: "k", Version: v}}, Version: v}, nil
 }
 
-func (s *partialService) version() int64 { return 1 + int64(time.Since(s.began)/time.Second) }
+func (s *partialService) version() int64 { return 1 + int64(time.Since(s.startedAt)/time.Second) }
 
 // TestFollowerWithPartAway checks that a feed goes on from where it was while a part
 // can't be listed, and that nothing is missed.
 func TestFollowerWithPartAway(t *testing.T) {
-	const known, seconds = 1, 10
+	const knownVersion, seconds = 1, 10
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), seconds*time.Second+time.Second/2)
 		defer stop()
-		svc := &partialService{away: "b", began: time.Now()}
-		var seen []int64
+		svc := &partialService{unavailablePart: "b", startedAt: time.Now()}
+		var versions []int64
 		f := tables.Follower{
-			Service: svc, Table: "t", Parts: []string{"a", "b"}, FeedWait: 300 * time.Millisecond, After: known,
+			Service: svc, Table: "t", Parts: []string{"a", "b"}, FeedWait: 300 * time.Millisecond, After: knownVersion,
 			Apply: func(rows []tables.Row, _ bool) {
 				for _, r := range rows {
-					seen = append(seen, r.Version)
+					versions = append(versions, r.Version)
 				}
 			},
 			OnError: func(error) {},
 		}
 		f.Run(ctx)
-		if len(seen) != seconds || seen[0] != known+1 {
-			t.Errorf("the versions %v were seen, want %d of them, from %d", seen, seconds, known+1)
+		if len(versions) != seconds || versions[0] != knownVersion+1 {
+			t.Errorf("the versions %v were seen, want %d of them, from %d", versions, seconds, knownVersion+1)
 		}
 	})
 }
--- a/internal/tables/look.go
+++ b/internal/tables/look.go
@@ -9,13 +9,13 @@
 	"switchbank.example/switchbank/internal/conns"
 )
 
-// silentDirect is how long a call may go without an answer while no other call
+// silenceTimeout is how long a call may go without an answer while no other call
 // gets one: a node that is cut off from the service alone is so found before the
 // call's own limit. A service that is 100 times slower answers a write in 0.7 s.
-const silentDirect = 900 * time.Millisecond
+const silenceTimeout = 900 * time.Millisecond
 
-// giveUpSilent ends a direct call early if the service answers nothing meanwhile.
-func (r *Relay) giveUpSilent(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
+// cancelIfSilent ends a direct call early if the service answers nothing meanwhile.
+func (r *Relay) cancelIfSilent(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
 	sent := time.Now()
 	return time.AfterFunc(after, func() {
 		r.mu.Lock()
@@ -28,25 +28,25 @@
 }
 
 const (
-	// lostAfter is how long a call may go without an answer before the node looks
+	// lostAnswerTimeout is how long a call may go without an answer before the node looks
 	// whether the service is fast: then the answer is lost, or the connection has
 	// gone silent. A fast service answers in 4 ms, and a node that has used up its
 	// processor quota stands still for 0.1 s.
-	lostAfter = 200 * time.Millisecond
-	// lookTimeout bounds one look, and lookTries is how many there are: the first
+	lostAnswerTimeout = 200 * time.Millisecond
+	// healthCheckTimeout bounds one look, and lookTries is how many there are: the first
 	// may be made on a connection that has gone silent too.
-	lookTimeout = 50 * time.Millisecond
-	lookTries   = 2
-	// lookPause is for how long a look in vain counts: a slow service is not looked
+	healthCheckTimeout = 50 * time.Millisecond
+	healthCheckTries   = 2
+	// failedCheckValid is for how long a look in vain counts: a slow service is not looked
 	// for again for each of its calls.
-	lookPause = 700 * time.Millisecond
+	failedCheckValid = 700 * time.Millisecond
 )
 
-// giveUpLost ends a direct call early if nothing of its answer has arrived and the
+// cancelIfAnswerLost ends a direct call early if nothing of its answer has arrived and the
 // service answers another one at once.
-func (r *Relay) giveUpLost(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
+func (r *Relay) cancelIfAnswerLost(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
 	return time.AfterFunc(after, func() {
-		if conns.Arriving(ctx) || !r.answers() {
+		if conns.Arriving(ctx) || !r.responds() {
 			return
 		}
 		// The look took a while, in which the answer may have begun to arrive.
@@ -56,30 +56,30 @@
 	})
 }
 
-// answers reports whether the service answers at once. A look counts for a while:
+// responds reports whether the service responds at once. A look counts for a while:
 // longer if it was in vain.
-func (r *Relay) answers() bool {
+func (r *Relay) responds() bool {
 	r.mu.Lock()
-	age, found := time.Since(r.lookedAt), r.found
+	age, healthy := time.Since(r.checkedAt), r.healthy
 	r.mu.Unlock()
-	if age < lookPause && (!found || age < lookTimeout) {
-		return found
+	if age < failedCheckValid && (!healthy || age < healthCheckTimeout) {
+		return healthy
 	}
-	answers, _, _ := r.looks.Do("", func() (any, error) {
-		found := r.lookNow()
+	responds, _, _ := r.healthChecks.Do("", func() (any, error) {
+		healthy := r.checkHealth()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.lookedAt, r.found = time.Now(), found
-		return found, nil
+		r.checkedAt, r.healthy = time.Now(), healthy
+		return healthy, nil
 	})
-	return answers.(bool)
+	return responds.(bool)
 }
 
-// lookNow makes the calls of one look.
-func (r *Relay) lookNow() bool {
-	for range lookTries {
-		err := r.lookOnce(context.Background(), lookTimeout)
-		r.answered(err)
+// checkHealth makes the calls of one look.
+func (r *Relay) checkHealth() bool {
+	for range healthCheckTries {
+		err := r.checkHealthOnce(context.Background(), healthCheckTimeout)
+		r.noteAnswer(err)
 		if err == nil {
 			return true
 		}
@@ -87,16 +87,16 @@
 	return false
 }
 
-// lookOnce reads the list that shows whether the service answers.
-func (r *Relay) lookOnce(ctx context.Context, timeout time.Duration) error {
+// checkHealthOnce reads the list that shows whether the service answers.
+func (r *Relay) checkHealthOnce(ctx context.Context, timeout time.Duration) error {
 	c, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, err := r.direct.List(c, r.look)
+	_, err := r.direct.List(c, r.healthCheck)
 	return err
 }
 
-// answered notes an answer of the service.
-func (r *Relay) answered(err error) {
+// noteAnswer notes an answer of the service.
+func (r *Relay) noteAnswer(err error) {
 	if IsUnknown(err) {
 		return
 	}
--- a/internal/tables/quiet_test.go
+++ b/internal/tables/quiet_test.go
@@ -13,34 +13,34 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// history is how long quietService keeps what has changed.
-const history = 20 * time.Second
+// historyKept is how long quietService keeps what has changed.
+const historyKept = 20 * time.Second
 
 // quietService is a table of one row that changes once, among others that change each
 // 100 ms, so that the version rises all the while.
 type quietService struct {
 	fakeService
-	began time.Time
-	// changes is when the row changes; until then it has version 1.
-	changes time.Duration
-	// deaf is how long from then on the feed shows nothing; after it the history is gone.
-	deaf  time.Duration
-	lists int
-	feeds int
+	startedAt time.Time
+	// changeAfter is when the row changeAfter; until then it has version 1.
+	changeAfter time.Duration
+	// outage is how long from then on the feed shows nothing; after it the history is gone.
+	outage time.Duration
+	lists  int
+	feeds  int
 }
 
 // tick is how often the version rises.
 const tick = 100 * time.Millisecond
 
 // version is the newest one.
-func (s *quietService) version() int64 { return 1 + int64(time.Since(s.began)/tick) }
+func (s *quietService) version() int64 { return 1 + int64(time.Since(s.startedAt)/tick) }
 
-// changed is the version of the row's change, or 0 if it hasn't changed yet.
-func (s *quietService) changed() int64 {
-	if time.Since(s.began) < s.changes {
+// changedVersion is the version of the row's change, or 0 if it hasn't changedVersion yet.
+func (s *quietService) changedVersion() int64 {
+	if time.Since(s.startedAt) < s.changeAfter {
 		return 0
 	}
-	return 1 + int64(s.changes/tick)
+	return 1 + int64(s.changeAfter/tick)
 }
 
 func (s *quietService) row(version int64) tables.Row {
@@ -50,23 +50,23 @@
 // List answers the row as it stands.
 func (s *quietService) List(context.Context, tables.ListRequest) (tables.ListResult, error) {
 	s.lists++
-	return tables.ListResult{Rows: []tables.Row{s.row(max(1, s.changed()))}, Version: s.version()}, nil
+	return tables.ListResult{Rows: []tables.Row{s.row(max(1, s.changedVersion()))}, Version: s.version()}, nil
 }
 
 // Feed answers the change as soon as it is there, unless the feed is deaf.
 func (s *quietService) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	s.feeds++
 	for end := time.Now().Add(req.Wait); ; tables.Sleep(ctx, tick/10) {
-		since := time.Since(s.began)
-		oldest := s.version() - int64(history/tick)
-		if s.deaf > 0 && since >= s.changes+s.deaf {
-			oldest = max(oldest, 1+int64((s.changes+s.deaf)/tick))
+		since := time.Since(s.startedAt)
+		oldest := s.version() - int64(historyKept/tick)
+		if s.outage > 0 && since >= s.changeAfter+s.outage {
+			oldest = max(oldest, 1+int64((s.changeAfter+s.outage)/tick))
 		}
 		if req.After < oldest {
 			return tables.FeedResult{}, &tables.Error{Op: "feed", Kind: tables.KindHistoryGone, Err: errors.New("gone")}
 		}
-		hears := s.deaf == 0 || since < s.changes || since >= s.changes+s.deaf
-		if v := s.changed(); hears && v > req.After {
+		shown := s.outage == 0 || since < s.changeAfter || since >= s.changeAfter+s.outage
+		if v := s.changedVersion(); shown && v > req.After {
 			return tables.FeedResult{Rows: []tables.Row{s.row(v)}, Version: s.version()}, nil
 		}
 		if !time.Now().Before(end) || ctx.Err() != nil {
@@ -85,14 +85,14 @@
 // never show what was changed while it was deaf.
 func TestFollowerOfQuietTable(t *testing.T) {
 	const (
-		lasts = 90 * time.Second
-		// within is by when a change is seen once the feed hears again.
-		within = 2 * time.Second
+		duration = 90 * time.Second
+		// maxDelay is by when a change is seen once the feed hears again.
+		maxDelay = 2 * time.Second
 	)
 	for _, c := range []struct {
-		name          string
-		changes, deaf time.Duration
-		lists         int
+		name                string
+		changeAfter, outage time.Duration
+		lists               int
 	}{
 		{"no change", time.Hour, 0, 1},
 		{"a change", 47 * time.Second, 0, 1},
@@ -103,34 +103,34 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, stop := context.WithTimeout(t.Context(), lasts)
+				ctx, stop := context.WithTimeout(t.Context(), duration)
 				defer stop()
-				svc := &quietService{began: time.Now(), changes: c.changes, deaf: c.deaf}
-				var seen int64
+				svc := &quietService{startedAt: time.Now(), changeAfter: c.changeAfter, outage: c.outage}
+				var seenVersion int64
 				var seenAt time.Duration
 				f := tables.Follower{
 					Service: svc, Table: "t", Parts: []string{""}, FeedWait: time.Second,
 					Apply: func(rows []tables.Row, _ bool) {
 						for _, r := range rows {
-							if r.Version > seen {
-								seen, seenAt = r.Version, time.Since(svc.began)
+							if r.Version > seenVersion {
+								seenVersion, seenAt = r.Version, time.Since(svc.startedAt)
 							}
 						}
 					},
 					OnError: func(error) {},
 				}
 				f.Run(ctx)
-				if want := max(1, svc.changed()); seen != want {
-					t.Errorf("the row was seen at version %d, want %d", seen, want)
+				if want := max(1, svc.changedVersion()); seenVersion != want {
+					t.Errorf("the row was seen at version %d, want %d", seenVersion, want)
 				}
-				if late := seenAt - c.changes - c.deaf; late > within {
-					t.Errorf("the change was seen %s late, want %s at most", late, within)
+				if delay := seenAt - c.changeAfter - c.outage; delay > maxDelay {
+					t.Errorf("the change was seen %s late, want %s at most", delay, maxDelay)
 				}
 				if svc.lists != c.lists {
 					t.Errorf("the table was listed %d times, want %d", svc.lists, c.lists)
 				}
-				if most := 2 * int(lasts/time.Second); svc.feeds > most {
-					t.Errorf("the feed was called %d times, want %d at most", svc.feeds, most)
+				if maxFeeds := 2 * int(duration/time.Second); svc.feeds > maxFeeds {
+					t.Errorf("the feed was called %d times, want %d at most", svc.feeds, maxFeeds)
 				}
 			})
 		})
--- a/internal/tables/relay.go
+++ b/internal/tables/relay.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// probeEvery is how often a node that the service turns away looks for its
+	// probeInterval is how often a node that the service turns away looks for its
 	// return, and probeTimeout bounds one look; calls go through peers meanwhile,
 	// so that none of them waits for a service that doesn't answer.
-	probeEvery   = 300 * time.Millisecond
-	probeTimeout = 400 * time.Millisecond
-	// maxPeers is how many peers one call may try: with a third of the nodes
+	probeInterval = 300 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond
+	// maxRelayPeers is how many peers one call may try: with a third of the nodes
 	// turned away, two in three chains of two find a peer that is served.
-	maxPeers = 3
+	maxRelayPeers = 3
 )
 
 // Peers finds the table service behind other nodes.
@@ -34,25 +34,25 @@
 type Relay struct {
 	direct Service
 	peers  Peers
-	// look is the list that shows whether the service answers.
-	look ListRequest
-	// looks lets calls that wait together share one look.
-	looks singleflight.Group
+	// healthCheck is the list that shows whether the service answers.
+	healthCheck ListRequest
+	// healthChecks lets calls that wait together share one look.
+	healthChecks singleflight.Group
 
 	mu sync.Mutex
 	// lastAnswer is when the service last answered this node.
 	lastAnswer time.Time
-	// lookedAt is when a look last ended, and found whether it was answered.
-	lookedAt time.Time
-	found    bool
-	// bad is set while the service turns this node away.
-	bad bool
+	// checkedAt is when a look last ended, and found whether it was answered.
+	checkedAt time.Time
+	healthy   bool
+	// down is set while the service turns this node away.
+	down bool
 }
 
 // NewRelay returns a Relay over the direct service and the peers, which reads look
 // to see whether the service answers.
-func NewRelay(direct Service, peers Peers, look ListRequest) *Relay {
-	return &Relay{direct: direct, peers: peers, look: look}
+func NewRelay(direct Service, peers Peers, healthCheck ListRequest) *Relay {
+	return &Relay{direct: direct, peers: peers, healthCheck: healthCheck}
 }
 
 // Direct returns the service itself, for calls made on behalf of a peer.
@@ -62,25 +62,25 @@
 func (r *Relay) DirectAvailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.bad
+	return !r.down
 }
 
-// setBad notes whether the service turns this node away.
-func (r *Relay) setBad(bad bool) {
+// setDown notes whether the service turns this node away.
+func (r *Relay) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bad = bad
+	r.down = down
 }
 
 // Probe looks for the service's return while it turns this node away, until ctx ends.
 func (r *Relay) Probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		Sleep(ctx, probeEvery)
+		Sleep(ctx, probeInterval)
 		if r.DirectAvailable() {
 			continue
 		}
-		if err := r.lookOnce(ctx, probeTimeout); err == nil {
-			r.setBad(false)
+		if err := r.checkHealthOnce(ctx, probeTimeout); err == nil {
+			r.setDown(false)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 // Commit commits txn. A write whose outcome is unknown is not repeated here:
 // the caller settles it by its conditions.
 func (r *Relay) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
-	return relayed(ctx, r, limits{wait: sending(txn.size()), most: commitTimeout, write: true}, func(ctx context.Context, s Service) (TxnResult, error) { return s.Commit(ctx, txn) })
+	return callWithRelay(ctx, r, callLimits{wait: uploadTime(txn.size()), timeout: commitTimeout, write: true}, func(ctx context.Context, s Service) (TxnResult, error) { return s.Commit(ctx, txn) })
 }
 
 // List reads rows.
@@ -101,8 +101,8 @@
 	return r.list(ctx, req, true)
 }
 
-func (r *Relay) list(ctx context.Context, req ListRequest, own bool) (ListResult, error) {
-	return relayed(ctx, r, limits{most: listTimeout, own: own}, func(ctx context.Context, s Service) (ListResult, error) { return s.List(ctx, req) })
+func (r *Relay) list(ctx context.Context, req ListRequest, directOnly bool) (ListResult, error) {
+	return callWithRelay(ctx, r, callLimits{timeout: listTimeout, directOnly: directOnly}, func(ctx context.Context, s Service) (ListResult, error) { return s.List(ctx, req) })
 }
 
 // Feed waits for changes.
@@ -115,21 +115,21 @@
 	return r.feed(ctx, req, true)
 }
 
-func (r *Relay) feed(ctx context.Context, req FeedRequest, own bool) (FeedResult, error) {
-	return relayed(ctx, r, limits{most: listTimeout, wait: req.Wait, own: own}, func(ctx context.Context, s Service) (FeedResult, error) { return s.Feed(ctx, req) })
+func (r *Relay) feed(ctx context.Context, req FeedRequest, directOnly bool) (FeedResult, error) {
+	return callWithRelay(ctx, r, callLimits{timeout: listTimeout, wait: req.Wait, directOnly: directOnly}, func(ctx context.Context, s Service) (FeedResult, error) { return s.Feed(ctx, req) })
 }
 
 // request makes one call of a service.
 type request[Res any] func(ctx context.Context, s Service) (Res, error)
 
-// limits bound one call.
-type limits struct {
+// callLimits bound one call.
+type callLimits struct {
 	// wait is how long the request takes on its way, or for how long the service may hold
-	// the answer back, and most how much longer that may take to begin.
-	wait, most time.Duration
-	// write is set if the call may not be repeated without an answer, and own if it may
+	// the answer back, and timeout how much longer that may take to begin.
+	wait, timeout time.Duration
+	// write is set if the call may not be repeated without an answer, and directOnly if it may
 	// not go through peers.
-	write, own bool
+	write, directOnly bool
 }
 
 const (
@@ -141,85 +141,85 @@
 	listTimeout   = time.Second
 )
 
-// uploadRate is what a node can send at least, in bytes a second: half of a link of 10
+// minUploadRate is what a node can send at least, in bytes a second: half of a link of 10
 // Mbit/s, the slowest that nodes have.
-const uploadRate = 625_000
+const minUploadRate = 625_000
 
-// sending returns how long a request of a size may be on its way. A write that is given
+// uploadTime returns how long a request of a size may be on its way. A write that is given
 // up while it is being sent counts as unknown and is sent again, over the same link.
-func sending(size int) time.Duration {
-	return time.Duration(size) * time.Second / uploadRate
+func uploadTime(size int) time.Duration {
+	return time.Duration(size) * time.Second / minUploadRate
 }
 
-// relayed makes a call directly, or through peers while the service turns this node away.
-func relayed[Res any](ctx context.Context, r *Relay, lim limits, call request[Res]) (res Res, err error) {
+// callWithRelay makes a call directly, or through peers while the service turns this node away.
+func callWithRelay[Res any](ctx context.Context, r *Relay, lim callLimits, call request[Res]) (res Res, err error) {
 	directFirst := r.DirectAvailable()
 	if directFirst {
-		var settled bool
-		if res, settled, err = directlyFirst(ctx, r, lim, call); settled {
+		var final bool
+		if res, final, err = callDirectFirst(ctx, r, lim, call); final {
 			return res, err
 		}
 	}
-	if lim.own {
+	if lim.directOnly {
 		if !directFirst {
 			err = &Error{Op: "read", Kind: KindRefused, Err: errors.New("the service turns this node away")}
 		}
 		return res, err
 	}
 	for i, s := range r.peers.Relays() {
-		if i == maxPeers || ctx.Err() != nil {
+		if i == maxRelayPeers || ctx.Err() != nil {
 			break
 		}
-		if res, err = through(ctx, s, lim, call); err == nil || IsFinal(err) || (lim.write && IsUnknown(err)) {
+		if res, err = callPeer(ctx, s, lim, call); err == nil || IsFinal(err) || (lim.write && IsUnknown(err)) {
 			return res, err
 		}
 	}
 	if !directFirst {
-		if res, _, err = directly(ctx, r, lim, call); err == nil {
-			r.setBad(false)
+		if res, _, err = callDirect(ctx, r, lim, call); err == nil {
+			r.setDown(false)
 		}
 	}
 	return res, err
 }
 
-// directlyFirst makes a call of the service itself, and a read once more if its
+// callDirectFirst makes a call of the service itself, and a read once more if its
 // answer was lost. Unless the call is settled, peers are to be tried next.
-func directlyFirst[Res any](ctx context.Context, r *Relay, lim limits, call request[Res]) (res Res, settled bool, err error) {
-	res, back, err := directly(ctx, r, lim, call)
-	if !failed(ctx, err) {
+func callDirectFirst[Res any](ctx context.Context, r *Relay, lim callLimits, call request[Res]) (res Res, final bool, err error) {
+	res, serviceUp, err := callDirect(ctx, r, lim, call)
+	if !needsPeer(ctx, err) {
 		return res, true, err
 	}
-	r.setBad(!back)
+	r.setDown(!serviceUp)
 	if lim.write && IsUnknown(err) {
 		return res, true, err
 	}
-	if back {
-		res, _, err = directly(ctx, r, lim, call)
-		return res, !failed(ctx, err), err
+	if serviceUp {
+		res, _, err = callDirect(ctx, r, lim, call)
+		return res, !needsPeer(ctx, err), err
 	}
 	return res, false, err
 }
 
-// directly makes a call of the service itself. If its outcome is unknown, back
+// callDirect makes a call of the service itself. If its outcome is unknown, back
 // reports whether the service answers on another connection.
-func directly[Res any](ctx context.Context, r *Relay, lim limits, call request[Res]) (res Res, back bool, err error) {
-	c, cancel := conns.WithLimit(ctx, lim.wait+lim.most)
+func callDirect[Res any](ctx context.Context, r *Relay, lim callLimits, call request[Res]) (res Res, serviceUp bool, err error) {
+	c, cancel := conns.WithLimit(ctx, lim.wait+lim.timeout)
 	defer cancel()
-	defer r.giveUpSilent(c, cancel, lim.wait+silentDirect).Stop()
-	defer r.giveUpLost(c, cancel, lim.wait+lostAfter).Stop()
+	defer r.cancelIfSilent(c, cancel, lim.wait+silenceTimeout).Stop()
+	defer r.cancelIfAnswerLost(c, cancel, lim.wait+lostAnswerTimeout).Stop()
 	res, err = call(c, r.direct)
-	r.answered(err)
-	return res, IsUnknown(err) && ctx.Err() == nil && r.answers(), err
+	r.noteAnswer(err)
+	return res, IsUnknown(err) && ctx.Err() == nil && r.responds(), err
 }
 
-// through makes a call through a peer.
-func through[Res any](ctx context.Context, peer Service, lim limits, call request[Res]) (Res, error) {
-	c, cancel := conns.WithLimit(ctx, lim.wait+lim.most)
+// callPeer makes a call callPeer a peer.
+func callPeer[Res any](ctx context.Context, peer Service, lim callLimits, call request[Res]) (Res, error) {
+	c, cancel := conns.WithLimit(ctx, lim.wait+lim.timeout)
 	defer cancel()
 	return call(c, peer)
 }
 
-// failed reports whether the direct way failed for a reason that a peer may not meet.
-func failed(ctx context.Context, err error) bool {
+// needsPeer reports whether the direct way needsPeer for a reason that a peer may not meet.
+func needsPeer(ctx context.Context, err error) bool {
 	return err != nil && !IsFinal(err) && ctx.Err() == nil
 }
--- a/internal/tables/relay_test.go
+++ b/internal/tables/relay_test.go
@@ -14,27 +14,27 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// look is what a relay reads to see whether the service answers.
-var look = tables.ListRequest{Table: "t"}
+// healthCheck is what a relay reads to see whether the service answers.
+var healthCheck = tables.ListRequest{Table: "t"}
 
 // fakeService answers, refuses or is silent.
 type fakeService struct {
-	mu              sync.Mutex
-	silent, refuses bool
+	mu               sync.Mutex
+	silent, refusing bool
 	// silentCalls is how many more calls get no answer, as on old connections.
 	silentCalls int
 	calls       int
-	// takes is how long an answer takes.
-	takes time.Duration
+	// responseTime is how long an answer responseTime.
+	responseTime time.Duration
 }
 
-func (f *fakeService) set(silent, refuses bool) {
+func (f *fakeService) set(silent, refusing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent, f.refuses = silent, refuses
+	f.silent, f.refusing = silent, refusing
 }
 
-func (f *fakeService) called() int {
+func (f *fakeService) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
@@ -43,16 +43,16 @@
 func (f *fakeService) answer(ctx context.Context) error {
 	f.mu.Lock()
 	f.calls++
-	silent, refuses, takes := f.silent || f.silentCalls > 0, f.refuses, f.takes
+	silent, refusing, responseTime := f.silent || f.silentCalls > 0, f.refusing, f.responseTime
 	f.silentCalls = max(0, f.silentCalls-1)
 	f.mu.Unlock()
-	if refuses {
+	if refusing {
 		return &tables.Error{Op: "fake", Kind: tables.KindRefused, Err: errors.New("busy")}
 	}
 	if silent {
 		<-ctx.Done()
 	} else {
-		tables.Sleep(ctx, takes)
+		tables.Sleep(ctx, responseTime)
 	}
 	if ctx.Err() != nil {
 		return &tables.Error{Op: "fake", Kind: tables.KindUnknown, Err: ctx.Err()}
@@ -83,27 +83,27 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		direct, peer := &fakeService{refuses: true}, &fakeService{}
-		r := tables.NewRelay(direct, peerList{peer}, look)
+		direct, peer := &fakeService{refusing: true}, &fakeService{}
+		r := tables.NewRelay(direct, peerList{peer}, healthCheck)
 		go r.Probe(ctx)
 		if res, err := r.Commit(ctx, tables.Txn{}); err != nil || !res.Committed {
 			t.Fatalf("%+v, %v", res, err)
 		}
 		direct.set(true, false)
-		began := time.Now()
+		start := time.Now()
 		for range 20 {
 			if _, err := r.Commit(ctx, tables.Txn{}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if took := time.Since(began); took != 2*time.Second {
+		if took := time.Since(start); took != 2*time.Second {
 			t.Errorf("20 calls through a peer took %s, want only the pauses of 2s", took)
 		}
 		direct.set(false, false)
 		time.Sleep(time.Second)
-		before := peer.called()
-		if _, err := r.Commit(ctx, tables.Txn{}); err != nil || peer.called() != before {
+		before := peer.callCount()
+		if _, err := r.Commit(ctx, tables.Txn{}); err != nil || peer.callCount() != before {
 			t.Errorf("the service is back, and the call went through a peer (%v)", err)
 		}
 		cancel()
@@ -116,12 +116,12 @@
 func TestRelayDoesNotRepeatUnknownWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, peer := &fakeService{silent: true}, &fakeService{}
-		r := tables.NewRelay(direct, peerList{peer}, look)
-		if _, err := r.Commit(t.Context(), tables.Txn{}); !tables.IsUnknown(err) || peer.called() != 0 {
-			t.Errorf("got %v after %d calls of the peer, want an unknown outcome", err, peer.called())
+		r := tables.NewRelay(direct, peerList{peer}, healthCheck)
+		if _, err := r.Commit(t.Context(), tables.Txn{}); !tables.IsUnknown(err) || peer.callCount() != 0 {
+			t.Errorf("got %v after %d calls of the peer, want an unknown outcome", err, peer.callCount())
 		}
-		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.called() != 1 {
-			t.Errorf("a read: %v after %d calls of the peer", err, peer.called())
+		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.callCount() != 1 {
+			t.Errorf("a read: %v after %d calls of the peer", err, peer.callCount())
 		}
 	})
 }
@@ -131,18 +131,18 @@
 func TestRelayAfterSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, peer := &fakeService{silentCalls: 1}, &fakeService{silent: true}
-		r := tables.NewRelay(direct, peerList{peer}, look)
+		r := tables.NewRelay(direct, peerList{peer}, healthCheck)
 		if _, err := r.Commit(t.Context(), tables.Txn{}); !tables.IsUnknown(err) {
 			t.Errorf("a write on a silent connection: %v, want an unknown outcome", err)
 		}
-		if _, err := r.Commit(t.Context(), tables.Txn{}); err != nil || peer.called() != 0 {
-			t.Errorf("the next write: %v after %d calls of the peer", err, peer.called())
+		if _, err := r.Commit(t.Context(), tables.Txn{}); err != nil || peer.callCount() != 0 {
+			t.Errorf("the next write: %v after %d calls of the peer", err, peer.callCount())
 		}
 		direct.mu.Lock()
 		direct.silentCalls = 1
 		direct.mu.Unlock()
-		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.called() != 0 {
-			t.Errorf("a read: %v after %d calls of the peer", err, peer.called())
+		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.callCount() != 0 {
+			t.Errorf("a read: %v after %d calls of the peer", err, peer.callCount())
 		}
 	})
 }
@@ -152,11 +152,11 @@
 func TestLostAnswers(t *testing.T) {
 	const fast, slow = 4 * time.Millisecond, 280 * time.Millisecond
 	for _, c := range []struct {
-		name        string
-		takes       time.Duration
-		silentCalls int
-		answered    bool
-		took        time.Duration
+		name         string
+		responseTime time.Duration
+		silentCalls  int
+		answered     bool
+		took         time.Duration
 	}{
 		{"fast", fast, 0, true, fast},
 		{"lost", fast, 1, false, 200*time.Millisecond + fast},
@@ -166,8 +166,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				direct := &fakeService{takes: c.takes, silentCalls: c.silentCalls}
-				r := tables.NewRelay(direct, peerList{}, look)
+				direct := &fakeService{responseTime: c.responseTime, silentCalls: c.silentCalls}
+				r := tables.NewRelay(direct, peerList{}, healthCheck)
 				began := time.Now()
 				_, err := r.Commit(t.Context(), tables.Txn{})
 				if took := time.Since(began); (err == nil) != c.answered || took != c.took {
@@ -209,7 +209,7 @@
 func TestLargeWriteOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := &slowUpload{rate: 1_250_000}
-		r := tables.NewRelay(svc, peerList{}, look)
+		r := tables.NewRelay(svc, peerList{}, healthCheck)
 		res, err := r.Commit(t.Context(), tables.Txn{Put: []tables.Row{{Table: "t", Key: "k", Value: make([]byte, 700_000)}}})
 		if err != nil || !res.Committed {
 			t.Errorf("%+v, %v", res, err)
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -141,17 +141,17 @@
 // IsUnknown reports whether a write that returned err may still take effect.
 func IsUnknown(err error) bool { return err != nil && KindOf(err) == KindUnknown }
 
-// invalidPause is the pause after a request that the service can't accept: the same one
+// invalidRetryDelay is the pause after a request that the service can't accept: the same one
 // is refused again until its sender is mended.
-const invalidPause = time.Second
+const invalidRetryDelay = time.Second
 
 // RetryPause returns how long to wait before a request that failed is sent again,
 // usually for the pause given.
-func RetryPause(err error, usual time.Duration) time.Duration {
+func RetryPause(err error, delay time.Duration) time.Duration {
 	if KindOf(err) == KindInvalid {
-		return max(usual, invalidPause)
+		return max(delay, invalidRetryDelay)
 	}
-	return usual
+	return delay
 }
 
 // IsFinal reports whether err is the service's answer to the request itself, which it
