--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -55,7 +55,7 @@
 		n.Log.Warn("shard not handed over", events.PeerLost, zap.Stringer("shard", shard), zap.String("to", to.Name), zap.Error(err))
 		return false
 	}
-	n.Log.Info("shard handed over", events.OwnerEnded, zap.Stringer("shard", shard), zap.String("to", to.Name))
+	n.Log.Info("shard handed over", events.OwnershipEnded, zap.Stringer("shard", shard), zap.String("to", to.Name))
 	o.EndOwnership("handed over to " + to.Name)
 	return true
 }
--- a/internal/cell/helpers.go
+++ b/internal/cell/helpers.go
@@ -24,8 +24,8 @@
 func (n *Node) newFanout(shard cluster.ShardID, layout *cluster.Layout) *fanout.Client {
 	return fanout.New(fanout.Config{
 		Direct: n.Workers, Client: n.peers.client, Log: n.Log, Workers: layout.Workers / max(1, layout.Shards),
-		Helpers: func(workers int) ([]fanout.Helper, bool) { return n.helpers(shard, workers) },
-		Failed:  n.helperFailed,
+		Helpers:   func(workers int) ([]fanout.Helper, bool) { return n.helpers(shard, workers) },
+		OnFailure: n.helperFailed,
 	})
 }
 
--- a/internal/cell/layout.go
+++ b/internal/cell/layout.go
@@ -38,7 +38,7 @@
 // layoutSeen notes a service's layout. The first one stays: it is written once.
 func (n *Node) layoutSeen(r tables.Row) {
 	var l cluster.Layout
-	if err := json.Unmarshal(r.Value, &l); err != nil || l.Shards < 1 || l.Shards > cluster.MostShards || layoutPrefix+l.Service != r.Key {
+	if err := json.Unmarshal(r.Value, &l); err != nil || l.Shards < 1 || l.Shards > cluster.MaxShards || layoutPrefix+l.Service != r.Key {
 		n.Log.Warn("layout row skipped", events.RowSkipped, zap.String("key", r.Key), zap.Error(err))
 		return
 	}
@@ -74,7 +74,7 @@
 // makeLayout plans a service's layout from the machines that the platform lists,
 // and writes it unless another node has.
 func (n *Node) makeLayout(ctx context.Context, service string) {
-	c, cancel := conns.WithLimit(ctx, machinesWithin)
+	c, cancel := conns.WithStallTimeout(ctx, machinesWithin)
 	machines, err := n.Machines.Machines(c)
 	cancel()
 	if err != nil && n.cfg.Machines != "" {
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -220,7 +220,7 @@
 		return false
 	}
 	row.Version = res.Version
-	n.Log.Info("shard taken", events.OwnerTaken, zap.Stringer("shard", shard), zap.Int64("epoch", next.Epoch),
+	n.Log.Info("shard taken", events.OwnershipTaken, zap.Stringer("shard", shard), zap.Int64("epoch", next.Epoch),
 		zap.String("from", rec.Owner.Name), zap.String("cause", cause))
 	n.own(shard, row, next, <-fence)
 	return true
@@ -303,7 +303,7 @@
 		n.mu.Lock()
 		delete(n.owned, shard)
 		n.mu.Unlock()
-		n.Log.Info("ownership ended", events.OwnerEnded, zap.Stringer("shard", shard), zap.Int64("epoch", rec.Epoch), zap.Error(err))
+		n.Log.Info("ownership ended", events.OwnershipEnded, zap.Stringer("shard", shard), zap.Int64("epoch", rec.Epoch), zap.Error(err))
 		return nil
 	})
 }
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -64,7 +64,7 @@
 func (q *peer) untried() bool { return q.lastOK.IsZero() && q.firstFail.IsZero() }
 
 func newPeers(n *Node) *peers {
-	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Packed: true, Usage: n.Usage}, idlePerPeer, idleTimeout)
+	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Compressed: true, Usage: n.Usage}, idlePerPeer, idleTimeout)
 	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), asking: make(map[string]chan struct{})}
 }
 
@@ -267,7 +267,7 @@
 
 // call sends a message to a peer, whose answer has to begin to arrive within begin.
 func call[Req, Resp any](ctx context.Context, p *peers, address, path string, req Req, begin time.Duration) (Resp, error) {
-	c, cancel := conns.WithLimit(ctx, begin)
+	c, cancel := conns.WithStallTimeout(ctx, begin)
 	defer cancel()
 	return httpx.Call[Req, Resp](c, p.client, "http://"+address+path, req)
 }
--- a/internal/cell/ping.go
+++ b/internal/cell/ping.go
@@ -137,7 +137,7 @@
 	}
 	p.mu.Unlock()
 	if wasDown {
-		p.n.Log.Info("peer answers again", events.PeerBack, zap.String("peer", reply.Me.Name))
+		p.n.Log.Info("peer answers again", events.PeerRecovered, zap.String("peer", reply.Me.Name))
 	}
 	p.n.configSeen(reply)
 	return reply, nil
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -39,8 +39,8 @@
 	if !ok {
 		return nil, false
 	}
-	if layout.Shards > 1 && job.Splits() {
-		return n.epochsOf(job.Split(layout.Choices(job.ID)[0], &layout)), true
+	if layout.Shards > 1 && job.Splittable() {
+		return n.epochsOf(job.Split(layout.CandidateShards(job.ID)[0], &layout)), true
 	}
 	job.Shard = n.choose(ctx, &layout, &job).Index
 	return n.epochsOf([]cluster.Job{job}), true
@@ -61,7 +61,7 @@
 func (n *Node) choose(ctx context.Context, layout *cluster.Layout, job *cluster.Job) cluster.ShardID {
 	ids := layout.IDs()
 	var asked []cluster.ShardID
-	for _, i := range layout.Choices(job.ID) {
+	for _, i := range layout.CandidateShards(job.ID) {
 		asked = append(asked, ids[i])
 	}
 	rack := job.DataRack()
@@ -81,7 +81,7 @@
 func (n *Node) choices(layout *cluster.Layout, id string) []cluster.ShardID {
 	ids := layout.IDs()
 	var list []cluster.ShardID
-	for _, i := range layout.Choices(id) {
+	for _, i := range layout.CandidateShards(id) {
 		list = append(list, ids[i])
 	}
 	if len(list) > 1 && n.shardLoad(list[1]) < n.shardLoad(list[0]) {
--- a/internal/cell/reader.go
+++ b/internal/cell/reader.go
@@ -107,7 +107,7 @@
 	if !ok || s.down() {
 		return read(s.watchedStore, ctx, req)
 	}
-	c, cancel := conns.WithLimit(ctx, wait+readWithin)
+	c, cancel := conns.WithStallTimeout(ctx, wait+readWithin)
 	defer cancel()
 	res, err := read(relayVia{s.n.peers, m.Address}, c, req)
 	if err == nil || tables.IsFinal(err) || ctx.Err() != nil {
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -88,7 +88,7 @@
 		s.log.Warn("store is slow", events.StoreSlow, zap.Duration("took", took), zap.Bool("answered", answered))
 	}
 	if answered && wasAway && away > storeDownAfter {
-		s.log.Info("store answers again", events.StoreBack, zap.Duration("away", away))
+		s.log.Info("store answers again", events.StoreRecovered, zap.Duration("away", away))
 	}
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -93,8 +93,8 @@
 // Service is a pool of workers.
 type Service struct {
 	Name string `json:"name"`
-	// GuardsCapacity is true when the workers themselves reject what doesn't fit.
-	GuardsCapacity bool `json:"guards_capacity,omitempty"`
+	// EnforcesCapacity is true when the workers themselves reject what doesn't fit.
+	EnforcesCapacity bool `json:"guards_capacity,omitempty"`
 }
 
 // Config is one version of the operators' configuration.
@@ -106,8 +106,8 @@
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
 }
 
-// Find returns the queue for a host name and a path: the longest matching prefix wins.
-func (c *Config) Find(host, path string) (Queue, bool) {
+// FindQueue returns the queue for a host name and a path: the longest matching prefix wins.
+func (c *Config) FindQueue(host, path string) (Queue, bool) {
 	best := -1
 	for i, q := range c.Queues {
 		if q.Host == host && strings.HasPrefix(path, q.Prefix) && (best < 0 || len(q.Prefix) > len(c.Queues[best].Prefix)) {
@@ -146,16 +146,16 @@
 	Image       string `json:"image,omitempty"`
 	// LatencyTargetMS is the bound of a serving task's tail latency; 0: it doesn't serve.
 	LatencyTargetMS int64 `json:"latency_target_ms,omitempty"`
-	// Fills tasks take no processors of the worker's room, only what others leave unused.
-	Fills bool `json:"fills,omitempty"`
-	// MaxAway is how many tasks of a long-running step may be away at once by our doing.
-	MaxAway int `json:"max_away,omitempty"`
+	// BestEffortCPU tasks take no processors of the worker's room, only what others leave unused.
+	BestEffortCPU bool `json:"fills,omitempty"`
+	// MaxUnavailable is how many tasks of a long-running step may be away at once by our doing.
+	MaxUnavailable int `json:"max_away,omitempty"`
 }
 
-// Room returns what a task of the step takes of a worker's room.
-func (s *Step) Room() resource.Amount {
+// Allocation returns what a task of the step takes of a worker's room.
+func (s *Step) Allocation() resource.Amount {
 	a := s.Need
-	if s.Fills {
+	if s.BestEffortCPU {
 		a.CPUMilli = 0
 	}
 	return a
@@ -173,13 +173,13 @@
 	Epoch int64 `json:"epoch,omitempty"`
 	// Share is the part of the job's tasks that the shard runs.
 	Share Share `json:"share,omitzero"`
-	// Moves is how often the job went from one shard to another, and Carried the progress
+	// Moves is how often the job went from one shard to another, and CarriedProgress the progress
 	// that it had when it last did, as the owner there would have persisted it.
-	Moves   int             `json:"moves,omitempty"`
-	Carried json.RawMessage `json:"carried,omitempty"`
-	Policy  Policy          `json:"policy"`
-	Spec    string          `json:"spec"`
-	Steps   []Step          `json:"steps"`
+	Moves           int             `json:"moves,omitempty"`
+	CarriedProgress json.RawMessage `json:"carried,omitempty"`
+	Policy          Policy          `json:"policy"`
+	Spec            string          `json:"spec"`
+	Steps           []Step          `json:"steps"`
 	// AcceptedMS is the time of day of the acceptance, in Unix milliseconds.
 	AcceptedMS int64 `json:"accepted_ms"`
 	// Repeats is how often the steps run; 0: once, at once.
--- a/internal/cluster/life.go
+++ b/internal/cluster/incarnation.go
@@ -4,9 +4,9 @@
 
 import "strconv"
 
-// Life names one life of a worker: from the start of its process to its end. A worker may
+// Incarnation names one life of a worker: from the start of its process to its end. A worker may
 // start again under the ID that it had; Started then tells the two apart.
-type Life struct {
+type Incarnation struct {
 	ID string `json:"id"`
 	// Started is the time of day of the start, in Unix milliseconds, by the clock of the
 	// worker's host, which may be set: a later life may have an earlier one. 0: the worker
@@ -15,7 +15,7 @@
 }
 
 // String returns the ID and, where it is known, the start.
-func (l Life) String() string {
+func (l Incarnation) String() string {
 	if l.Started == 0 {
 		return l.ID
 	}
--- a/internal/cluster/layout.go
+++ b/internal/cluster/layout.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostShards bounds the shards of a service: the platform's store has 100 tables,
+// MaxShards bounds the shards of a service: the platform's store has 100 tables,
 // and each index has one for its jobs.
-const MostShards = 64
+const MaxShards = 64
 
 // Layout divides the workers of a service into shards, by rack. It is made once
 // and persisted; all nodes must use the same.
@@ -36,7 +36,7 @@
 // perShard workers, of like numbers of workers.
 func PlanLayout(service string, machines []Machine, perShard int) Layout {
 	racks, total := racksOf(service, machines)
-	l := Layout{Service: service, Workers: total, Shards: max(1, min((total+perShard-1)/perShard, len(racks), MostShards))}
+	l := Layout{Service: service, Workers: total, Shards: max(1, min((total+perShard-1)/perShard, len(racks), MaxShards))}
 	if l.Shards == 1 {
 		return l
 	}
@@ -98,10 +98,10 @@
 	return ids
 }
 
-// Choices returns the indexes of the two shards (one, if there is only one) among
+// CandidateShards returns the indexes of the two shards (one, if there is only one) among
 // which a job is placed by their load. They depend on its ID alone, so that any
 // node knows where to ask for it first.
-func (l *Layout) Choices(job string) []int {
+func (l *Layout) CandidateShards(job string) []int {
 	if l.Shards <= 1 {
 		return []int{0}
 	}
--- a/internal/cluster/shard_test.go
+++ b/internal/cluster/shard_test.go
@@ -48,7 +48,7 @@
 	l := cluster.PlanLayout("s", machines(30, 12), 90)
 	seen := make(map[int]bool)
 	for i := range 1000 {
-		c := l.Choices(fmt.Sprintf("%016x", i))
+		c := l.CandidateShards(fmt.Sprintf("%016x", i))
 		if len(c) != 2 || c[0] == c[1] || c[0] < 0 || c[0] >= l.Shards || c[1] < 0 || c[1] >= l.Shards {
 			t.Fatalf("choices %v of %d shards", c, l.Shards)
 		}
@@ -64,7 +64,7 @@
 	l := cluster.PlanLayout("s", machines(30, 12), 90)
 	for _, count := range []int{1, 2, 3, 4, 31} {
 		job := cluster.Job{ID: "a", Service: "s", Steps: []cluster.Step{{Count: count, LongRunning: true}}}
-		if !job.Splits() {
+		if !job.Splittable() {
 			t.Fatal("a job of lasting tasks doesn't split")
 		}
 		holders := make(map[int]int)
@@ -91,8 +91,8 @@
 			}
 		}
 	}
-	for _, step := range []cluster.Step{{Count: 2}, {Count: 2, LongRunning: true, Gang: true}, {Count: 2, LongRunning: true, MaxAway: 1}, {Count: 2, LongRunning: true, DataRack: "r1-1"}} {
-		if job := (cluster.Job{Steps: []cluster.Step{step}}); job.Splits() {
+	for _, step := range []cluster.Step{{Count: 2}, {Count: 2, LongRunning: true, Gang: true}, {Count: 2, LongRunning: true, MaxUnavailable: 1}, {Count: 2, LongRunning: true, DataRack: "r1-1"}} {
+		if job := (cluster.Job{Steps: []cluster.Step{step}}); job.Splittable() {
 			t.Errorf("splits: %+v", step)
 		}
 	}
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -18,25 +18,25 @@
 // Whole reports whether the share is the whole job.
 func (s Share) Whole() bool { return s.Of <= 1 }
 
-// Speaks reports whether the shard with the share speaks for the whole job.
-func (s Share) Speaks() bool { return s.Index == 0 }
+// Leads reports whether the shard with the share speaks for the whole job.
+func (s Share) Leads() bool { return s.Index == 0 }
 
-// Runs reports whether the job's shard may run a task of a step.
-func (j *Job) Runs(step *Step, task int) bool {
+// MayRun reports whether the job's shard may run a task of a step.
+func (j *Job) MayRun(step *Step, task int) bool {
 	if j.Share.Joint {
-		return j.Share.Speaks() || step.Gang
+		return j.Share.Leads() || step.Gang
 	}
 	return j.Share.Has(task)
 }
 
-// Splits reports whether the job's tasks may run on several shards: tasks that run
+// Splittable reports whether the job's tasks may run on several shards: tasks that run
 // until the job is cancelled, need nothing of each other, and may all be away at
 // once. A shard alone can be too small for them where few of its workers may run
 // them and each may carry only one.
-func (j *Job) Splits() bool {
+func (j *Job) Splittable() bool {
 	for i := range j.Steps {
 		s := &j.Steps[i]
-		if !s.LongRunning || s.Gang || len(s.After) > 0 || s.DataRack != "" || s.MaxAway > 0 {
+		if !s.LongRunning || s.Gang || len(s.After) > 0 || s.DataRack != "" || s.MaxUnavailable > 0 {
 			return false
 		}
 	}
@@ -53,9 +53,9 @@
 	return j.parts(first, min(widest, l.Shards), l, false)
 }
 
-// Join returns the job as its parts on all shards of a layout, which run its gangs
+// SplitJoint returns the job as its parts on all shards of a layout, which run its gangs
 // together. The shard that has it speaks for the whole job.
-func (j *Job) Join(l *Layout) []Job { return j.parts(j.Shard, l.Shards, l, true) }
+func (j *Job) SplitJoint(l *Layout) []Job { return j.parts(j.Shard, l.Shards, l, true) }
 
 // parts returns the job as so many parts, on shards of a layout from the first on.
 func (j *Job) parts(first, of int, l *Layout, joint bool) []Job {
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -11,7 +11,7 @@
 // Worker is one life of a worker, as the platform's directory describes it.
 type Worker struct {
 	ID string
-	// Started is as in Life.
+	// Started is as in Incarnation.
 	Started    int64
 	Address    string
 	Service    string
@@ -26,8 +26,8 @@
 	ClockMS int64
 }
 
-// Life returns which life of the worker it is.
-func (w *Worker) Life() Life { return Life{w.ID, w.Started} }
+// Incarnation returns which life of the worker it is.
+func (w *Worker) Incarnation() Incarnation { return Incarnation{w.ID, w.Started} }
 
 // HasLabel reports whether the worker carries the label.
 func (w *Worker) HasLabel(label string) bool {
@@ -70,12 +70,12 @@
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"
 	OutcomeStopped Outcome = "stopped"
-	// OutcomeLapsed is a run killed because its lease ran out.
-	OutcomeLapsed Outcome = "lapsed"
-	// OutcomeBroken is a gang member ended because another member ended.
-	OutcomeBroken Outcome = "broken"
-	// OutcomeAlone is a gang member that waited in vain for the others.
-	OutcomeAlone Outcome = "alone"
+	// OutcomeLeaseExpired is a run killed because its lease ran out.
+	OutcomeLeaseExpired Outcome = "lapsed"
+	// OutcomeGangBroken is a gang member ended because another member ended.
+	OutcomeGangBroken Outcome = "broken"
+	// OutcomeGangIncomplete is a gang member that waited in vain for the others.
+	OutcomeGangIncomplete Outcome = "alone"
 )
 
 // RunEnd is a run that ended on a worker. Ends are numbered from 1 in each life
@@ -91,7 +91,7 @@
 // Report is a worker's answer to its owner: all that runs there, and the ends
 // that have not been confirmed.
 type Report struct {
-	// Started is as in Life: that of the life which answers.
+	// Started is as in Incarnation: that of the life which answers.
 	Started int64
 	ClockMS int64
 	Running []RunStatus
@@ -131,24 +131,24 @@
 // The replies to an order.
 const (
 	ReplyOK Reply = "ok"
-	// ReplyFence: the worker has seen a higher epoch.
-	ReplyFence Reply = "fence"
-	// ReplyOld: the run's number is not above one that ended or was stopped there.
-	ReplyOld Reply = "old"
-	// ReplyLate: the deadline has passed on the worker's clock.
-	ReplyLate Reply = "late"
-	// ReplyRoom: the worker has no room.
-	ReplyRoom Reply = "room"
-	// ReplyTicket: the ticket is not valid.
-	ReplyTicket Reply = "ticket"
+	// ReplyFenced: the worker has seen a higher epoch.
+	ReplyFenced Reply = "fence"
+	// ReplyStaleRun: the run's number is not above one that ended or was stopped there.
+	ReplyStaleRun Reply = "old"
+	// ReplyDeadlinePassed: the deadline has passed on the worker's clock.
+	ReplyDeadlinePassed Reply = "late"
+	// ReplyNoRoom: the worker has no room.
+	ReplyNoRoom Reply = "room"
+	// ReplyTicketInvalid: the ticket is not valid.
+	ReplyTicketInvalid Reply = "ticket"
 	// ReplyBusy: the worker is unhealthy and has done nothing.
 	ReplyBusy Reply = "busy"
 	// ReplyInvalid: the worker can't read the order, and has done nothing.
 	ReplyInvalid Reply = "invalid"
-	// ReplyOtherLife: another life answers at that address; this one is over.
-	ReplyOtherLife Reply = "other_life"
-	// ReplyNewLife: another life of the same ID has taken the order.
-	ReplyNewLife Reply = "new_life"
+	// ReplyOtherIncarnation: another life answers at that address; this one is over.
+	ReplyOtherIncarnation Reply = "other_life"
+	// ReplyNewIncarnation: another life of the same ID has taken the order.
+	ReplyNewIncarnation Reply = "new_life"
 	// ReplyNotSent: no connection was made; nothing was done.
 	ReplyNotSent Reply = "not_sent"
 	// ReplyUnknown: no answer came; the order may be carried out now or later.
--- a/internal/conns/answer.go
+++ b/internal/conns/answer.go
@@ -34,7 +34,7 @@
 		heard(a.r.Context())
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		a.t.Log.Info("answer broke off", events.AnswerBrokeOff, zap.String("url", a.r.URL.String()), zap.Int64("bytes", a.bytes),
+		a.t.Log.Info("answer broke off", events.ResponseAborted, zap.String("url", a.r.URL.String()), zap.Int64("bytes", a.bytes),
 			zap.Duration("took", time.Duration(a.t.now()-a.sent)), zap.Error(err))
 	}
 	return n, err
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -10,13 +10,13 @@
 // arrived since the failed call was sent are closed, and the next call makes a new
 // one. Calls that are open are left alone; they end by their own limits.
 //
-// WithLimit bounds a call by what arrives of its answer: a large answer on a slow link
+// WithStallTimeout bounds a call by what arrives of its answer: a large answer on a slow link
 // takes as long as it takes, while one that doesn't come, or stands still, is given up.
 //
 // # Usage
 //
 //	client := &http.Client{Transport: conns.New(conns.Network{Dial: dial, Log: log}, 8, time.Minute)}
-//	ctx, cancel := conns.WithLimit(ctx, 300*time.Millisecond)
+//	ctx, cancel := conns.WithStallTimeout(ctx, 300*time.Millisecond)
 //	defer cancel()
 //	res, err := client.Do(r.WithContext(ctx))
 package conns
@@ -43,8 +43,8 @@
 type Network struct {
 	Dial Dial
 	Log  *zap.Logger
-	// Packed asks for packed answers, which are unpacked as they are read.
-	Packed bool
+	// Compressed asks for packed answers, which are unpacked as they are read.
+	Compressed bool
 	// Usage counts what passes; nil: nothing does.
 	Usage *Usage
 }
@@ -70,7 +70,7 @@
 	t := &Transport{Network: network, began: time.Now(), open: make(map[string]map[*conn]struct{})}
 	t.http = &http.Transport{
 		DialContext:         t.connect,
-		MaxIdleConnsPerHost: perHost, IdleConnTimeout: idle, DisableCompression: !network.Packed,
+		MaxIdleConnsPerHost: perHost, IdleConnTimeout: idle, DisableCompression: !network.Compressed,
 	}
 	return t
 }
@@ -135,7 +135,7 @@
 		_ = k.Close()
 	}
 	if len(silent) > 0 {
-		t.Log.Info("silent connections closed", events.ConnsSilent, zap.String("address", address), zap.Int("connections", len(silent)),
+		t.Log.Info("silent connections closed", events.SilentConnsClosed, zap.String("address", address), zap.Int("connections", len(silent)),
 			zap.Duration("silent", time.Duration(t.now()-since)))
 	}
 }
@@ -152,11 +152,11 @@
 	mark     atomic.Int64
 }
 
-// Marked is a connection of a Transport, on which its user may keep a number.
-type Marked interface{ Mark() *atomic.Int64 }
+// Tagged is a connection of a Transport, on which its user may keep a number.
+type Tagged interface{ Mark() *atomic.Int64 }
 
-// Mark returns the number that is kept on the connection, 0 at first.
-func (k *conn) Mark() *atomic.Int64 { return &k.mark }
+// Tag returns the number that is kept on the connection, 0 at first.
+func (k *conn) Tag() *atomic.Int64 { return &k.mark }
 
 // Read reads what arrives.
 func (k *conn) Read(b []byte) (int, error) {
--- a/internal/conns/limit.go
+++ b/internal/conns/limit.go
@@ -45,14 +45,14 @@
 
 type limitKey struct{}
 
-// WithLimit returns a context for a call by a Transport, or for several one after the
+// WithStallTimeout returns a context for a call by a Transport, or for several one after the
 // other. It ends when nothing of an answer has arrived within begin or, from then on,
 // for StallTimeout.
 //
 // An answer that arrives is not given up however long the whole of it takes: what has
 // come of it would be thrown away, and the next try fill the same slow link again. A
 // configuration of 2,845 routes takes 0.6 s on an empty link of 10 Mbit/s.
-func WithLimit(ctx context.Context, begin time.Duration) (context.Context, context.CancelFunc) {
+func WithStallTimeout(ctx context.Context, begin time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
 	l := &limit{}
 	l.timer = time.AfterFunc(begin, func() {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Arriving reports whether the answer of a call under a limit has begun to arrive.
-func Arriving(ctx context.Context) bool {
+// ResponseStarted reports whether the answer of a call under a limit has begun to arrive.
+func ResponseStarted(ctx context.Context) bool {
 	l, ok := ctx.Value(limitKey{}).(*limit)
 	return ok && l.arrived.Load()
 }
--- a/internal/conns/limit_test.go
+++ b/internal/conns/limit_test.go
@@ -62,7 +62,7 @@
 				defer func() { _ = srv.Close() }()
 				client := &http.Client{Transport: conns.New(conns.Network{Dial: n.Dial("client"), Log: zap.NewNop()}, 1, time.Minute)}
 				defer client.CloseIdleConnections()
-				ctx, cancel := conns.WithLimit(t.Context(), begin)
+				ctx, cancel := conns.WithStallTimeout(t.Context(), begin)
 				defer cancel()
 				r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://a/", nil)
 				if err != nil {
@@ -80,8 +80,8 @@
 				case c.kind != "" && (!errors.As(err, &e) || e.Kind != c.kind):
 					t.Errorf("the call ended with %v, want %s", err, c.kind)
 				}
-				if got, want := conns.Arriving(ctx), c.pauses[0] < begin; got != want {
-					t.Errorf("Arriving is %t, want %t", got, want)
+				if got, want := conns.ResponseStarted(ctx), c.pauses[0] < begin; got != want {
+					t.Errorf("ResponseStarted is %t, want %t", got, want)
 				}
 			})
 		})
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	log.Warn("lease lapsed", events.LeaseLapsed, zap.Int64("generation", n))
+//	log.Warn("lease expired", events.LeaseExpired, zap.Int64("generation", n))
 package events
 
 import "go.uber.org/zap"
@@ -25,7 +25,7 @@
 // The events of leases and shards.
 var (
 	LeaseNotRenewed  = zap.String(Field, "SB1101")
-	LeaseLapsed      = zap.String(Field, "SB1102")
+	LeaseExpired     = zap.String(Field, "SB1102")
 	NodesNotRead     = zap.String(Field, "SB1103")
 	ShardTaken       = zap.String(Field, "SB1111")
 	ShardReleased    = zap.String(Field, "SB1112")
@@ -37,7 +37,7 @@
 
 // The events of the journal.
 var (
-	JournalWaits      = zap.String(Field, "SB1201")
+	JournalBlocked    = zap.String(Field, "SB1201")
 	JournalFenced     = zap.String(Field, "SB1202")
 	SnapshotNotStored = zap.String(Field, "SB1203")
 )
@@ -45,7 +45,7 @@
 // The events of workers and tasks.
 var (
 	WorkerSilent     = zap.String(Field, "SB1301")
-	WorkerBack       = zap.String(Field, "SB1302")
+	WorkerRecovered  = zap.String(Field, "SB1302")
 	WorkerSetAside   = zap.String(Field, "SB1303")
 	WorkerStaleEpoch = zap.String(Field, "SB1304")
 	HostsNotRead     = zap.String(Field, "SB1305")
@@ -53,13 +53,13 @@
 	TaskLost         = zap.String(Field, "SB1312")
 	JobFailed        = zap.String(Field, "SB1313")
 	TaskNotPlaced    = zap.String(Field, "SB1314")
-	ReportNotTaken   = zap.String(Field, "SB1315")
+	ReportNotApplied = zap.String(Field, "SB1315")
 )
 
 // The events of requests.
 var (
-	RequestUnknown = zap.String(Field, "SB1401")
-	KeyUnknown     = zap.String(Field, "SB1402")
+	RequestOutcomeUnknown = zap.String(Field, "SB1401")
+	KeyOutcomeUnknown     = zap.String(Field, "SB1402")
 )
 
 // The events of configuration.
@@ -73,64 +73,64 @@
 
 // The events of a shard's owner: jobs, runs and workers.
 var (
-	JobTaken        = zap.String(Field, "SB1601")
-	JobEnded        = zap.String(Field, "SB1602")
-	EndPersisted    = zap.String(Field, "SB1613")
-	RunStarted      = zap.String(Field, "SB1603")
-	StartNotTaken   = zap.String(Field, "SB1604")
-	RunEnded        = zap.String(Field, "SB1605")
-	RunStopped      = zap.String(Field, "SB1606")
-	RunLost         = zap.String(Field, "SB1607")
-	RunAdopted      = zap.String(Field, "SB1608")
-	RunUnknown      = zap.String(Field, "SB1609")
-	AdviceGiven     = zap.String(Field, "SB1610")
-	AdviceFailed    = zap.String(Field, "SB1611")
-	PaceSet         = zap.String(Field, "SB1612")
-	WorkerFound     = zap.String(Field, "SB1621")
-	WorkerTaken     = zap.String(Field, "SB1622")
-	WorkerNoAnswer  = zap.String(Field, "SB1623")
-	WorkerAnswers   = zap.String(Field, "SB1624")
-	WorkerLeaseOver = zap.String(Field, "SB1625")
-	WorkerOver      = zap.String(Field, "SB1626")
-	WorkerDraining  = zap.String(Field, "SB1627")
-	WorkerAside     = zap.String(Field, "SB1628")
-	TakeoverDone    = zap.String(Field, "SB1629")
-	WorkerLeaving   = zap.String(Field, "SB1631")
-	JobMoved        = zap.String(Field, "SB1630")
-	EntryInvalid    = zap.String(Field, "SB1632")
-	TaskWaits       = zap.String(Field, "SB1633")
-	WorkerCleared   = zap.String(Field, "SB1634")
-	GangJoint       = zap.String(Field, "SB1635")
-	GangWaits       = zap.String(Field, "SB1636")
-	WorkerRestarted = zap.String(Field, "SB1637")
+	JobAdded              = zap.String(Field, "SB1601")
+	JobEnded              = zap.String(Field, "SB1602")
+	EndPersisted          = zap.String(Field, "SB1613")
+	RunStarted            = zap.String(Field, "SB1603")
+	StartRejected         = zap.String(Field, "SB1604")
+	RunEnded              = zap.String(Field, "SB1605")
+	RunStopped            = zap.String(Field, "SB1606")
+	RunLost               = zap.String(Field, "SB1607")
+	RunAdopted            = zap.String(Field, "SB1608")
+	RunUnknown            = zap.String(Field, "SB1609")
+	AdviceGiven           = zap.String(Field, "SB1610")
+	AdviceFailed          = zap.String(Field, "SB1611")
+	PaceSet               = zap.String(Field, "SB1612")
+	WorkerFound           = zap.String(Field, "SB1621")
+	WorkerTakenOver       = zap.String(Field, "SB1622")
+	WorkerUnresponsive    = zap.String(Field, "SB1623")
+	WorkerResponsive      = zap.String(Field, "SB1624")
+	WorkerLeaseExpired    = zap.String(Field, "SB1625")
+	WorkerEnded           = zap.String(Field, "SB1626")
+	WorkerDraining        = zap.String(Field, "SB1627")
+	WorkerQuarantined     = zap.String(Field, "SB1628")
+	TakeoverDone          = zap.String(Field, "SB1629")
+	WorkerLeaving         = zap.String(Field, "SB1631")
+	JobMoved              = zap.String(Field, "SB1630")
+	DirectoryEntryInvalid = zap.String(Field, "SB1632")
+	TaskWaiting           = zap.String(Field, "SB1633")
+	WorkerReinstated      = zap.String(Field, "SB1634")
+	JointGang             = zap.String(Field, "SB1635")
+	GangWaiting           = zap.String(Field, "SB1636")
+	WorkerRestarted       = zap.String(Field, "SB1637")
 )
 
 // The events of nodes on a platform.
 var (
-	ShardLoaded     = zap.String(Field, "SB1701")
-	RowSkipped      = zap.String(Field, "SB1702")
-	StoreFailed     = zap.String(Field, "SB1703")
-	ProgressSettled = zap.String(Field, "SB1704")
-	MachinesNotRead = zap.String(Field, "SB1705")
-	OwnerChanged    = zap.String(Field, "SB1706")
-	OwnerSuspected  = zap.String(Field, "SB1707")
-	OwnerTaken      = zap.String(Field, "SB1708")
-	OwnerEnded      = zap.String(Field, "SB1709")
-	ConfigInForce   = zap.String(Field, "SB1710")
-	JobAccepted     = zap.String(Field, "SB1711")
-	JobRefused      = zap.String(Field, "SB1712")
-	CancelAccepted  = zap.String(Field, "SB1713")
-	PeerLost        = zap.String(Field, "SB1714")
-	PeerBack        = zap.String(Field, "SB1715")
-	StoreBack       = zap.String(Field, "SB1716")
-	StoreSlow       = zap.String(Field, "SB1717")
-	LayoutInForce   = zap.String(Field, "SB1718")
-	ProgressSpills  = zap.String(Field, "SB1719")
-	PartLoaded      = zap.String(Field, "SB1720")
-	ConnsSilent     = zap.String(Field, "SB1721")
-	AnswerBrokeOff  = zap.String(Field, "SB1722")
-	HelperFailed    = zap.String(Field, "SB1723")
+	ShardLoaded        = zap.String(Field, "SB1701")
+	RowSkipped         = zap.String(Field, "SB1702")
+	StoreFailed        = zap.String(Field, "SB1703")
+	ProgressReconciled = zap.String(Field, "SB1704")
+	MachinesNotRead    = zap.String(Field, "SB1705")
+	OwnerChanged       = zap.String(Field, "SB1706")
+	OwnerSuspected     = zap.String(Field, "SB1707")
+	OwnershipTaken     = zap.String(Field, "SB1708")
+	OwnershipEnded     = zap.String(Field, "SB1709")
+	ConfigInForce      = zap.String(Field, "SB1710")
+	JobAccepted        = zap.String(Field, "SB1711")
+	JobRefused         = zap.String(Field, "SB1712")
+	CancelAccepted     = zap.String(Field, "SB1713")
+	PeerLost           = zap.String(Field, "SB1714")
+	PeerRecovered      = zap.String(Field, "SB1715")
+	StoreRecovered     = zap.String(Field, "SB1716")
+	StoreSlow          = zap.String(Field, "SB1717")
+	LayoutInForce      = zap.String(Field, "SB1718")
+	ProgressSpilled    = zap.String(Field, "SB1719")
+	PartLoaded         = zap.String(Field, "SB1720")
+	SilentConnsClosed  = zap.String(Field, "SB1721")
+	ResponseAborted    = zap.String(Field, "SB1722")
+	HelperFailed       = zap.String(Field, "SB1723")
 )
 
-// LinesDropped is written by the log's writer itself, beside the logger.
-const LinesDropped = "SB1801"
+// LogLinesDropped is written by the log's writer itself, beside the logger.
+const LogLinesDropped = "SB1801"
--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -31,10 +31,10 @@
 	Helpers func(workers int) (list []Helper, needed bool)
 	// Workers is how many workers there are likely to be, before they have been called.
 	Workers int
-	// Failed is told of a helper that has failed.
-	Failed func(name string)
-	Client *http.Client
-	Log    *zap.Logger
+	// OnFailure is told of a helper that has failed.
+	OnFailure func(name string)
+	Client    *http.Client
+	Log       *zap.Logger
 }
 
 const (
@@ -174,7 +174,7 @@
 		return a
 	}
 	switch a.Reply {
-	case cluster.ReplyOK, cluster.ReplyFence, cluster.ReplyOtherLife, cluster.ReplyNewLife:
+	case cluster.ReplyOK, cluster.ReplyFenced, cluster.ReplyOtherIncarnation, cluster.ReplyNewIncarnation:
 		return a
 	}
 	return answer{Reply: cluster.ReplyUnknown}
@@ -309,7 +309,7 @@
 	delete(c.streams, s.helper.Name)
 	c.suspect[s.helper.Name] = time.Now().Add(suspectFor)
 	if c.ctx.Err() == nil {
-		c.Failed(s.helper.Name)
+		c.OnFailure(s.helper.Name)
 		c.Log.Info("helper has failed", events.HelperFailed, zap.String("peer", s.helper.Name), zap.Error(context.Cause(s.ctx)))
 	}
 }
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -108,7 +108,7 @@
 		list = append(list, fanout.Helper{Name: name, URL: "http://" + name + ":1"})
 	}
 	r.client = fanout.New(fanout.Config{
-		Direct: r.direct, Helpers: func(int) ([]fanout.Helper, bool) { return list, helpers > 0 }, Failed: func(string) {}, Log: zap.NewNop(),
+		Direct: r.direct, Helpers: func(int) ([]fanout.Helper, bool) { return list, helpers > 0 }, OnFailure: func(string) {}, Log: zap.NewNop(),
 		Client: &http.Client{Transport: &http.Transport{DialContext: r.net.Dial("owner")}},
 	})
 	return r
@@ -243,7 +243,7 @@
 // A task ran twice, 0.9 s apart on two workers, after a helper had been given up with the
 // first start: the second try was answered "not_sent", which let the task start elsewhere.
 func TestStartThatMayHaveBeenMade(t *testing.T) {
-	for _, second := range []cluster.Reply{cluster.ReplyNotSent, cluster.ReplyBusy, cluster.ReplyOld, cluster.ReplyTicket, cluster.ReplyRoom} {
+	for _, second := range []cluster.Reply{cluster.ReplyNotSent, cluster.ReplyBusy, cluster.ReplyStaleRun, cluster.ReplyTicketInvalid, cluster.ReplyNoRoom} {
 		t.Run(string(second), func(t *testing.T) {
 			play(t, 2, func(t *testing.T, r *rig) {
 				r.start(1)
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -509,7 +509,7 @@
 		return
 	}
 	if err := sh.takeEvents(ctx, evs); err != nil {
-		s.log.Warn("events not kept", events.ReportNotTaken, zap.Error(err))
+		s.log.Warn("events not kept", events.ReportNotApplied, zap.Error(err))
 	}
 	s.Wake()
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -417,7 +417,7 @@
 	}
 	c.mu.Unlock()
 	if first {
-		c.log.Warn("journal waits for the store", events.JournalWaits, zap.Error(err))
+		c.log.Warn("journal waits for the store", events.JournalBlocked, zap.Error(err))
 	}
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -198,7 +198,7 @@
 	l.version = res.Versions[0]
 	if !l.until.IsZero() && !time.Now().Before(l.until) {
 		l.generation++
-		l.log.Warn("lease lapsed", events.LeaseLapsed, zap.Int64("generation", l.generation))
+		l.log.Warn("lease lapsed", events.LeaseExpired, zap.Int64("generation", l.generation))
 	}
 	l.until = sent.Add(l.opts.TTL - l.opts.Margin)
 	return nil
--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	if o.fallback.activate() {
-		o.Log.Warn("progress is spilled", events.ProgressSpills, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
+		o.Log.Warn("progress is spilled", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
 	}
 	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Spilled(now, batch) })
 	return true
@@ -149,7 +149,7 @@
 	o.mu.Lock()
 	jobs := o.rewriteFallbackJobs()
 	o.mu.Unlock()
-	o.Log.Info("progress is spilled no longer", events.ProgressSpills, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", false),
+	o.Log.Info("progress is spilled no longer", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", false),
 		zap.Duration("away", outage), zap.Int("jobs", jobs))
 	notify(o.wakeScheduler)
 }
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -72,13 +72,13 @@
 			}
 			o.pauseBetweenHolds(ctx, id)
 			continue
-		case cluster.ReplyFence:
+		case cluster.ReplyFenced:
 			if o.isOutdatedOrder(order) {
 				continue
 			}
 			o.EndOwnership("worker " + id + " has seen a higher epoch")
 			return
-		case cluster.ReplyOtherLife:
+		case cluster.ReplyOtherIncarnation:
 			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerOver(now, id, "another life answers at its address") })
 			return
 		}
--- a/internal/owner/machines.go
+++ b/internal/owner/machines.go
@@ -46,7 +46,7 @@
 	pause := minListPause
 	for n := 0; ctx.Err() == nil; n++ {
 		requestedAt := time.Now()
-		c, cancel := conns.WithLimit(ctx, machineListTimeout)
+		c, cancel := conns.WithStallTimeout(ctx, machineListTimeout)
 		list, err := o.Machines.Machines(c)
 		cancel()
 		if err == nil {
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -128,9 +128,9 @@
 	job := m.Job
 	job.Shard = to.Index
 	job.Moves++
-	job.Epoch, job.Carried = 0, m.Carried
+	job.Epoch, job.CarriedProgress = 0, m.Carried
 	if m.Join {
-		return job.Join(&o.cfg.Layout)
+		return job.SplitJoint(&o.cfg.Layout)
 	}
 	return []cluster.Job{job}
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -110,7 +110,7 @@
 	if reply == cluster.ReplyNotSent {
 		notify(o.wakeMachineList)
 	}
-	if reply == cluster.ReplyFence && !o.isOutdatedOrder(to) {
+	if reply == cluster.ReplyFenced && !o.isOutdatedOrder(to) {
 		o.EndOwnership("worker " + to.Worker + " has seen a higher epoch")
 		return
 	}
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -128,5 +128,5 @@
 			s.SetVersion(r.Job, row.Version)
 		}
 	})
-	o.Log.Info("progress settled", events.ProgressSettled, zap.Int("jobs", len(batch.Records)), zap.Int("written_before", writtenBefore))
+	o.Log.Info("progress settled", events.ProgressReconciled, zap.Int("jobs", len(batch.Records)), zap.Int("written_before", writtenBefore))
 }
--- a/internal/owner/workerlist.go
+++ b/internal/owner/workerlist.go
@@ -27,21 +27,21 @@
 
 // workerListEntry is one life of a worker. What it has is read from the directory.
 type workerListEntry struct {
-	cluster.Life
+	cluster.Incarnation
 	Address string `json:"a"`
 }
 
 // workerListLoop persists the workers and their addresses.
 func (o *Owner) workerListLoop(ctx context.Context) error {
-	written := make(map[cluster.Life]bool)
+	written := make(map[cluster.Incarnation]bool)
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, workerListInterval)
 		o.mu.Lock()
 		workers := o.shard.WorkerInfos()
 		o.mu.Unlock()
-		current := make(map[cluster.Life]bool, len(workers))
+		current := make(map[cluster.Incarnation]bool, len(workers))
 		for _, w := range workers {
-			current[w.Life()] = true
+			current[w.Incarnation()] = true
 		}
 		if len(workers) == 0 || maps.Equal(current, written) {
 			continue
@@ -60,7 +60,7 @@
 func (o *Owner) writeWorkerList(ctx context.Context, workers []cluster.Worker) error {
 	var list workerList
 	for _, w := range workers {
-		list.Workers = append(list.Workers, workerListEntry{w.Life(), w.Address})
+		list.Workers = append(list.Workers, workerListEntry{w.Incarnation(), w.Address})
 	}
 	value, err := json.Marshal(list)
 	if err != nil {
--- a/internal/pool/set.go
+++ b/internal/pool/set.go
@@ -297,7 +297,7 @@
 		g.Go(func() error {
 			err := p.deps.Events.Deliver(p.ctx, evs[0].Attempt.Job, evs)
 			if err != nil {
-				p.log.Warn("events not taken", events.ReportNotTaken, zap.String("job", evs[0].Attempt.Job), zap.Error(err))
+				p.log.Warn("events not taken", events.ReportNotApplied, zap.String("job", evs[0].Attempt.Job), zap.Error(err))
 				return err
 			}
 			p.told(evs)
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -331,7 +331,7 @@
 		return
 	}
 	if w.silent {
-		p.log.Info("worker back", events.WorkerBack, zap.String("worker", w.host.ID))
+		p.log.Info("worker back", events.WorkerRecovered, zap.String("worker", w.host.ID))
 	}
 	if w.incarnation != "" && w.incarnation != rep.Incarnation {
 		p.forgotLocked(w)
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -100,7 +100,7 @@
 	}
 	span.SetAttributes(attribute.String("outcome", string(res.Outcome)), attribute.String("reason", string(res.Reason)))
 	if res.Outcome == api.OutcomeUnknown {
-		e.log.Warn("request unknown", events.RequestUnknown, zap.String("request", r.ID), zap.String("service", r.Service),
+		e.log.Warn("request unknown", events.RequestOutcomeUnknown, zap.String("request", r.ID), zap.String("service", r.Service),
 			zap.String("reason", string(res.Reason)), zap.String("detail", res.Detail))
 	}
 	return res
@@ -161,7 +161,7 @@
 		pause(ctx, wait)
 		wait *= 4
 	}
-	e.log.Warn("key left without outcome", events.KeyUnknown, zap.String("request", r.ID))
+	e.log.Warn("key left without outcome", events.KeyOutcomeUnknown, zap.String("request", r.ID))
 }
 
 // route finds a slot for a request, and another one as long as it did not run
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -192,7 +192,7 @@
 
 // fitsIn returns how many tasks of a step some room on one worker holds.
 func fitsIn(free resource.Amount, st *step) int64 {
-	need := st.spec.Room()
+	need := st.spec.Allocation()
 	n := int64(st.spec.Count)
 	for _, p := range [][2]int64{{free.CPUMilli, need.CPUMilli}, {free.MemoryMB, need.MemoryMB}, {free.Accelerators, need.Accelerators}} {
 		if p[1] > 0 {
--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -192,7 +192,7 @@
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	serving, filler := longRunningTasks(1, 500), tasks(1, 500)
-	serving.LatencyTargetMS, filler.Fills = 100, true
+	serving.LatencyTargetMS, filler.BestEffortCPU = 100, true
 	r.addLongRunning(batch("serves", serving))
 	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	pace := 100
@@ -365,7 +365,7 @@
 	r := newRig(t, 2)
 	r.upsertWorkers()
 	step := tasks(1, 500)
-	step.Fills = true
+	step.BestEffortCPU = true
 	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.runFor(200 * time.Millisecond)
 	stuck := r.workerOf("j")
@@ -384,7 +384,7 @@
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	serving, filler := longRunningTasks(1, 500), tasks(1, 500)
-	serving.LatencyTargetMS, filler.Fills = 100, true
+	serving.LatencyTargetMS, filler.BestEffortCPU = 100, true
 	r.addLongRunning(batch("serves", serving))
 	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	over := func(d time.Duration) {
@@ -449,7 +449,7 @@
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	filler := tasks(1, 500)
-	filler.Fills, filler.Need.MemoryMB = true, 8000
+	filler.BestEffortCPU, filler.Need.MemoryMB = true, 8000
 	r.shard.AddJob(r.now, batch("filler", filler), nil, false)
 	r.runFor(1500 * time.Millisecond)
 	r.addLongRunning(batch("lasts", longRunningTasks(1, 1000)))
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -34,7 +34,7 @@
 func (s *Shard) mustLeave(now time.Time, r *run, left time.Duration) bool {
 	spec := r.task.step.spec
 	if spec.LongRunning {
-		return spec.MaxAway == 0 || s.away(r.task.step) < spec.MaxAway || left < s.p.StopTime+evacuateMargin
+		return spec.MaxUnavailable == 0 || s.away(r.task.step) < spec.MaxUnavailable || left < s.p.StopTime+evacuateMargin
 	}
 	if s.remaining(now, r)+s.p.StopTime < left {
 		return false
--- a/internal/scheduler/gangfails_test.go
+++ b/internal/scheduler/gangfails_test.go
@@ -35,7 +35,7 @@
 		r.runFor(100 * time.Millisecond)
 		how := cluster.OutcomeDone
 		if len(r.workers[bad].running) > 0 {
-			how = cluster.OutcomeBroken
+			how = cluster.OutcomeGangBroken
 		}
 		for _, e := range r.workers[bad].running {
 			r.endRun(bad, e.Task, e.Run, cluster.OutcomeFailed)
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -161,7 +161,7 @@
 // workerSucceeded takes a run that speaks for its worker; the run may be nil.
 func (s *Shard) workerSucceeded(now time.Time, w *worker, r *run) {
 	if w.health.succeeded(r) {
-		s.log.Info("worker in use again", events.WorkerCleared, zap.String("worker", w.info.ID),
+		s.log.Info("worker in use again", events.WorkerReinstated, zap.String("worker", w.info.ID),
 			zap.Duration("after", now.Sub(w.health.asideSince)))
 	}
 }
@@ -210,7 +210,7 @@
 	h.asideFor = min(max(2*h.asideFor, asideFirst), asideMost)
 	h.asideAt, h.asideUntil, h.probing, h.cause = now, now.Add(h.asideFor), true, why
 	s.counts.SetAside++
-	s.log.Warn("worker set aside", events.WorkerAside, zap.String("worker", w.info.ID), zap.String("cause", string(why)),
+	s.log.Warn("worker set aside", events.WorkerQuarantined, zap.String("worker", w.info.ID), zap.String("cause", string(why)),
 		zap.Int("failures", h.fresh.failures), zap.Int("jobs", len(h.fresh.jobs)), zap.Duration("for", h.asideFor))
 	h.last, h.fresh = streak{}, streak{}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -149,7 +149,7 @@
 	if progress == nil {
 		progress = s.carried(&spec)
 	}
-	spec.Carried = nil
+	spec.CarriedProgress = nil
 	j := &job{spec: spec, rank: rankOf(&spec, now), state: cluster.StatePending, inherited: uncertain, offered: now}
 	s.jobs[spec.ID] = j
 	if progress != nil && progress.State.Finished() {
@@ -168,7 +168,7 @@
 		return 1
 	})
 	s.active = slices.Insert(s.active, at, j)
-	s.log.Info("job taken", events.JobTaken, zap.String("job", spec.ID), zap.String("queue", spec.Queue),
+	s.log.Info("job taken", events.JobAdded, zap.String("job", spec.ID), zap.String("queue", spec.Queue),
 		zap.Int("tasks", j.left), zap.Int("priority", j.rank.Priority), zap.Duration("due_in", j.rank.Due.Sub(now)),
 		zap.Bool("uncertain", uncertain))
 	s.finishIfDone(now, j)
@@ -176,10 +176,10 @@
 
 // carried returns the progress with which a job came from another shard, or nil.
 func (s *Shard) carried(spec *cluster.Job) *Progress {
-	if len(spec.Carried) == 0 {
+	if len(spec.CarriedProgress) == 0 {
 		return nil
 	}
-	p, err := ParseProgress(spec.Carried, 0)
+	p, err := ParseProgress(spec.CarriedProgress, 0)
 	if err != nil {
 		s.log.Warn("carried progress skipped", events.RowSkipped, zap.String("job", spec.ID), zap.Error(err))
 		return nil
@@ -211,7 +211,7 @@
 			id: cluster.TaskID{Job: st.id.Job, Repeat: st.id.Repeat, Step: st.id.Step, Index: x}, step: st,
 			lastRun: s.p.Epoch * runsPerEpoch, uncertain: uncertain,
 		}
-		if !st.job.spec.Runs(st.spec, x) {
+		if !st.job.spec.MayRun(st.spec, x) {
 			// Another shard runs it; here there is nothing left to do for it.
 			t.done, t.uncertain = true, false
 			st.done++
--- a/internal/scheduler/joint.go
+++ b/internal/scheduler/joint.go
@@ -114,7 +114,7 @@
 // isJoint reports whether several shards run the job's gangs together, and isGuest whether
 // another one speaks for it.
 func (j *job) isJoint() bool { return j.spec.Share.Joint }
-func (j *job) isGuest() bool { return j.isJoint() && !j.spec.Share.Speaks() }
+func (j *job) isGuest() bool { return j.isJoint() && !j.spec.Share.Leads() }
 
 // isHeard reports whether a gang's lead, which may be this owner, has asked lately.
 func (st *step) isHeard(now time.Time) bool { return now.Sub(st.joint.heardAt) < gangHeard }
--- a/internal/scheduler/jointlead.go
+++ b/internal/scheduler/jointlead.go
@@ -91,7 +91,7 @@
 	for i, g := range all {
 		ready[i], soon[i] = g.Ready, g.Soon
 	}
-	s.log.Info("gang waits for room in several shards", events.GangWaits, zap.String("job", st.id.Job), zap.Int("step", st.id.Step),
+	s.log.Info("gang waits for room in several shards", events.GangWaiting, zap.String("job", st.id.Job), zap.Int("step", st.id.Step),
 		zap.Int("members", len(st.tasks)), zap.Ints("ready", ready), zap.Ints("soon", soon), zap.Ints("kept", st.joint.asks),
 		zap.Duration("starts_in", st.joint.startsIn))
 }
@@ -111,7 +111,7 @@
 func (s *Shard) gangEnded(now time.Time, st *step, all []GangState) bool {
 	for _, g := range all {
 		if g.Done {
-			s.log.Info("gang has succeeded in another shard", events.GangJoint, zap.String("job", st.id.Job), zap.Int("step", st.id.Step))
+			s.log.Info("gang has succeeded in another shard", events.JointGang, zap.String("job", st.id.Job), zap.Int("step", st.id.Step))
 			for _, t := range st.tasks {
 				s.succeed(now, t)
 			}
@@ -204,7 +204,7 @@
 		return nil
 	}
 	st.waitingSince = time.Time{}
-	s.log.Info("gang starts in several shards", events.GangJoint, zap.String("job", st.id.Job), zap.Int("step", st.id.Step),
+	s.log.Info("gang starts in several shards", events.JointGang, zap.String("job", st.id.Job), zap.Int("step", st.id.Step),
 		zap.Int64("run", run), zap.Int("members", len(st.tasks)), zap.Int("here", ownTo-own), zap.Int("others", len(starts)))
 	return starts
 }
@@ -215,7 +215,7 @@
 	if st == nil || st.gangRun != run {
 		return
 	}
-	s.log.Info("gang not started by all shards", events.GangJoint, zap.String("job", id.Job), zap.Int("step", id.Step), zap.Int64("run", run))
+	s.log.Info("gang not started by all shards", events.JointGang, zap.String("job", id.Job), zap.Int("step", id.Step), zap.Int64("run", run))
 	st.joint.stop = true
 	s.breakGangRun(now, st, run, "not started by all shards")
 }
--- a/internal/scheduler/life.go
+++ b/internal/scheduler/life.go
@@ -93,8 +93,8 @@
 func (s *Shard) replaceLife(now time.Time, old *worker, started int64) {
 	old.lives.over = append(slices.DeleteFunc(old.lives.over, func(o int64) bool { return o == started }), old.started)
 	old.lives.over = old.lives.over[max(0, len(old.lives.over)-livesKept):]
-	s.log.Warn("worker has started again", events.WorkerRestarted, zap.Stringer("life", cluster.Life{ID: old.info.ID, Started: started}),
-		zap.Stringer("replaced", old.info.Life()), zap.Duration("known_for", now.Sub(old.since)), zap.Int("runs", len(old.runs)))
+	s.log.Warn("worker has started again", events.WorkerRestarted, zap.Stringer("life", cluster.Incarnation{ID: old.info.ID, Started: started}),
+		zap.Stringer("replaced", old.info.Incarnation()), zap.Duration("known_for", now.Sub(old.since)), zap.Int("runs", len(old.runs)))
 	info := cluster.Worker{ID: old.info.ID, Started: started, Address: old.address(), Service: old.info.Service}
 	known := old.next != nil && old.next.Started == started
 	if known {
@@ -150,7 +150,7 @@
 // inDoubtReplied takes the reply to a start that was ordered from a life that is over: either
 // that life took it, or nobody did, or it isn't known.
 func (s *Shard) inDoubtReplied(now time.Time, r *run, reply cluster.Reply) {
-	if reply == cluster.ReplyUnknown || reply == cluster.ReplyNewLife {
+	if reply == cluster.ReplyUnknown || reply == cluster.ReplyNewIncarnation {
 		return
 	}
 	id := r.worker.info.ID
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/life_test.go
@@ -12,7 +12,7 @@
 )
 
 // upsertLife makes a life known.
-func (r *rig) upsertLife(life cluster.Life) {
+func (r *rig) upsertLife(life cluster.Incarnation) {
 	r.shard.UpsertWorker(r.now, cluster.Worker{
 		ID: life.ID, Started: life.Started, Address: life.ID, Service: "svc", Rack: "r1-0", Labels: []string{"a"},
 		Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}, ClockMS: r.now.UnixMilli(),
@@ -25,7 +25,7 @@
 func TestGenerationsNeverDecrease(t *testing.T) {
 	const others = 400
 	r := newRig(t, 0)
-	life := cluster.Life{ID: "w", Started: firstStartMS}
+	life := cluster.Incarnation{ID: "w", Started: firstStartMS}
 	var last int64
 	for range 3 {
 		r.upsertLife(life)
@@ -37,7 +37,7 @@
 		r.shard.WorkerOver(r.now, life.ID, "its lease is over")
 		for i := range others {
 			id := fmt.Sprintf("o%d", i)
-			r.upsertLife(cluster.Life{ID: id})
+			r.upsertLife(cluster.Incarnation{ID: id})
 			r.shard.WorkerOver(r.now, id, "its machine says so")
 		}
 		r.runFor(20 * time.Second)
@@ -50,7 +50,7 @@
 	r := newRig(t, 0)
 	r.workers["w"] = &fakeWorker{}
 	r.takeOver()
-	life := cluster.Life{ID: "w", Started: firstStartMS}
+	life := cluster.Incarnation{ID: "w", Started: firstStartMS}
 	r.upsertLife(life)
 	report := func(started int64, running []cluster.RunStatus, ended []cluster.RunEnd) (lastSeen int64) {
 		t.Helper()
@@ -74,7 +74,7 @@
 		t.Fatalf("confirmed up to %d, want 57", seen)
 	}
 	r.shard.UpsertWorker(r.now, cluster.Worker{ID: "w", Started: life.Started, Address: "w", Service: "svc", Labels: []string{"a"}, Draining: true, Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}})
-	next := cluster.Life{ID: "w", Started: life.Started - 2000}
+	next := cluster.Incarnation{ID: "w", Started: life.Started - 2000}
 	*r.workers["w"] = fakeWorker{}
 	report(next.Started, nil, nil)
 	if seen := report(next.Started, nil, nil); seen != 0 {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -49,7 +49,7 @@
 	var sum resource.Amount
 	for st := range j.steps() {
 		if st.done < len(st.tasks) && st.ready(now) {
-			sum = sum.Add(st.spec.Room().Times(st.waitingHere()))
+			sum = sum.Add(st.spec.Allocation().Times(st.waitingHere()))
 		}
 	}
 	return sum
--- a/internal/scheduler/movedprogress_test.go
+++ b/internal/scheduler/movedprogress_test.go
@@ -66,7 +66,7 @@
 		t.Fatalf("moves %+v, want the job with its progress", moves)
 	}
 	job := moves[0].Job
-	job.Moves, job.Carried = job.Moves+1, moves[0].Carried
+	job.Moves, job.CarriedProgress = job.Moves+1, moves[0].Carried
 	job.Policy.Advice = nil
 	to := newRig(t, 4)
 	to.upsertWorkers()
@@ -98,7 +98,7 @@
 	const failed = 700_003
 	job := batch("j", tasks(1, 1000))
 	job.Moves = 1
-	job.Carried = []byte(`{"state":"running","begun":true,"mv":1,"steps":[{"t":[{"i":0,"f":[700003],"l":700003}]}]}`)
+	job.CarriedProgress = []byte(`{"state":"running","begun":true,"mv":1,"steps":[{"t":[{"i":0,"f":[700003],"l":700003}]}]}`)
 	r := newRig(t, 2)
 	r.upsertWorkers()
 	r.runFor(200 * time.Millisecond)
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -25,7 +25,7 @@
 	w.clock, w.clockAt = report.ClockMS, now
 	if w.silent {
 		w.silent = false
-		s.log.Info("worker answers again", events.WorkerAnswers, zap.String("worker", id), zap.Duration("silent", now.Sub(w.silentSince)))
+		s.log.Info("worker answers again", events.WorkerResponsive, zap.String("worker", id), zap.Duration("silent", now.Sub(w.silentSince)))
 	}
 	first := !w.answered
 	w.answered, w.heard = true, true
@@ -53,7 +53,7 @@
 	}
 	s.recount(w)
 	if first {
-		s.log.Info("worker taken over", events.WorkerTaken, zap.String("worker", id), zap.Int64("epoch", s.p.Epoch), zap.Int("runs", len(w.runs)))
+		s.log.Info("worker taken over", events.WorkerTakenOver, zap.String("worker", id), zap.Int64("epoch", s.p.Epoch), zap.Int("runs", len(w.runs)))
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	others := len(t.runs) > 0 && !t.step.spec.Speculative
 	r := s.add(now, t, e.Run, w, runRunning)
-	if t.step.spec.Fills {
+	if t.step.spec.BestEffortCPU {
 		r.pace = paceUnknown
 	}
 	s.log.Info("run adopted", events.RunAdopted, zap.Stringer("task", e.Task), zap.Int64("run", e.Run), zap.String("worker", w.info.ID), zap.Int("percent", e.Percent))
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -44,7 +44,7 @@
 			if r.stopping || r.state != runRunning {
 				continue
 			}
-			if spec.Fills {
+			if spec.BestEffortCPU {
 				fillers = append(fillers, r)
 			}
 			if spec.LatencyTargetMS > 0 {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -173,7 +173,7 @@
 func (w *worker) lasting() (sum resource.Amount) {
 	for _, r := range w.runs {
 		if r.task.step.spec.LongRunning {
-			sum = sum.Add(r.task.step.spec.Room())
+			sum = sum.Add(r.task.step.spec.Allocation())
 		}
 	}
 	return sum
@@ -211,7 +211,7 @@
 // couldHold reports whether one more task of the step could run on a worker if all that
 // runs there, but for what lasts, had ended.
 func (s *Shard) couldHold(now time.Time, w *worker, st *step) bool {
-	return s.mayHold(now, w, st) && s.spreadAllows(w, st, 0) && w.info.Capacity.Sub(w.lasting()).Fits(st.spec.Room())
+	return s.mayHold(now, w, st) && s.spreadAllows(w, st, 0) && w.info.Capacity.Sub(w.lasting()).Fits(st.spec.Allocation())
 }
 
 // usable reports whether a worker may run tasks of the step, room and tickets aside.
@@ -226,7 +226,7 @@
 	return w.stays() && len(w.foreign) == 0 && !st.avoids(now, w) && !now.Before(w.refusesUntil) &&
 		w.info.Service == st.job.spec.Service &&
 		(st.spec.Label == "" || w.info.HasLabel(st.spec.Label)) &&
-		w.info.Capacity.Fits(st.spec.Room())
+		w.info.Capacity.Fits(st.spec.Allocation())
 }
 
 // failedHere notes that a member of a gang failed on a worker.
@@ -324,7 +324,7 @@
 func (s *Shard) bestOf(now time.Time, st *step, extra map[*worker]int, allowed func(*worker) bool) *worker {
 	var best *worker
 	bestScore := 0.0
-	room := st.spec.Room()
+	room := st.spec.Allocation()
 	for _, w := range s.order {
 		// Most workers of a busy shard are full, and each step that waits tries all.
 		if !w.info.Capacity.Sub(w.used).Fits(room) || !allowed(w) {
@@ -372,16 +372,16 @@
 // score rates a worker that would have rest left over.
 func (s *Shard) score(w *worker, st *step, rest resource.Amount) float64 {
 	score := -rest.DominantShare(w.info.Capacity)
-	if st.spec.Fills {
+	if st.spec.BestEffortCPU {
 		score = -score
 	}
 	if st.spec.DataRack != "" && st.spec.DataRack == w.info.Rack {
 		score += nearBonus
 	}
-	if st.spec.Fills || st.spec.LatencyTargetMS > 0 {
+	if st.spec.BestEffortCPU || st.spec.LatencyTargetMS > 0 {
 		for _, r := range w.runs {
 			other := r.task.step.spec
-			if (st.spec.Fills && other.LatencyTargetMS > 0) || (st.spec.LatencyTargetMS > 0 && other.Fills) {
+			if (st.spec.BestEffortCPU && other.LatencyTargetMS > 0) || (st.spec.LatencyTargetMS > 0 && other.BestEffortCPU) {
 				score -= besideServing
 			}
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -38,7 +38,7 @@
 			delete(w.reserved, st)
 			return true
 		}
-		n += timesFits(res.amount, st.spec.Room())
+		n += timesFits(res.amount, st.spec.Allocation())
 		return false
 	})
 	return n
@@ -61,7 +61,7 @@
 	var bestRuns []*run
 	bestCost := 0.0
 	for _, w := range s.order {
-		if !s.mayHold(now, w, st) || !s.spreadAllows(w, st, timesFits(w.reserved[st].amount, st.spec.Room())) {
+		if !s.mayHold(now, w, st) || !s.spreadAllows(w, st, timesFits(w.reserved[st].amount, st.spec.Allocation())) {
 			continue
 		}
 		if st.needsTicket() {
@@ -101,14 +101,14 @@
 	cost := 0.0
 	var victims []*run
 	for _, r := range list {
-		if free.Fits(st.spec.Room()) {
+		if free.Fits(st.spec.Allocation()) {
 			break
 		}
-		free = free.Add(r.task.step.spec.Room())
+		free = free.Add(r.task.step.spec.Allocation())
 		cost += s.stopCost(now, r)
 		victims = append(victims, r)
 	}
-	return victims, cost, free.Fits(st.spec.Room()) && len(victims) > 0
+	return victims, cost, free.Fits(st.spec.Allocation()) && len(victims) > 0
 }
 
 // stopCost is the work, in core-seconds, that stopping a run throws away.
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -121,7 +121,7 @@
 	if !ok {
 		st.keptOn = append(st.keptOn, w)
 	}
-	res.amount = res.amount.Add(st.spec.Room())
+	res.amount = res.amount.Add(st.spec.Allocation())
 	res.until, res.at = until, at
 	w.reserved[st] = res
 }
@@ -179,7 +179,7 @@
 // roomTimes returns in what time a worker has room for each of up to n more tasks of a
 // step, by the ends of what runs there.
 func (s *Shard) roomTimes(now time.Time, w *worker, st *step, n int, within time.Duration) (times []time.Duration) {
-	need, kept := st.spec.Room(), w.reserved[st].amount
+	need, kept := st.spec.Allocation(), w.reserved[st].amount
 	free, beside := w.free(now, st).Sub(kept), timesFits(kept, need)
 	ends, at := s.runEnds(now, w), time.Duration(0)
 	for len(times) < n && s.spreadAllows(w, st, beside+len(times)) {
@@ -206,9 +206,9 @@
 		spec := r.task.step.spec
 		switch {
 		case r.stopping:
-			ends = append(ends, runEnd{spec.Room(), s.p.StopTime})
+			ends = append(ends, runEnd{spec.Allocation(), s.p.StopTime})
 		case !spec.LongRunning:
-			ends = append(ends, runEnd{spec.Room(), s.remaining(now, r)})
+			ends = append(ends, runEnd{spec.Allocation(), s.remaining(now, r)})
 		}
 	}
 	slices.SortFunc(ends, func(a, b runEnd) int { return cmp.Compare(a.in, b.in) })
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -97,7 +97,7 @@
 	t.lastRun = max(t.lastRun, n)
 	t.step.gangRun = max(t.step.gangRun, n)
 	w.runs[r.key()] = r
-	w.used = w.used.Add(t.step.spec.Room())
+	w.used = w.used.Add(t.step.spec.Allocation())
 	s.runs[r.key()] = r
 	if j := t.step.job; !j.begun {
 		j.begun = true
@@ -113,7 +113,7 @@
 	}
 	delete(s.runs, r.key())
 	delete(r.worker.runs, r.key())
-	r.worker.used = r.worker.used.Sub(r.task.step.spec.Room())
+	r.worker.used = r.worker.used.Sub(r.task.step.spec.Allocation())
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(o *run) bool { return o == r })
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	if reply != cluster.ReplyOK {
-		s.log.Info("start not taken", events.StartNotTaken, zap.Stringer("task", task), zap.Int64("run", n),
+		s.log.Info("start not taken", events.StartRejected, zap.Stringer("task", task), zap.Int64("run", n),
 			zap.String("worker", id), zap.String("reply", string(reply)))
 	}
 	switch reply {
@@ -163,7 +163,7 @@
 		}
 		r.knownAt, r.taken = r.worker.holds, true
 		return
-	case cluster.ReplyNewLife:
+	case cluster.ReplyNewIncarnation:
 		// It may run there under a life that isn't known yet, whose answer settles it.
 		s.emit(Look{Worker: id})
 		return
@@ -172,10 +172,10 @@
 		s.stop(now, r, "start not answered")
 		s.breakGang(now, r, "start not answered")
 		return
-	case cluster.ReplyOtherLife:
+	case cluster.ReplyOtherIncarnation:
 		s.WorkerOver(now, id, "another life answers at its address")
 		return
-	case cluster.ReplyTicket:
+	case cluster.ReplyTicketInvalid:
 		r.task.step.advice.discard(id)
 	case cluster.ReplyBusy, cluster.ReplyInvalid:
 		s.workerFailed(now, r.worker, r, r.task.id.Job)
@@ -185,7 +185,7 @@
 		}
 	case cluster.ReplyNotSent:
 		s.HoldFailed(now, id, "connection not made")
-	case cluster.ReplyFence, cluster.ReplyOld, cluster.ReplyLate, cluster.ReplyRoom:
+	case cluster.ReplyFenced, cluster.ReplyStaleRun, cluster.ReplyDeadlinePassed, cluster.ReplyNoRoom:
 	}
 	r.task.notBefore = now.Add(rejectedPause)
 	s.drop(r)
@@ -213,7 +213,7 @@
 			// The hold that is open says nothing of it, and the next one may be kept open.
 			s.emit(Look{Worker: id})
 		}
-	case cluster.ReplyOtherLife:
+	case cluster.ReplyOtherIncarnation:
 		s.WorkerOver(now, id, "another life answers at its address")
 	default:
 		r.stopSent = now
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -223,7 +223,7 @@
 func (s *Shard) Waiting(queue string) int {
 	n := 0
 	for _, j := range s.active {
-		if j.spec.Queue == queue && j.spec.Share.Speaks() && !j.begun && !j.state.Finished() {
+		if j.spec.Queue == queue && j.spec.Share.Leads() && !j.begun && !j.state.Finished() {
 			n++
 		}
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -300,7 +300,7 @@
 	r.upsertWorkers()
 	serving, filler := tasks(1, 1000), tasks(1, 1000)
 	serving.LongRunning, serving.LatencyTargetMS = true, 100
-	filler.Fills = true
+	filler.BestEffortCPU = true
 	r.shard.AddJob(r.now, batch("serves", serving), nil, false)
 	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	r.runFor(300 * time.Millisecond)
@@ -321,7 +321,7 @@
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	filler := tasks(1, 1000)
-	filler.Fills = true
+	filler.BestEffortCPU = true
 	job := batch("fills", filler)
 	r.shard.AddJob(r.now, job, nil, false)
 	r.runFor(300 * time.Millisecond)
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -203,7 +203,7 @@
 func (s *simulation) used(id string, lastsOnly bool) (sum resource.Amount) {
 	for _, e := range s.workers[id].running {
 		if st := s.byID[e.Task.Job].step(); st.LongRunning || !lastsOnly {
-			sum = sum.Add(st.Room())
+			sum = sum.Add(st.Allocation())
 		}
 	}
 	return sum
@@ -252,11 +252,11 @@
 	m, f := s.workerStates[c.Worker], s.workers[c.Worker]
 	switch {
 	case m == nil:
-		return cluster.ReplyOtherLife
+		return cluster.ReplyOtherIncarnation
 	case f.silent:
 		return cluster.ReplyUnknown
 	case c.Run <= m.lastEndedRun[c.Task]:
-		return cluster.ReplyOld
+		return cluster.ReplyStaleRun
 	case m.fault == faultBusy:
 		return cluster.ReplyBusy
 	}
@@ -264,10 +264,10 @@
 	j := s.byID[c.Task.Job]
 	st := j.step()
 	if j.spec.Policy.Advice != nil && (!s.ticketHolds(c.Ticket) || s.rejects()) {
-		return cluster.ReplyTicket
+		return cluster.ReplyTicketInvalid
 	}
-	if !m.info.Capacity.Sub(s.used(c.Worker, false)).Fits(st.Room()) || s.rejects() {
-		return cluster.ReplyRoom
+	if !m.info.Capacity.Sub(s.used(c.Worker, false)).Fits(st.Allocation()) || s.rejects() {
+		return cluster.ReplyNoRoom
 	}
 	if on, ok := s.runningOn[c.Task]; ok {
 		s.fail("%v starts on %s and runs on %s", c.Task, c.Worker, on)
@@ -279,7 +279,7 @@
 		return cluster.ReplyUnknown
 	}
 	if c.Started != m.info.Started {
-		return cluster.ReplyNewLife
+		return cluster.ReplyNewIncarnation
 	}
 	return cluster.ReplyOK
 }
@@ -315,7 +315,7 @@
 	m, f := s.workerStates[c.Worker], s.workers[c.Worker]
 	switch {
 	case m == nil:
-		return cluster.ReplyOtherLife
+		return cluster.ReplyOtherIncarnation
 	case f.silent:
 		return cluster.ReplyUnknown
 	}
@@ -356,7 +356,7 @@
 		for _, e := range slices.Clone(s.workers[id].running) {
 			r := s.runs[runKey{e.Task, e.Run}]
 			if lapsed {
-				s.endSimRun(id, e.Task, e.Run, cluster.OutcomeLapsed)
+				s.endSimRun(id, e.Task, e.Run, cluster.OutcomeLeaseExpired)
 				continue
 			}
 			whole := members[runKey{cluster.TaskID{Job: e.Task.Job}, e.Run}] == s.byID[e.Task.Job].step().Count
@@ -406,7 +406,7 @@
 	if st.Gang {
 		switch {
 		case !whole && s.now.Sub(r.startedAt) > aloneFor && r.progress == 0:
-			return cluster.OutcomeAlone
+			return cluster.OutcomeGangIncomplete
 		case !whole:
 			speed = 0
 		case s.gangIsSlow(e):
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -114,7 +114,7 @@
 // watched reports whether a run's progress says something of its worker.
 func watched(r *run) bool {
 	spec := r.task.step.spec
-	return r.state == runRunning && !spec.LongRunning && !spec.Fills && r.pace == fullPace && r.percent < 100
+	return r.state == runRunning && !spec.LongRunning && !spec.BestEffortCPU && r.pace == fullPace && r.percent < 100
 }
 
 // standsStill reports whether a run's percent has not risen for a time in which its worker reported.
@@ -131,11 +131,11 @@
 // that lasts has not come to work, for so long that it should start elsewhere.
 func (r *run) staysBehind() bool {
 	spec := r.task.step.spec
-	if (!spec.Fills && !spec.LongRunning) || r.state != runRunning || r.pace == paceUnknown || r.percent == 100 {
+	if (!spec.BestEffortCPU && !spec.LongRunning) || r.state != runRunning || r.pace == paceUnknown || r.percent == 100 {
 		return false
 	}
 	patience := fillerStill
-	if !spec.Fills {
+	if !spec.BestEffortCPU {
 		patience = lastingStill
 	}
 	patience <<= min(r.task.moved, stillDoubled)
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -60,7 +60,7 @@
 		return o
 	}
 	switch {
-	case !w.free(now, st).Fits(st.spec.Room()):
+	case !w.free(now, st).Fits(st.spec.Allocation()):
 		return isFull
 	case now.Before(w.health.asideUntil):
 		return isAside
@@ -119,7 +119,7 @@
 	for _, w := range s.order {
 		counts[s.obstacleTo(now, w, st)]++
 	}
-	fields := []zap.Field{events.TaskWaits, zap.Stringer("task", t.id), zap.Duration("waited", waited), zap.Int("workers", len(s.order)),
+	fields := []zap.Field{events.TaskWaiting, zap.Stringer("task", t.id), zap.Duration("waited", waited), zap.Int("workers", len(s.order)),
 		zap.Bool("asking", st.advice.calls > 0), zap.Int64("cpu_milli", st.spec.Need.CPUMilli), zap.Int64("memory_mb", st.spec.Need.MemoryMB)}
 	for i, n := range counts {
 		if n > 0 {
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -96,7 +96,7 @@
 	w := s.workers[info.ID]
 	if w == nil {
 		w = s.newWorker(now, info)
-		s.log.Info("worker found", events.WorkerFound, zap.Stringer("worker", info.Life()), zap.String("rack", info.Rack),
+		s.log.Info("worker found", events.WorkerFound, zap.Stringer("worker", info.Incarnation()), zap.String("rack", info.Rack),
 			zap.Int64("cpu_milli", info.Capacity.CPUMilli))
 	}
 	if !s.entryOfLife(now, w, info) {
@@ -123,7 +123,7 @@
 	case newerLife:
 		w.setListed(now, true)
 		if w.next == nil || w.next.Started != info.Started {
-			s.log.Info("entry of another life", events.EntryInvalid, zap.Stringer("worker", w.info.Life()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
+			s.log.Info("entry of another life", events.DirectoryEntryInvalid, zap.Stringer("worker", w.info.Incarnation()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
 			s.emit(Look{Worker: info.ID})
 		}
 		w.next = &info
@@ -140,7 +140,7 @@
 	if w == nil {
 		return
 	}
-	s.log.Warn("worker's life is over", events.WorkerOver, zap.String("worker", id), zap.String("evidence", evidence),
+	s.log.Warn("worker's life is over", events.WorkerEnded, zap.String("worker", id), zap.String("evidence", evidence),
 		zap.Int("runs", len(w.runs)))
 	s.endLife(now, w, "worker's life is over")
 	delete(s.workers, id)
@@ -213,7 +213,7 @@
 		return
 	}
 	w.silent, w.silentSince = true, now
-	s.log.Warn("worker does not answer", events.WorkerNoAnswer, zap.String("worker", id), zap.String("cause", cause),
+	s.log.Warn("worker does not answer", events.WorkerUnresponsive, zap.String("worker", id), zap.String("cause", cause),
 		zap.Int("runs", len(w.runs)), zap.Bool("answered_before", w.answered))
 }
 
@@ -234,7 +234,7 @@
 func (s *Shard) expireLeases(now time.Time) {
 	for _, w := range s.order {
 		if (w.silent || !w.answered) && len(w.runs) > 0 && now.After(s.leaseEnd(w)) {
-			s.log.Warn("worker's lease is over", events.WorkerLeaseOver, zap.String("worker", w.info.ID),
+			s.log.Warn("worker's lease is over", events.WorkerLeaseExpired, zap.String("worker", w.info.ID),
 				zap.Duration("silent", now.Sub(w.silentSince)), zap.Int("runs", len(w.runs)))
 			s.loseRuns(now, w, "lease over")
 		}
@@ -284,7 +284,7 @@
 func (s *Shard) recount(w *worker) {
 	w.used = resource.Amount{}
 	for _, r := range w.runs {
-		w.used = w.used.Add(r.task.step.spec.Room())
+		w.used = w.used.Add(r.task.step.spec.Allocation())
 	}
 	w.used = w.used.Add(w.info.Capacity.Times(int64(len(w.foreign))))
 }
@@ -300,7 +300,7 @@
 	w.setListed(now, true)
 	if !w.entryInvalid {
 		w.entryInvalid = true
-		s.log.Info("directory entry is invalid", events.EntryInvalid, zap.String("worker", id), zap.Int("runs", len(w.runs)))
+		s.log.Info("directory entry is invalid", events.DirectoryEntryInvalid, zap.String("worker", id), zap.Int("runs", len(w.runs)))
 	}
 }
 
--- a/internal/tables/healthcheck.go
+++ b/internal/tables/healthcheck.go
@@ -21,7 +21,7 @@
 		r.mu.Lock()
 		unanswered := r.lastAnswer.Before(sent)
 		r.mu.Unlock()
-		if unanswered && !conns.Arriving(ctx) {
+		if unanswered && !conns.ResponseStarted(ctx) {
 			cancel()
 		}
 	})
@@ -46,11 +46,11 @@
 // service answers another one at once.
 func (r *Relay) cancelIfAnswerLost(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
 	return time.AfterFunc(after, func() {
-		if conns.Arriving(ctx) || !r.responds() {
+		if conns.ResponseStarted(ctx) || !r.responds() {
 			return
 		}
 		// The look took a while, in which the answer may have begun to arrive.
-		if !conns.Arriving(ctx) {
+		if !conns.ResponseStarted(ctx) {
 			cancel()
 		}
 	})
--- a/internal/tables/relay.go
+++ b/internal/tables/relay.go
@@ -203,7 +203,7 @@
 // callDirect makes a call of the service itself. If its outcome is unknown, back
 // reports whether the service answers on another connection.
 func callDirect[Res any](ctx context.Context, r *Relay, lim callLimits, call request[Res]) (res Res, serviceUp bool, err error) {
-	c, cancel := conns.WithLimit(ctx, lim.wait+lim.timeout)
+	c, cancel := conns.WithStallTimeout(ctx, lim.wait+lim.timeout)
 	defer cancel()
 	defer r.cancelIfSilent(c, cancel, lim.wait+silenceTimeout).Stop()
 	defer r.cancelIfAnswerLost(c, cancel, lim.wait+lostAnswerTimeout).Stop()
@@ -214,7 +214,7 @@
 
 // callPeer makes a call callPeer a peer.
 func callPeer[Res any](ctx context.Context, peer Service, lim callLimits, call request[Res]) (Res, error) {
-	c, cancel := conns.WithLimit(ctx, lim.wait+lim.timeout)
+	c, cancel := conns.WithStallTimeout(ctx, lim.wait+lim.timeout)
 	defer cancel()
 	return call(c, peer)
 }
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -80,7 +80,7 @@
 		a.buf, a.dropped = spare[:0], 0
 		a.mu.Unlock()
 		if dropped > 0 {
-			out = fmt.Appendf(out, `{"level":"warn",%q:%q,"msg":"log lines dropped","lines":%d}`+"\n", events.Field, events.LinesDropped, dropped)
+			out = fmt.Appendf(out, `{"level":"warn",%q:%q,"msg":"log lines dropped","lines":%d}`+"\n", events.Field, events.LogLinesDropped, dropped)
 		}
 		a.writeOut(out)
 		spare = out
--- a/matrix/site/untold_test.go
+++ b/matrix/site/untold_test.go
@@ -76,7 +76,7 @@
 // checkTaken checks how soon after its acceptance each job was taken by its owner.
 func (w *world) checkTaken(logs *observer.ObservedLogs) {
 	taken := make(map[string]time.Time)
-	for _, e := range logs.FilterField(events.JobTaken).All() {
+	for _, e := range logs.FilterField(events.JobAdded).All() {
 		taken[e.ContextMap()["job"].(string)] = e.Time
 	}
 	accepted := logs.FilterField(events.JobAccepted).All()
