--- a/internal/cell/gang.go
+++ b/internal/cell/gang.go
@@ -29,8 +29,8 @@
 }
 
 // QueryGang asks a shard's owner how a gang stands there.
-func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error) {
-	msg := gangMessage[scheduler.GangAsk]{shard, ask}
+func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error) {
+	msg := gangMessage[scheduler.GangQuery]{shard, ask}
 	return askOwner(ctx, n.Node, shard, pathGang, msg, askPeer, n.gangAsked)
 }
 
@@ -42,7 +42,7 @@
 }
 
 // gangAsked answers for a gang that a shard owned here runs with others.
-func (n *Node) gangAsked(_ context.Context, msg gangMessage[scheduler.GangAsk]) (scheduler.GangState, error) {
+func (n *Node) gangAsked(_ context.Context, msg gangMessage[scheduler.GangQuery]) (scheduler.GangState, error) {
 	o := n.local(msg.Shard)
 	if o == nil {
 		return scheduler.GangState{}, errNotOwner()
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -326,8 +326,8 @@
 func (n *Node) params(epoch int64) scheduler.Params {
 	most := time.Duration(n.cfg.Bounds.LeaseMostMS) * time.Millisecond
 	return scheduler.Params{
-		Epoch: epoch, Lease: min(lease, most), LeaseMost: most, StopTime: time.Duration(n.cfg.Bounds.StopMS) * time.Millisecond,
-		Uncertain:    time.Duration(float64(min(lease, most))*scheduler.ClockSlack) + selfStop,
-		KeepFinished: time.Duration(n.cfg.Bounds.KeepStateMS) * time.Millisecond,
+		Epoch: epoch, Lease: min(lease, most), MaxLease: most, StopTime: time.Duration(n.cfg.Bounds.StopMS) * time.Millisecond,
+		UncertainFor:      time.Duration(float64(min(lease, most))*scheduler.ClockSlack) + selfStop,
+		FinishedRetention: time.Duration(n.cfg.Bounds.KeepStateMS) * time.Millisecond,
 	}
 }
--- a/internal/owner/advice.go
+++ b/internal/owner/advice.go
@@ -32,10 +32,10 @@
 type AdviceQueue struct {
 	ctx      context.Context // the calls end with the owner, not with who adds them
 	advisers func() []Adviser
-	onAnswer func(scheduler.Advise, Advice)
+	onAnswer func(scheduler.RequestAdvice, Advice)
 
 	mu      sync.Mutex
-	pending []scheduler.Advise
+	pending []scheduler.RequestAdvice
 	load    map[string]*adviserLoad
 }
 
@@ -48,7 +48,7 @@
 }
 
 // addOpen adds n calls like a to those that are open.
-func (l *adviserLoad) addOpen(a scheduler.Advise, n int) {
+func (l *adviserLoad) addOpen(a scheduler.RequestAdvice, n int) {
 	if isLongCall(a) {
 		l.long += n
 	} else {
@@ -57,7 +57,7 @@
 }
 
 // isLongCall reports whether a call keeps cheap ones waiting for too long.
-func isLongCall(a scheduler.Advise) bool { return a.Takes >= minLongCall }
+func isLongCall(a scheduler.RequestAdvice) bool { return a.ExpectedDuration >= minLongCall }
 
 // Advice is the answer to a call of the advice service.
 type Advice struct {
@@ -72,14 +72,14 @@
 
 // NewAdviceQueue returns an empty queue. Its calls go to the nodes that advisers names, in
 // the order of preference, end with ctx, and their answers go to answered.
-func NewAdviceQueue(ctx context.Context, advisers func() []Adviser, onAnswer func(scheduler.Advise, Advice)) *AdviceQueue {
+func NewAdviceQueue(ctx context.Context, advisers func() []Adviser, onAnswer func(scheduler.RequestAdvice, Advice)) *AdviceQueue {
 	return &AdviceQueue{ctx: ctx, advisers: advisers, onAnswer: onAnswer, load: make(map[string]*adviserLoad)}
 }
 
 // Add takes in a call, to be sent as soon as a node can take it.
-func (q *AdviceQueue) Add(a scheduler.Advise) {
+func (q *AdviceQueue) Add(a scheduler.RequestAdvice) {
 	q.mu.Lock()
-	at, _ := slices.BinarySearchFunc(q.pending, a, func(x, y scheduler.Advise) int {
+	at, _ := slices.BinarySearchFunc(q.pending, a, func(x, y scheduler.RequestAdvice) int {
 		if x.Rank.Before(y.Rank) {
 			return -1
 		}
@@ -185,15 +185,15 @@
 }
 
 // call makes one call through a node, and hands the answer to the scheduler.
-func (q *AdviceQueue) call(ctx context.Context, adviser Adviser, load *adviserLoad, a scheduler.Advise) {
-	c, cancel := context.WithTimeout(ctx, a.Takes*2+adviceTimeoutSlack)
+func (q *AdviceQueue) call(ctx context.Context, adviser Adviser, load *adviserLoad, a scheduler.RequestAdvice) {
+	c, cancel := context.WithTimeout(ctx, a.ExpectedDuration*2+adviceTimeoutSlack)
 	sent := time.Now()
 	tickets, validFor, err := adviser.Advise(c, a.Step, a.Workers)
 	cancel()
 	if ctx.Err() != nil {
 		return
 	}
-	issuedAt := estimateIssuedAt(sent, a.Takes)
+	issuedAt := estimateIssuedAt(sent, a.ExpectedDuration)
 	q.mu.Lock()
 	load.addOpen(a, -1)
 	if err != nil {
--- a/internal/owner/advice_test.go
+++ b/internal/owner/advice_test.go
@@ -68,10 +68,10 @@
 		var n atomic.Int64
 		cheap := func() {
 			job := fmt.Sprintf("j%d", n.Add(1))
-			q.Add(scheduler.Advise{Step: scheduler.StepID{Job: job}, Takes: cheapTakes, Rank: scheduler.Rank{Priority: 1}})
+			q.Add(scheduler.RequestAdvice{Step: scheduler.StepID{Job: job}, ExpectedDuration: cheapTakes, Rank: scheduler.Rank{Priority: 1}})
 		}
-		q = owner.NewAdviceQueue(ctx, func() []owner.Adviser { return nodes }, func(a scheduler.Advise, _ owner.Advice) {
-			if a.Takes == cheapTakes {
+		q = owner.NewAdviceQueue(ctx, func() []owner.Adviser { return nodes }, func(a scheduler.RequestAdvice, _ owner.Advice) {
+			if a.ExpectedDuration == cheapTakes {
 				cheap()
 			}
 		})
@@ -80,7 +80,7 @@
 		}
 		time.Sleep(time.Second)
 		handedIn := time.Now()
-		q.Add(scheduler.Advise{Step: scheduler.StepID{Job: "lasts"}, Takes: dearTakes, Rank: scheduler.Rank{Priority: -1}})
+		q.Add(scheduler.RequestAdvice{Step: scheduler.StepID{Job: "lasts"}, ExpectedDuration: dearTakes, Rank: scheduler.Rank{Priority: -1}})
 		time.Sleep(time.Second)
 		at, ok := sent.Load("lasts")
 		if !ok {
@@ -111,12 +111,12 @@
 			for i := range n {
 				nodes = append(nodes, &noting{adviser{name: fmt.Sprintf("n%d", i), turn: make(chan struct{}, 1), sent: new(sync.Map)}, &took})
 			}
-			q := owner.NewAdviceQueue(ctx, func() []owner.Adviser { return nodes }, func(scheduler.Advise, owner.Advice) {})
+			q := owner.NewAdviceQueue(ctx, func() []owner.Adviser { return nodes }, func(scheduler.RequestAdvice, owner.Advice) {})
 			for i := range n {
-				q.Add(scheduler.Advise{Step: scheduler.StepID{Job: fmt.Sprintf("j%d", i)}, Takes: cheapTakes, Rank: scheduler.Rank{Priority: 1}})
+				q.Add(scheduler.RequestAdvice{Step: scheduler.StepID{Job: fmt.Sprintf("j%d", i)}, ExpectedDuration: cheapTakes, Rank: scheduler.Rank{Priority: 1}})
 			}
 			for range n + 1 {
-				q.Add(scheduler.Advise{Step: scheduler.StepID{Job: "lasts"}, Takes: dearTakes})
+				q.Add(scheduler.RequestAdvice{Step: scheduler.StepID{Job: "lasts"}, ExpectedDuration: dearTakes})
 			}
 			time.Sleep(2 * time.Second)
 			for i := range alone {
@@ -166,8 +166,8 @@
 			sent := time.Now()
 			answers := make(chan owner.Advice, 1)
 			q := owner.NewAdviceQueue(t.Context(), func() []owner.Adviser { return []owner.Adviser{stalled{by}} },
-				func(_ scheduler.Advise, a owner.Advice) { answers <- a })
-			q.Add(scheduler.Advise{Step: scheduler.StepID{Job: "j"}, Takes: cheapTakes})
+				func(_ scheduler.RequestAdvice, a owner.Advice) { answers <- a })
+			q.Add(scheduler.RequestAdvice{Step: scheduler.StepID{Job: "j"}, ExpectedDuration: cheapTakes})
 			a := <-answers
 			if late := a.IssuedAt.Sub(sent.Add(cheapTakes)); a.Err != nil || late > most || late < min(by, most)/2 {
 				t.Errorf("an answer that is %s late counts as given %s after the service gave it (%v), want at most %s", by, late, a.Err, most)
--- a/internal/owner/applyloaded.go
+++ b/internal/owner/applyloaded.go
@@ -79,7 +79,7 @@
 	}
 	var p *scheduler.Progress
 	if pr, found := progress[r.Key]; found {
-		if p = o.decodeProgress(pr); p != nil && !p.IsOf(&job) {
+		if p = o.decodeProgress(pr); p != nil && !p.IsCurrent(&job) {
 			// It is left from before the job went away and came back.
 			p = nil
 		}
--- a/internal/owner/deleteloop.go
+++ b/internal/owner/deleteloop.go
@@ -22,7 +22,7 @@
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, deleteInterval)
 		o.mu.Lock()
-		droppedJobs := o.shard.Forgotten()
+		droppedJobs := o.shard.TakeForgottenJobs()
 		o.mu.Unlock()
 		for _, id := range droppedJobs {
 			o.deleteQueue.add(pinRow(o.cfg.Shard, id))
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -69,7 +69,7 @@
 			case e.gone:
 				s.WorkerUnlisted(now, e.key)
 			case e.worker == nil:
-				s.EntryInvalid(now, e.key)
+				s.WorkerEntryInvalid(now, e.key)
 			default:
 				s.UpsertWorker(now, *e.worker)
 			}
@@ -79,7 +79,7 @@
 			for _, e := range entries {
 				listed[e.key] = true
 			}
-			s.ListedWorkers(now, listed)
+			s.SetListedWorkers(now, listed)
 		}
 	})
 	for _, e := range entries {
--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -120,7 +120,7 @@
 	if o.fallback.activate() {
 		o.Log.Warn("progress is spilled", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
 	}
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.Spilled(now, batch) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.PersistedElsewhere(now, batch) })
 	return true
 }
 
@@ -160,7 +160,7 @@
 func (o *Owner) rewriteFallbackJobs() (n int) {
 	for _, id := range o.fallback.jobs() {
 		switch {
-		case o.shard.Rewrite(id):
+		case o.shard.MarkDirty(id):
 			n++
 		case !o.mayBeUnread(id):
 			o.deleteQueue.add(o.fallback.removeRows(id)...)
--- a/internal/owner/feed.go
+++ b/internal/owner/feed.go
@@ -50,7 +50,7 @@
 			s.CancelJob(now, id)
 			continue
 		}
-		if s.Has(r.Key) || r.Part != JobPart(o.cfg.Shard.Service, r.Key) {
+		if s.HasJob(r.Key) || r.Part != JobPart(o.cfg.Shard.Service, r.Key) {
 			continue
 		}
 		job, ok := o.decodeJob(r)
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -32,7 +32,7 @@
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, gangPollInterval)
 		o.mu.Lock()
-		rounds := o.shard.GangRounds(time.Now())
+		rounds := o.shard.GangPolls(time.Now())
 		o.mu.Unlock()
 		var wg sync.WaitGroup
 		for _, r := range rounds {
@@ -44,31 +44,31 @@
 }
 
 // pollGang asks all other shards about one gang, and starts it if all are ready.
-func (o *Owner) pollGang(ctx context.Context, r scheduler.GangRound) {
-	answers := make([]*scheduler.GangState, len(r.Asks))
-	forEachPart(r.Asks, func(i int, p scheduler.GangPart[scheduler.GangAsk]) {
+func (o *Owner) pollGang(ctx context.Context, r scheduler.GangPoll) {
+	answers := make([]*scheduler.GangState, len(r.Queries))
+	forEachPart(r.Queries, func(i int, p scheduler.ShardMessage[scheduler.GangQuery]) {
 		c, cancel := context.WithTimeout(ctx, gangCallTimeout)
 		defer cancel()
-		if state, err := o.Shards.QueryGang(c, p.Shard, p.What); err == nil {
+		if state, err := o.Shards.QueryGang(c, p.Shard, p.Body); err == nil {
 			answers[i] = &state
 		} else if ctx.Err() == nil {
 			o.Log.Info("gang not answered for", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
 		}
 	})
-	var starts []scheduler.GangPart[scheduler.GangStart]
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { starts = s.GangAnswered(now, r.Step, answers) })
-	forEachPart(starts, func(_ int, p scheduler.GangPart[scheduler.GangStart]) {
+	var starts []scheduler.ShardMessage[scheduler.GangStart]
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { starts = s.GangStatesReceived(now, r.Step, answers) })
+	forEachPart(starts, func(_ int, p scheduler.ShardMessage[scheduler.GangStart]) {
 		c, cancel := context.WithTimeout(ctx, gangCallTimeout)
 		defer cancel()
-		if err := o.Shards.StartGang(c, p.Shard, p.What); err != nil && ctx.Err() == nil {
+		if err := o.Shards.StartGang(c, p.Shard, p.Body); err != nil && ctx.Err() == nil {
 			o.Log.Info("members of a gang not started", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
-			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.GangNotStarted(now, r.Step, p.What.Run) })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.GangNotStarted(now, r.Step, p.Body.Run) })
 		}
 	})
 }
 
 // forEachPart calls fn for all parts at once, and waits.
-func forEachPart[T any](parts []scheduler.GangPart[T], fn func(int, scheduler.GangPart[T])) {
+func forEachPart[T any](parts []scheduler.ShardMessage[T], fn func(int, scheduler.ShardMessage[T])) {
 	var all sync.WaitGroup
 	for i, p := range parts {
 		all.Go(func() { fn(i, p) })
@@ -77,10 +77,10 @@
 }
 
 // HandleGangQuery answers another shard's owner.
-func (o *Owner) HandleGangQuery(ask scheduler.GangAsk) (state scheduler.GangState, ok bool) {
+func (o *Owner) HandleGangQuery(ask scheduler.GangQuery) (state scheduler.GangState, ok bool) {
 	o.updateShard(func(s *scheduler.Shard, now time.Time) {
 		if o.loaded {
-			state, ok = s.GangAsked(now, ask)
+			state, ok = s.AnswerGangQuery(now, ask)
 		}
 	})
 	return state, ok
@@ -89,7 +89,7 @@
 // HandleGangStart starts members of a gang for another shard's owner, or none.
 func (o *Owner) HandleGangStart(start scheduler.GangStart) error {
 	ok := false
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { ok = o.loaded && s.GangStartAsked(now, start) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { ok = o.loaded && s.StartGangMembers(now, start) })
 	if !ok {
 		return &Error{"start gang", KindRefused, errors.New("it can't start here as ordered")}
 	}
@@ -103,7 +103,7 @@
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, remoteJobPollInterval)
 		o.mu.Lock()
-		jobIDs := o.shard.GuestJobs()
+		jobIDs := o.shard.ParticipantJobs()
 		o.mu.Unlock()
 		for _, id := range jobIDs {
 			o.endRemoteJob(ctx, id)
@@ -125,5 +125,5 @@
 	case !state.Finished():
 		return
 	}
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.GuestEnded(now, id, state) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.ParticipantJobEnded(now, id, state) })
 }
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -79,7 +79,7 @@
 			o.EndOwnership("worker " + id + " has seen a higher epoch")
 			return
 		case cluster.ReplyOtherIncarnation:
-			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerOver(now, id, "another life answers at its address") })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerEnded(now, id, "another life answers at its address") })
 			return
 		}
 		notify(o.wakeMachineList)
@@ -97,7 +97,7 @@
 	tables.Sleep(ctx, minHoldPause)
 	for waited := minHoldPause; waited < maxUnconfirmedPause; waited += minHoldPause {
 		o.mu.Lock()
-		unconfirmed := o.shard.Unconfirmed(id)
+		unconfirmed := o.shard.HasUnconfirmedEnds(id)
 		o.mu.Unlock()
 		if !unconfirmed {
 			return
--- a/internal/owner/machines.go
+++ b/internal/owner/machines.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			if evidence := w.endEvidence(s, id, machines, running); evidence != "" {
-				s.WorkerOver(now, id, evidence)
+				s.WorkerEnded(now, id, evidence)
 				delete(w.lastMachine, id)
 				delete(w.missingCount, id)
 			}
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -33,7 +33,7 @@
 	JobState(ctx context.Context, service, id string) (state cluster.State, found bool, err error)
 	// QueryGang asks another shard's owner how a gang stands there, and StartGang lets it
 	// start members of one.
-	QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangAsk) (scheduler.GangState, error)
+	QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error)
 	StartGang(ctx context.Context, shard cluster.ShardID, start scheduler.GangStart) error
 }
 
@@ -55,11 +55,11 @@
 			continue
 		}
 		o.mu.Lock()
-		moves, load := o.shard.Moves(time.Now(), maxMovesPerRound), o.shard.Load()
+		moves, load := o.shard.BeginMoves(time.Now(), maxMovesPerRound), o.shard.Load()
 		o.mu.Unlock()
 		var wg sync.WaitGroup
 		for _, m := range moves {
-			if m.Join {
+			if m.Joint {
 				wg.Go(func() { o.moveJob(ctx, m, o.cfg.Shard) })
 			} else if to, ok := o.Shards.BetterShard(o.cfg.Shard, load, m); ok {
 				wg.Go(func() { o.moveJob(ctx, m, to) })
@@ -74,21 +74,21 @@
 
 // keepJob lets a job start here for which no better shard was found.
 func (o *Owner) keepJob(id string) {
-	o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.Stays(id) })
+	o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.CancelMove(id) })
 }
 
 // keepMarkedJob lets a job start here that may have been marked; its mark is replaced.
 func (o *Owner) keepMarkedJob(id string) {
 	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
-		s.Stays(id)
-		s.Rewrite(id)
+		s.CancelMove(id)
+		s.MarkDirty(id)
 	})
 }
 
 // forgetMovedJob forgets a job that has another shard now, and removes its mark.
 func (o *Owner) forgetMovedJob(id string) {
 	mark := ProgressRow(o.cfg.Shard, id)
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { mark.Version = s.Moved(now, id) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { mark.Version = s.CompleteMove(now, id) })
 	if mark.Version > 0 {
 		o.deleteQueue.add(mark)
 	}
@@ -129,7 +129,7 @@
 	job.Shard = to.Index
 	job.Moves++
 	job.Epoch, job.CarriedProgress = 0, m.Carried
-	if m.Join {
+	if m.Joint {
 		return job.SplitJoint(&o.cfg.Layout)
 	}
 	return []cluster.Job{job}
@@ -147,8 +147,8 @@
 	case !moved:
 		o.keepMarkedJob(job.ID)
 		return
-	case m.Join:
-		o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.Joined(job) })
+	case m.Joint:
+		o.updateShard(func(s *scheduler.Shard, _ time.Time) { s.SetJoint(job) })
 	default:
 		o.forgetMovedJob(job.ID)
 	}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -58,14 +58,14 @@
 			func(s *scheduler.Shard, now time.Time, r cluster.Reply) {
 				s.StopReplied(now, c.Worker, c.Task, c.Run, r)
 			})
-	case scheduler.Pace:
+	case scheduler.SetPace:
 		go o.sendOrder(ctx, c.Order, func(ctx context.Context) cluster.Reply { return o.Workers.Pace(ctx, c.Order, c.Task, c.Run, c.Percent) },
 			func(s *scheduler.Shard, now time.Time, r cluster.Reply) {
 				s.PaceReplied(now, c.Worker, c.Task, c.Run, r)
 			})
-	case scheduler.Look:
+	case scheduler.Poll:
 		go o.queryWorker(ctx, c.Worker)
-	case scheduler.Advise:
+	case scheduler.RequestAdvice:
 		o.advice.Add(c)
 	}
 }
@@ -91,7 +91,7 @@
 func (o *Owner) isOutdatedOrder(order cluster.Order) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.shard.Outdated(order)
+	return o.shard.OrderOutdated(order)
 }
 
 // sendOrder sends one sendOrder and feeds its reply back. An sendOrder that was cut short
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -187,9 +187,9 @@
 }
 
 // adviceReceived hands the answer of the advice service to the scheduler.
-func (o *Owner) adviceReceived(call scheduler.Advise, a Advice) {
+func (o *Owner) adviceReceived(call scheduler.RequestAdvice, a Advice) {
 	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
-		s.Advised(a.IssuedAt, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
+		s.AdviceReplied(a.IssuedAt, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
 	})
 }
 
@@ -263,5 +263,5 @@
 func (o *Owner) WorkersSetAside() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.shard.Aside()
+	return o.shard.SetAsideWorkers()
 }
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -46,7 +46,7 @@
 // that went well.
 func (o *Owner) persistBatch(ctx context.Context) (retry time.Duration) {
 	o.mu.Lock()
-	batch := o.shard.Dirty(maxBatchJobs, o.cfg.MaxWriteBytes)
+	batch := o.shard.NextBatch(maxBatchJobs, o.cfg.MaxWriteBytes)
 	o.mu.Unlock()
 	if batch.Empty() {
 		return 0
--- a/internal/owner/unreadparts.go
+++ b/internal/owner/unreadparts.go
@@ -86,5 +86,5 @@
 			delete(rows.progress, id)
 		}
 	}
-	o.shard.SetUnread(o.mayBeUnread)
+	o.shard.SetUnreadFunc(o.mayBeUnread)
 }
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -101,7 +101,7 @@
 	}
 	st.advice.calls++
 	s.counts.AdviceCalls++
-	s.emit(Advise{Step: st.id, Workers: names, Takes: st.job.spec.Policy.Advice.Duration(len(names)), Rank: st.job.rank})
+	s.emit(RequestAdvice{Step: st.id, Workers: names, ExpectedDuration: st.job.spec.Policy.Advice.Duration(len(names)), Rank: st.job.rank})
 	return true
 }
 
@@ -205,8 +205,8 @@
 	return max(n, 0)
 }
 
-// Advised takes the answer that the advice service gave at a time, or nil tickets and an error.
-func (s *Shard) Advised(at time.Time, id StepID, asked []string, tickets []cluster.Ticket, validFor time.Duration, err error) {
+// AdviceReplied takes the answer that the advice service gave at a time, or nil tickets and an error.
+func (s *Shard) AdviceReplied(at time.Time, id StepID, asked []string, tickets []cluster.Ticket, validFor time.Duration, err error) {
 	j := s.jobs[id.Job]
 	if j == nil || id.Repeat >= len(j.reps) {
 		return
--- a/internal/scheduler/advice_test.go
+++ b/internal/scheduler/advice_test.go
@@ -21,7 +21,7 @@
 	job := batch("j", step)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 550, PerWorkerMS: 8, ValidMS: 2000}
 	r.shard.AddJob(r.now, job, nil, false)
-	calls := commandsOf[scheduler.Advise](r.shard.Schedule(r.now))
+	calls := commandsOf[scheduler.RequestAdvice](r.shard.Schedule(r.now))
 	if len(calls) != 1 {
 		t.Fatalf("%d calls, want 1", len(calls))
 	}
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -41,11 +41,11 @@
 // confirmed only up to the first whose job has changes that are left out.
 const leftOutMost = 20
 
-// Dirty returns what has to be persisted, for at most maxJobs jobs and of about maxBytes at
+// NextBatch returns what has to be persisted, for at most maxJobs jobs and of about maxBytes at
 // most: what was left out of many batches first, then finished ones, since callers wait for
 // that, and of these the most urgent.
 // Ends of a worker are covered up to the first whose job has changes that are left out.
-func (s *Shard) Dirty(maxJobs, maxBytes int) Batch {
+func (s *Shard) NextBatch(maxJobs, maxBytes int) Batch {
 	var b Batch
 	// What a moving job's progress is, its mark says until the move is settled.
 	open := slices.SortedFunc(maps.Values(s.dirty), compareDirty)
@@ -88,7 +88,7 @@
 
 // encodeProgress returns the value of a job's progress row as of its last change.
 func (s *Shard) encodeProgress(j *job, p Progress) []byte {
-	p.Epoch, p.Change, p.Came = s.p.Epoch, j.changed, j.spec.Moves+1
+	p.Epoch, p.Change, p.MovesPlusOne = s.p.Epoch, j.changed, j.spec.Moves+1
 	value, err := json.Marshal(p)
 	if err != nil {
 		panic("scheduler: progress holds only strings and numbers: " + err.Error())
@@ -127,12 +127,12 @@
 	s.covered(now, b)
 }
 
-// Spilled notes that the batch is in the store, but not in the rows that are the
-// jobs' own: it is durable, and is to be written there once Rewrite asks for it.
-func (s *Shard) Spilled(now time.Time, b Batch) { s.covered(now, b) }
+// PersistedElsewhere notes that the batch is in the store, but not in the rows that are the
+// jobs' own: it is durable, and is to be written there once MarkDirty asks for it.
+func (s *Shard) PersistedElsewhere(now time.Time, b Batch) { s.covered(now, b) }
 
-// Rewrite lets the progress of a job be written again; false: there is no such job.
-func (s *Shard) Rewrite(id string) bool {
+// MarkDirty lets the progress of a job be written again; false: there is no such job.
+func (s *Shard) MarkDirty(id string) bool {
 	j := s.jobs[id]
 	if j != nil {
 		s.touch(j)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -20,7 +20,7 @@
 func BenchmarkRoundOfFullShard(b *testing.B) {
 	const workers, jobs = 280, 520
 	now := time.Unix(1_000, 0)
-	s := scheduler.New(scheduler.Params{Epoch: 1, Lease: testLease, StopTime: 200 * time.Millisecond, Uncertain: 10 * time.Second, KeepFinished: time.Minute}, now, zap.NewNop())
+	s := scheduler.New(scheduler.Params{Epoch: 1, Lease: testLease, StopTime: 200 * time.Millisecond, UncertainFor: 10 * time.Second, FinishedRetention: time.Minute}, now, zap.NewNop())
 	s.ExpectWorkers(nil)
 	for i := range workers {
 		s.UpsertWorker(now, cluster.Worker{
--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, w := range r.workersOf("j") {
 		if w != first {
-			r.shard.WorkerOver(r.now, w, "its machine is down")
+			r.shard.WorkerEnded(r.now, w, "its machine is down")
 			delete(r.workers, w)
 		}
 	}
@@ -153,12 +153,12 @@
 	step.Label = "none here has it"
 	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.runFor(12 * time.Second)
-	if n := len(r.shard.Moves(r.now, 1)); n != 0 {
+	if n := len(r.shard.BeginMoves(r.now, 1)); n != 0 {
 		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
 	}
 	r.workers["w1"].silent = false
 	r.runFor(2 * time.Second)
-	if n := len(r.shard.Moves(r.now, 1)); n != 1 {
+	if n := len(r.shard.BeginMoves(r.now, 1)); n != 1 {
 		t.Errorf("%d jobs move once all workers have answered, want 1", n)
 	}
 }
@@ -173,12 +173,12 @@
 	step.Label = "none here has it"
 	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.runFor(12 * time.Second)
-	if n := len(r.shard.Moves(r.now, 1)); n != 0 {
+	if n := len(r.shard.BeginMoves(r.now, 1)); n != 0 {
 		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
 	}
 	r.shard.ExpectWorkers(r.workerIDs())
 	r.runFor(2 * time.Second)
-	if n := len(r.shard.Moves(r.now, 1)); n != 1 {
+	if n := len(r.shard.BeginMoves(r.now, 1)); n != 1 {
 		t.Errorf("%d jobs move once all workers have answered, want 1", n)
 	}
 }
@@ -204,7 +204,7 @@
 					r.workers["w0"].running[i].Usage = ms
 				}
 			}
-			for _, c := range commandsOf[scheduler.Pace](r.lastCommands) {
+			for _, c := range commandsOf[scheduler.SetPace](r.lastCommands) {
 				pace = c.Percent
 			}
 		}
@@ -504,21 +504,21 @@
 	}
 	add("stayed")
 	r.runFor(time.Second)
-	r.shard.Moves(r.now, atOnce)
-	r.shard.Stays("stayed")
+	r.shard.BeginMoves(r.now, atOnce)
+	r.shard.CancelMove("stayed")
 	offered := 0
 	for i := range 50 {
 		for k := range atOnce {
 			add(fmt.Sprintf("n%d", i*atOnce+k))
 		}
 		r.runFor(200 * time.Millisecond)
-		for _, m := range r.shard.Moves(r.now, atOnce) {
+		for _, m := range r.shard.BeginMoves(r.now, atOnce) {
 			if m.Job.ID == "stayed" {
 				offered++
-				r.shard.Stays("stayed")
+				r.shard.CancelMove("stayed")
 				continue
 			}
-			r.shard.Moved(r.now, m.Job.ID)
+			r.shard.CompleteMove(r.now, m.Job.ID)
 		}
 	}
 	if offered == 0 {
--- a/internal/scheduler/entry_test.go
+++ b/internal/scheduler/entry_test.go
@@ -14,7 +14,7 @@
 func (r *rig) runWithInvalidEntry(d time.Duration, id string) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.shard.DirectoryRead(r.now)
-		r.shard.EntryInvalid(r.now, id)
+		r.shard.WorkerEntryInvalid(r.now, id)
 		r.runFor(100 * time.Millisecond)
 	}
 }
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -82,7 +82,7 @@
 	r := newRig(t, 2)
 	r.upsertWorkers()
 	r.runFor(200 * time.Millisecond)
-	r.shard.EntryInvalid(r.now, "w1")
+	r.shard.WorkerEntryInvalid(r.now, "w1")
 	r.shard.AddJob(r.now, batch("j", tasks(1, 1000)), nil, false)
 	r.round()
 	r.endOneRun("j", cluster.OutcomeFailed)
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -328,7 +328,7 @@
 
 // forgetFinished drops jobs whose state callers no longer ask for.
 func (s *Shard) forgetFinished(now time.Time) {
-	for len(s.finished) > 0 && now.Sub(s.finished[0].finishedAt) > s.p.KeepFinished {
+	for len(s.finished) > 0 && now.Sub(s.finished[0].finishedAt) > s.p.FinishedRetention {
 		id := s.finished[0].spec.ID
 		s.finished[0] = nil
 		s.finished = s.finished[1:]
@@ -336,15 +336,15 @@
 		s.forgotten = append(s.forgotten, id)
 	}
 	for id, away := range s.movedAway {
-		if now.Sub(away.at) > s.p.KeepFinished {
+		if now.Sub(away.at) > s.p.FinishedRetention {
 			delete(s.movedAway, id)
 		}
 	}
 }
 
-// Forgotten returns the jobs that were dropped since it was called last; nothing in
+// TakeForgottenJobs returns the jobs that were dropped since it was called last; nothing in
 // the store is needed of them any more.
-func (s *Shard) Forgotten() []string {
+func (s *Shard) TakeForgottenJobs() []string {
 	ids := s.forgotten
 	s.forgotten = nil
 	return ids
--- a/internal/scheduler/joint.go
+++ b/internal/scheduler/joint.go
@@ -20,8 +20,8 @@
 // start only under the epoch with which it said so, from no older lead, and with a number
 // above all that it has heard of. Where the owners' views of a run differ, all stop it.
 
-// GangAsk asks another shard's owner how a gang stands there.
-type GangAsk struct {
+// GangQuery asks another shard's owner how a gang stands there.
+type GangQuery struct {
 	Step StepID `json:"step"`
 	// Epoch is that of the lead; an owner that has heard a higher one refuses.
 	Epoch int64 `json:"epoch"`
@@ -39,8 +39,8 @@
 type GangState struct {
 	// Epoch is that of the shard's owner.
 	Epoch int64 `json:"epoch"`
-	// Settled is set if the owner knows all that may run of the gang on its workers.
-	Settled bool `json:"settled,omitempty"`
+	// AllKnown is set if the owner knows all that may run of the gang on its workers.
+	AllKnown bool `json:"settled,omitempty"`
 	// Busy is set if anything of the gang may run there; Run is the highest number known
 	// there, and Running how many of that run are not being stopped.
 	Busy    bool  `json:"busy,omitempty"`
@@ -52,9 +52,9 @@
 	Checkpoint string  `json:"checkpoint,omitempty"`
 	// Ready is how many members could start at once, Soon for how many room comes free in
 	// time, and InMS when there is room for those that were asked for.
-	Ready int   `json:"ready,omitempty"`
-	Soon  int   `json:"soon,omitempty"`
-	InMS  int64 `json:"in_ms,omitempty"`
+	Ready     int   `json:"ready,omitempty"`
+	ReadySoon int   `json:"soon,omitempty"`
+	ReadyInMS int64 `json:"in_ms,omitempty"`
 }
 
 // GangStart orders another shard's owner to start members of a gang at once.
@@ -70,16 +70,16 @@
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// GangRound is one question to all other shards of a gang.
-type GangRound struct {
-	Step StepID
-	Asks []GangPart[GangAsk]
+// GangPoll is one question to all other shards of a gang.
+type GangPoll struct {
+	Step    StepID
+	Queries []ShardMessage[GangQuery]
 }
 
-// GangPart is something for, or of, another shard of a gang.
-type GangPart[T any] struct {
+// ShardMessage is something for, or of, another shard of a gang.
+type ShardMessage[T any] struct {
 	Shard cluster.ShardID
-	What  T
+	Body  T
 }
 
 // joint is what is known of a gang that several shards run together.
@@ -87,7 +87,7 @@
 	// leadEpoch is the highest epoch of a lead that was heard, and heardAt when.
 	leadEpoch int64
 	heardAt   time.Time
-	// members and startsAt are as in the last GangAsk.
+	// members and startsAt are as in the last GangQuery.
 	members  int
 	startsAt time.Time
 	// asks are for how many members each shard is to keep room, as the lead would have it.
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// GangAsked answers a lead; ok is false if the job isn't known here, or the lead has been
+// AnswerGangQuery answers a lead; ok is false if the job isn't known here, or the lead has been
 // replaced.
-func (s *Shard) GangAsked(now time.Time, ask GangAsk) (state GangState, ok bool) {
+func (s *Shard) AnswerGangQuery(now time.Time, ask GangQuery) (state GangState, ok bool) {
 	st := s.jointStep(ask.Step)
 	if st == nil || ask.Epoch < st.joint.leadEpoch {
 		return GangState{}, false
@@ -143,7 +143,7 @@
 }
 
 // takeAsk notes what a lead asks for, and stops what it wants stopped.
-func (s *Shard) takeAsk(now time.Time, st *step, ask GangAsk) {
+func (s *Shard) takeAsk(now time.Time, st *step, ask GangQuery) {
 	st.joint.leadEpoch, st.joint.heardAt = ask.Epoch, now
 	st.joint.members, st.joint.startsAt = ask.Members, now.Add(time.Duration(ask.StartsInMS)*time.Millisecond)
 	st.gangRun = max(st.gangRun, ask.Run)
@@ -173,12 +173,12 @@
 // gangRuns returns what of a gang may run here, and what has ended.
 func (s *Shard) gangRuns(st *step) GangState {
 	g := GangState{
-		Epoch: s.p.Epoch, Settled: !st.job.inherited || s.takeover.complete, Run: st.gangRun,
+		Epoch: s.p.Epoch, AllKnown: !st.job.inherited || s.takeover.complete, Run: st.gangRun,
 		Failed: st.tasks[0].failed, Checkpoint: st.checkpoint(),
 	}
 	for _, t := range st.tasks {
 		g.Done = g.Done || t.done
-		g.Settled = g.Settled && !t.uncertain
+		g.AllKnown = g.AllKnown && !t.uncertain
 		g.Busy = g.Busy || len(t.runs) > 0
 		for _, r := range t.runs {
 			if r.n == st.gangRun && !r.stopping {
@@ -196,13 +196,13 @@
 func (s *Shard) keepForGang(now time.Time, st *step, g *GangState) {
 	s.release(st)
 	places := s.soonestRoom(now, st, len(st.tasks), reserveGangMost)
-	g.Soon = len(places)
+	g.ReadySoon = len(places)
 	places = places[:min(st.joint.members, len(places))]
 	if len(places) == 0 {
 		return
 	}
 	longest := places[len(places)-1].in
-	g.InMS = longest.Milliseconds()
+	g.ReadyInMS = longest.Milliseconds()
 	if s.firstGang(now) != st {
 		return
 	}
@@ -249,14 +249,14 @@
 	return true
 }
 
-// GangStartAsked starts members of a gang for its lead; false: none was started.
-func (s *Shard) GangStartAsked(now time.Time, g GangStart) bool {
+// StartGangMembers starts members of a gang for its lead; false: none was started.
+func (s *Shard) StartGangMembers(now time.Time, g GangStart) bool {
 	st := s.jointStep(g.Step)
 	if st == nil || g.OwnerEpoch != s.p.Epoch || g.Epoch < st.joint.leadEpoch || g.Run <= st.gangRun ||
 		g.From < 0 || g.To > len(st.tasks) || g.From >= g.To {
 		return false
 	}
-	if g := s.gangRuns(st); g.Busy || g.Done || !g.Settled {
+	if g := s.gangRuns(st); g.Busy || g.Done || !g.AllKnown {
 		return false
 	}
 	return s.startSome(now, st, g.From, g.To, g.Run, g.Checkpoint)
@@ -299,8 +299,8 @@
 	}
 }
 
-// GuestJobs returns the jobs of which this shard runs members of gangs for another one.
-func (s *Shard) GuestJobs() (ids []string) {
+// ParticipantJobs returns the jobs of which this shard runs members of gangs for another one.
+func (s *Shard) ParticipantJobs() (ids []string) {
 	for _, j := range s.active {
 		if j.isGuest() {
 			ids = append(ids, j.spec.ID)
@@ -309,8 +309,8 @@
 	return ids
 }
 
-// GuestEnded ends a job of which the shard that speaks for it says that it has ended.
-func (s *Shard) GuestEnded(now time.Time, id string, state cluster.State) {
+// ParticipantJobEnded ends a job of which the shard that speaks for it says that it has ended.
+func (s *Shard) ParticipantJobEnded(now time.Time, id string, state cluster.State) {
 	if j := s.jobs[id]; j != nil && j.isGuest() && !j.state.Finished() {
 		s.finish(now, j, state)
 	}
--- a/internal/scheduler/jointadvice_test.go
+++ b/internal/scheduler/jointadvice_test.go
@@ -38,12 +38,12 @@
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, ValidMS: valid.Milliseconds()}
 	r.shard.AddJob(r.now, job, nil, false)
 	answerAt := time.Time{}
-	var open scheduler.Advise
+	var open scheduler.RequestAdvice
 	good := map[string]time.Time{}
 	for end := r.now.Add(20 * time.Second); r.now.Before(end); {
-		r.shard.GangRounds(r.now)
+		r.shard.GangPolls(r.now)
 		r.runFor(100 * time.Millisecond)
-		for _, c := range commandsOf[scheduler.Advise](r.lastCommands) {
+		for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
 			open, answerAt = c, r.now.Add(callFor)
 		}
 		if !answerAt.IsZero() && !r.now.Before(answerAt) {
@@ -53,7 +53,7 @@
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				good[w] = r.now.Add(valid)
 			}
-			r.shard.Advised(r.now, open.Step, open.Workers, tickets, valid, nil)
+			r.shard.AdviceReplied(r.now, open.Step, open.Workers, tickets, valid, nil)
 		}
 		if end.Sub(r.now) > 18*time.Second {
 			continue
--- a/internal/scheduler/jointlead.go
+++ b/internal/scheduler/jointlead.go
@@ -15,8 +15,8 @@
 
 // What the lead of a gang that several shards run together decides.
 
-// GangRounds returns what the lead of gangs should ask now.
-func (s *Shard) GangRounds(now time.Time) (rounds []GangRound) {
+// GangPolls returns what the lead of gangs should ask now.
+func (s *Shard) GangPolls(now time.Time) (rounds []GangPoll) {
 	for _, j := range s.active {
 		if !j.isJoint() || j.isGuest() || j.moving {
 			continue
@@ -31,10 +31,10 @@
 }
 
 // gangRound returns the questions about one gang, and takes the one to its own shard.
-func (s *Shard) gangRound(now time.Time, st *step) GangRound {
-	round, share := GangRound{Step: st.id}, st.job.spec.Share
+func (s *Shard) gangRound(now time.Time, st *step) GangPoll {
+	round, share := GangPoll{Step: st.id}, st.job.spec.Share
 	for i := range share.Of {
-		ask := GangAsk{Step: st.id, Epoch: s.p.Epoch, Run: st.gangRun, Stop: st.joint.stop, StartsInMS: st.joint.startsIn.Milliseconds()}
+		ask := GangQuery{Step: st.id, Epoch: s.p.Epoch, Run: st.gangRun, Stop: st.joint.stop, StartsInMS: st.joint.startsIn.Milliseconds()}
 		if i < len(st.joint.asks) {
 			ask.Members = st.joint.asks[i]
 		}
@@ -42,7 +42,7 @@
 			s.takeAsk(now, st, ask)
 			continue
 		}
-		round.Asks = append(round.Asks, GangPart[GangAsk]{st.job.partShard(i), ask})
+		round.Queries = append(round.Queries, ShardMessage[GangQuery]{st.job.partShard(i), ask})
 	}
 	return round
 }
@@ -52,10 +52,10 @@
 	return cluster.ShardID{Service: j.spec.Service, Index: (j.spec.Shard + i) % j.spec.Share.Of}
 }
 
-// GangAnswered takes the answers of all other shards to a round; nil is one without an
+// GangStatesReceived takes the answers of all other shards to a round; nil is one without an
 // answer. It returns the starts that are to be ordered elsewhere; those of this shard are
 // ordered already.
-func (s *Shard) GangAnswered(now time.Time, id StepID, answers []*GangState) []GangPart[GangStart] {
+func (s *Shard) GangStatesReceived(now time.Time, id StepID, answers []*GangState) []ShardMessage[GangStart] {
 	st := s.jointStep(id)
 	if st == nil || st.done == len(st.tasks) {
 		return nil
@@ -89,7 +89,7 @@
 	st.joint.toldAt = now
 	ready, soon := make([]int, len(all)), make([]int, len(all))
 	for i, g := range all {
-		ready[i], soon[i] = g.Ready, g.Soon
+		ready[i], soon[i] = g.Ready, g.ReadySoon
 	}
 	s.log.Info("gang waits for room in several shards", events.GangWaiting, zap.String("job", st.id.Job), zap.Int("step", st.id.Step),
 		zap.Int("members", len(st.tasks)), zap.Ints("ready", ready), zap.Ints("soon", soon), zap.Ints("kept", st.joint.asks),
@@ -139,7 +139,7 @@
 	for _, g := range all {
 		sum.run = max(sum.run, g.Run)
 		sum.busy = sum.busy || g.Busy
-		sum.settled = sum.settled && g.Settled
+		sum.settled = sum.settled && g.AllKnown
 		sum.ready += g.Ready
 	}
 	for _, g := range all {
@@ -155,8 +155,8 @@
 func (jt *joint) plan(members int, all []GangState) {
 	soon, in := 0, int64(0)
 	for _, g := range all {
-		soon += g.Soon
-		in = max(in, g.InMS)
+		soon += g.ReadySoon
+		in = max(in, g.ReadyInMS)
 	}
 	jt.asks = make([]int, len(all))
 	jt.startsIn = time.Duration(in) * time.Millisecond
@@ -165,11 +165,11 @@
 	}
 	left := members
 	for i, g := range all {
-		jt.asks[i] = min(members*g.Soon/soon, left)
+		jt.asks[i] = min(members*g.ReadySoon/soon, left)
 		left -= jt.asks[i]
 	}
 	for i, g := range all {
-		more := min(left, g.Soon-jt.asks[i])
+		more := min(left, g.ReadySoon-jt.asks[i])
 		jt.asks[i] += more
 		left -= more
 	}
@@ -177,7 +177,7 @@
 
 // startGang divides a gang among the shards that are ready, those that can take the most
 // first, starts the members of this one and returns the starts of the others.
-func (s *Shard) startGang(now time.Time, st *step, all []GangState) (starts []GangPart[GangStart]) {
+func (s *Shard) startGang(now time.Time, st *step, all []GangState) (starts []ShardMessage[GangStart]) {
 	run, checkpoint := st.gangRun+1, ""
 	order := make([]int, len(all))
 	for i := range all {
@@ -194,7 +194,7 @@
 		if i == 0 {
 			own, ownTo = next, to
 		} else {
-			starts = append(starts, GangPart[GangStart]{st.job.partShard(i), GangStart{
+			starts = append(starts, ShardMessage[GangStart]{st.job.partShard(i), GangStart{
 				Step: st.id, Epoch: s.p.Epoch, OwnerEpoch: all[i].Epoch, Run: run, From: next, To: to, Checkpoint: checkpoint,
 			}})
 		}
@@ -220,8 +220,8 @@
 	s.breakGangRun(now, st, run, "not started by all shards")
 }
 
-// Joined notes that all shards run the job's gangs together from now on; this one speaks for it.
-func (s *Shard) Joined(spec cluster.Job) {
+// SetJoint notes that all shards run the job's gangs together from now on; this one speaks for it.
+func (s *Shard) SetJoint(spec cluster.Job) {
 	j := s.jobs[spec.ID]
 	if j == nil || !j.moving {
 		return
--- a/internal/scheduler/life.go
+++ b/internal/scheduler/life.go
@@ -206,9 +206,9 @@
 	return time.Time{}
 }
 
-// Outdated reports whether an order was meant for an earlier life of its worker than the
+// OrderOutdated reports whether an order was meant for an earlier life of its worker than the
 // one known: that it was refused tells nothing of another owner.
-func (s *Shard) Outdated(o cluster.Order) bool {
+func (s *Shard) OrderOutdated(o cluster.Order) bool {
 	l := s.lives[o.Worker]
 	return l != nil && o.Generation < l.generation
 }
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/life_test.go
@@ -34,11 +34,11 @@
 			t.Fatalf("generation %d (known: %t) after %d", order.Generation, ok, last)
 		}
 		last = order.Generation
-		r.shard.WorkerOver(r.now, life.ID, "its lease is over")
+		r.shard.WorkerEnded(r.now, life.ID, "its lease is over")
 		for i := range others {
 			id := fmt.Sprintf("o%d", i)
 			r.upsertLife(cluster.Incarnation{ID: id})
-			r.shard.WorkerOver(r.now, id, "its machine says so")
+			r.shard.WorkerEnded(r.now, id, "its machine says so")
 		}
 		r.runFor(20 * time.Second)
 	}
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -95,7 +95,7 @@
 	r := newRig(t, 4)
 	r.upsertWorkers()
 	for _, w := range []string{"w0", "w1", "w2"} {
-		r.shard.EntryInvalid(r.now, w)
+		r.shard.WorkerEntryInvalid(r.now, w)
 	}
 	full := tasks(1, 3500)
 	full.EstimateMS = 20_000
@@ -279,17 +279,17 @@
 	job := batch("j", longRunningTasks(1, 4000))
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: float64(asks.Milliseconds()), ValidMS: valid.Milliseconds()}
 	r.addLongRunning(job)
-	var open []scheduler.Advise
+	var open []scheduler.RequestAdvice
 	var asked time.Time
 	for end := r.now.Add(restartWithin); r.now.Before(end) && !r.isRunning("j"); {
 		r.runFor(tick)
 		r.advanceBatchRuns(tick, takes)
-		if calls := commandsOf[scheduler.Advise](r.lastCommands); len(calls) > 0 {
+		if calls := commandsOf[scheduler.RequestAdvice](r.lastCommands); len(calls) > 0 {
 			open, asked = calls, r.now
 		}
 		for _, c := range open {
 			if r.now.Sub(asked) >= asks {
-				r.shard.Advised(r.now, c.Step, c.Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, valid, nil)
+				r.shard.AdviceReplied(r.now, c.Step, c.Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, valid, nil)
 				open = nil
 			}
 		}
@@ -357,13 +357,13 @@
 
 // answerAdvice answers the calls for advice of the last round with the good ones of the workers named.
 func (r *rig) answerAdvice(good map[string]bool) {
-	for _, c := range commandsOf[scheduler.Advise](r.lastCommands) {
+	for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
 		var tickets []cluster.Ticket
 		for _, w := range c.Workers {
 			if good[w] {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
 		}
-		r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+		r.shard.AdviceReplied(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 	}
 }
--- a/internal/scheduler/longrunningadvice_test.go
+++ b/internal/scheduler/longrunningadvice_test.go
@@ -40,7 +40,7 @@
 	r.upsertWorkers()
 	r.addLongRunning(longRunningJobWithAdvice(1))
 	r.runFor(100 * time.Millisecond)
-	calls := commandsOf[scheduler.Advise](r.lastCommands)
+	calls := commandsOf[scheduler.RequestAdvice](r.lastCommands)
 	if len(calls) != 1 {
 		t.Fatalf("%d calls for advice, want one", len(calls))
 	}
@@ -48,7 +48,7 @@
 	gang.Gang = true
 	r.shard.AddJob(r.now, batch("gang", gang), nil, false)
 	r.runFor(800 * time.Millisecond)
-	r.shard.Advised(r.now, calls[0].Step, calls[0].Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, 0, nil)
+	r.shard.AdviceReplied(r.now, calls[0].Step, calls[0].Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, 0, nil)
 	r.runFor(200 * time.Millisecond)
 	if !r.isRunning("lasts") {
 		t.Error("the task that lasts does not run on the worker that advice allows")
@@ -62,13 +62,13 @@
 	r.upsertWorkers()
 	r.addLongRunning(longRunningJobWithAdvice(2))
 	r.runFor(100 * time.Millisecond)
-	if calls := commandsOf[scheduler.Advise](r.lastCommands); len(calls) != 1 || !slices.Equal(calls[0].Workers, []string{"w0"}) {
+	if calls := commandsOf[scheduler.RequestAdvice](r.lastCommands); len(calls) != 1 || !slices.Equal(calls[0].Workers, []string{"w0"}) {
 		t.Fatalf("calls for advice: %v, want one on w0", calls)
 	}
 	r.workers["w1"] = &fakeWorker{}
 	r.upsertWorkers()
 	r.runFor(100 * time.Millisecond)
-	if calls := commandsOf[scheduler.Advise](r.lastCommands); len(calls) != 1 || !slices.Equal(calls[0].Workers, []string{"w1"}) {
+	if calls := commandsOf[scheduler.RequestAdvice](r.lastCommands); len(calls) != 1 || !slices.Equal(calls[0].Workers, []string{"w1"}) {
 		t.Errorf("calls for advice once w1 has come: %v, want one on w1", calls)
 	}
 }
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -20,8 +20,8 @@
 	Carried []byte
 	// Unfit is set if the workers of this shard can never run one of its steps.
 	Unfit bool
-	// Join is set if all shards should run the job's gangs together.
-	Join bool
+	// Joint is set if all shards should run the job's gangs together.
+	Joint bool
 }
 
 const (
@@ -45,11 +45,11 @@
 	joinFromMoves = 1
 )
 
-// Moves returns jobs of which nothing runs and which would better run elsewhere, at most
+// BeginMoves returns jobs of which nothing runs and which would better run elsewhere, at most
 // n: those that have not begun, and others if the workers here can't run their next steps.
-// Each must be answered by Moved or Stays; until then nothing of it starts. Those that
+// Each must be answered by CompleteMove or CancelMove; until then nothing of it starts. Those that
 // stayed go behind the others: there may be no better shard for them at all.
-func (s *Shard) Moves(now time.Time, n int) []Move {
+func (s *Shard) BeginMoves(now time.Time, n int) []Move {
 	if s.takeover.open {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		}
 		j := c.job
 		j.moving, j.offered = true, now
-		m := Move{Job: j.spec, Version: j.version, Mark: s.moveMark(j), Unfit: c.unfit, Join: c.join}
+		m := Move{Job: j.spec, Version: j.version, Mark: s.moveMark(j), Unfit: c.unfit, Joint: c.join}
 		if j.begun {
 			m.Carried = s.encodeProgress(j, j.progress())
 		}
@@ -139,10 +139,10 @@
 	at    time.Time
 }
 
-// Moved forgets a job that belongs to another shard now. Its row may still come by
-// the feed, and its acceptance from a slow node: neither brings it back. Moved returns
+// CompleteMove forgets a job that belongs to another shard now. Its row may still come by
+// the feed, and its acceptance from a slow node: neither brings it back. CompleteMove returns
 // the version of its progress row, or 0.
-func (s *Shard) Moved(now time.Time, id string) (version int64) {
+func (s *Shard) CompleteMove(now time.Time, id string) (version int64) {
 	j := s.jobs[id]
 	if j == nil || !j.moving {
 		return 0
@@ -154,8 +154,8 @@
 	return j.version
 }
 
-// Stays lets a job that didn't move start here.
-func (s *Shard) Stays(id string) {
+// CancelMove lets a job that didn't move start here.
+func (s *Shard) CancelMove(id string) {
 	if j := s.jobs[id]; j != nil {
 		j.moving = false
 	}
--- a/internal/scheduler/move_test.go
+++ b/internal/scheduler/move_test.go
@@ -25,18 +25,18 @@
 	r.runFor(time.Second)
 	job := unplaceableJob("a")
 	r.shard.AddJob(r.now, job, nil, false)
-	moves := r.shard.Moves(r.now, 1)
+	moves := r.shard.BeginMoves(r.now, 1)
 	if len(moves) != 1 || !moves[0].Unfit {
 		t.Fatalf("moves of a job that can't run here: %+v", moves)
 	}
-	r.shard.Moved(r.now, "a")
+	r.shard.CompleteMove(r.now, "a")
 	r.shard.AddJob(r.now, job, nil, false)
-	if r.shard.Has("a") {
+	if r.shard.HasJob("a") {
 		t.Error("the job comes back by an old message")
 	}
 	job.Moves = 2
 	r.shard.AddJob(r.now, job, nil, false)
-	if !r.shard.Has("a") {
+	if !r.shard.HasJob("a") {
 		t.Error("a job that was moved back isn't taken")
 	}
 }
@@ -56,11 +56,11 @@
 	part := unplaceableJob("part")
 	part.Share = cluster.Share{Index: 0, Of: 2}
 	r.shard.AddJob(r.now, part, nil, false)
-	if moves := r.shard.Moves(r.now, 9); len(moves) != 0 {
+	if moves := r.shard.BeginMoves(r.now, 9); len(moves) != 0 {
 		t.Errorf("moves at once: %+v", moves)
 	}
 	r.runFor(time.Second)
-	moves := r.shard.Moves(r.now, 9)
+	moves := r.shard.BeginMoves(r.now, 9)
 	if len(moves) != 1 || moves[0].Job.ID != "waits" || moves[0].Unfit {
 		t.Fatalf("moves: %+v", moves)
 	}
@@ -70,7 +70,7 @@
 	if r.running()[waits] != 0 {
 		t.Error("a task starts while its job may be on its way")
 	}
-	r.shard.Stays("waits")
+	r.shard.CancelMove("waits")
 	r.runFor(time.Second)
 	if r.running()[waits] != 1 {
 		t.Errorf("a job that stays doesn't run: %v", r.running())
@@ -111,7 +111,7 @@
 		job.Steps[1].After = []int{0}
 		r.shard.AddJob(r.now, job, nil, true)
 		r.runFor(time.Second)
-		if moves := r.shard.Moves(r.now, 1); len(moves) != 0 {
+		if moves := r.shard.BeginMoves(r.now, 1); len(moves) != 0 {
 			t.Errorf("moves: %+v", moves)
 		}
 	})
@@ -121,7 +121,7 @@
 		r.workers["w1"].silent = true
 		r.shard.AddJob(r.now, unplaceableJob("a"), nil, true)
 		r.runFor(15 * time.Second)
-		if moves := r.shard.Moves(r.now, 1); len(moves) != 0 {
+		if moves := r.shard.BeginMoves(r.now, 1); len(moves) != 0 {
 			t.Errorf("moves: %+v", moves)
 		}
 	})
@@ -130,7 +130,7 @@
 		r.upsertWorkers()
 		r.shard.AddJob(r.now, unplaceableJob("a"), nil, true)
 		r.runFor(time.Second)
-		if moves := r.shard.Moves(r.now, 1); len(moves) != 1 {
+		if moves := r.shard.BeginMoves(r.now, 1); len(moves) != 1 {
 			t.Errorf("moves: %+v, want the job", moves)
 		}
 	})
@@ -154,9 +154,9 @@
 	offered := make(map[string]bool)
 	for range jobs {
 		r.runFor(200 * time.Millisecond)
-		for _, m := range r.shard.Moves(r.now, atOnce) {
+		for _, m := range r.shard.BeginMoves(r.now, atOnce) {
 			offered[m.Job.ID] = true
-			r.shard.Stays(m.Job.ID)
+			r.shard.CancelMove(m.Job.ID)
 		}
 	}
 	if len(offered) != jobs {
--- a/internal/scheduler/movedprogress_test.go
+++ b/internal/scheduler/movedprogress_test.go
@@ -37,7 +37,7 @@
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.reportAll()
 		r.round()
-		for _, c := range commandsOf[scheduler.Advise](r.lastCommands) {
+		for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
 			allowed := c.Workers
 			if c.Step.Step == 1 {
 				allowed = allowed[:min(good, len(allowed))]
@@ -46,7 +46,7 @@
 			for _, w := range allowed {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
-			r.shard.Advised(r.now, c.Step, c.Workers, tickets, time.Second, nil)
+			r.shard.AdviceReplied(r.now, c.Step, c.Workers, tickets, time.Second, nil)
 		}
 		if len(r.running()) == 1 {
 			r.endAllRuns(cluster.OutcomeDone)
@@ -61,7 +61,7 @@
 // is not done again.
 func TestStartedJobMovesWhenItsGangCannotFit(t *testing.T) {
 	r := startGangJob(t, 2)
-	moves := r.shard.Moves(r.now, 10)
+	moves := r.shard.BeginMoves(r.now, 10)
 	if len(moves) != 1 || !moves[0].Unfit || len(moves[0].Carried) == 0 {
 		t.Fatalf("moves %+v, want the job with its progress", moves)
 	}
@@ -87,7 +87,7 @@
 func TestStartedJobStaysWhereItsGangFits(t *testing.T) {
 	r := startGangJob(t, 3)
 	r.runFor(2 * time.Second)
-	if moves := r.shard.Moves(r.now, 10); len(moves) > 0 {
+	if moves := r.shard.BeginMoves(r.now, 10); len(moves) > 0 {
 		t.Errorf("moves %+v, want none", moves)
 	}
 }
@@ -130,7 +130,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := p.IsOf(&cluster.Job{Moves: c.moves}); got != c.isOf {
+		if got := p.IsCurrent(&cluster.Job{Moves: c.moves}); got != c.isOf {
 			t.Errorf("%s of a job with %d moves: %v, want %v", c.value, c.moves, got, c.isOf)
 		}
 	}
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -32,7 +32,7 @@
 	if first {
 		s.settleInDoubt(now, id)
 		if w.generation > 1 && w.started != 0 {
-			w.inDoubtLease = now.Add(s.p.LeaseMost + leaseMargin)
+			w.inDoubtLease = now.Add(s.p.MaxLease + leaseMargin)
 		}
 	}
 	listed := make(map[runKey]bool, len(report.Running)+len(report.Ended))
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -89,7 +89,7 @@
 	s.log.Info("pace set", events.PaceSet, zap.Stringer("task", r.task.id), zap.Int64("run", r.n), zap.String("worker", r.worker.info.ID),
 		zap.Int("percent", pace), zap.Float64("worst_of_target", worst))
 	r.pace, r.paceSent = pace, now
-	s.emit(Pace{Order: s.orderTo(r.worker), Task: r.task.id, Run: r.n, Percent: pace})
+	s.emit(SetPace{Order: s.orderTo(r.worker), Task: r.task.id, Run: r.n, Percent: pace})
 }
 
 // minPace is the pace below which a filler is held entirely.
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -20,8 +20,8 @@
 	// of the job under that owner.
 	Epoch  int64 `json:"e,omitempty"`
 	Change int64 `json:"c,omitempty"`
-	// Came is one more than the job's moves when this was written; 0: not known.
-	Came int `json:"mv,omitempty"`
+	// MovesPlusOne is one more than the job's moves when this was written; 0: not known.
+	MovesPlusOne int `json:"mv,omitempty"`
 
 	version int64
 }
@@ -32,9 +32,11 @@
 	return cmp.Or(cmp.Compare(p.Epoch, q.Epoch), cmp.Compare(p.Change, q.Change)) > 0
 }
 
-// IsOf reports whether p was written since the job came to its shard: a row may be left
+// IsCurrent reports whether p was written since the job came to its shard: a row may be left
 // there from before it went away and came back.
-func (p *Progress) IsOf(spec *cluster.Job) bool { return p.Came == 0 || p.Came == spec.Moves+1 }
+func (p *Progress) IsCurrent(spec *cluster.Job) bool {
+	return p.MovesPlusOne == 0 || p.MovesPlusOne == spec.Moves+1
+}
 
 // StepState is the progress of one step of one repeat.
 type StepState struct {
@@ -51,9 +53,9 @@
 	// Failed are the numbers of the runs that failed.
 	Failed     []int64 `json:"f,omitempty"`
 	Checkpoint string  `json:"c,omitempty"`
-	// Last is the number of the last run that failed in another shard; those of the next
+	// LastRun is the number of the last run that failed in another shard; those of the next
 	// owner are above it.
-	Last int64 `json:"l,omitempty"`
+	LastRun int64 `json:"l,omitempty"`
 }
 
 // ParseProgress reads the value of a progress row.
@@ -94,7 +96,7 @@
 		case t.done:
 			done[x] = '1'
 		case len(t.failed) > 0 || t.checkpoint != "":
-			ss.Tasks = append(ss.Tasks, TaskState{Index: x, Failed: t.failed, Checkpoint: t.checkpoint, Last: t.lastRun})
+			ss.Tasks = append(ss.Tasks, TaskState{Index: x, Failed: t.failed, Checkpoint: t.checkpoint, LastRun: t.lastRun})
 		}
 	}
 	if st.done > 0 {
@@ -122,7 +124,7 @@
 		for _, ts := range ss.Tasks {
 			if ts.Index >= 0 && ts.Index < len(st.tasks) {
 				t := st.tasks[ts.Index]
-				t.failed, t.checkpoint, t.lastRun = ts.Failed, ts.Checkpoint, max(t.lastRun, ts.Last)
+				t.failed, t.checkpoint, t.lastRun = ts.Failed, ts.Checkpoint, max(t.lastRun, ts.LastRun)
 				st.gangRun = max(st.gangRun, t.lastRun)
 			}
 		}
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -63,8 +63,8 @@
 func (r *rig) takeOverUnlisted() {
 	r.epoch++
 	r.shard = scheduler.New(scheduler.Params{
-		Epoch: r.epoch, Lease: testLease, StopTime: 200 * time.Millisecond, Uncertain: 10 * time.Second,
-		KeepFinished: time.Minute,
+		Epoch: r.epoch, Lease: testLease, StopTime: 200 * time.Millisecond, UncertainFor: 10 * time.Second,
+		FinishedRetention: time.Minute,
 	}, r.now, r.log)
 }
 
@@ -166,7 +166,7 @@
 
 // persist writes what is open, and returns the rows by job.
 func (r *rig) persist(rows map[string]scheduler.Record) {
-	b := r.shard.Dirty(100, unlimitedBytes)
+	b := r.shard.NextBatch(100, unlimitedBytes)
 	for _, rec := range b.Records {
 		rows[rec.Job] = rec
 	}
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -165,7 +165,7 @@
 		return
 	case cluster.ReplyNewIncarnation:
 		// It may run there under a life that isn't known yet, whose answer settles it.
-		s.emit(Look{Worker: id})
+		s.emit(Poll{Worker: id})
 		return
 	case cluster.ReplyUnknown:
 		r.state, r.knownAt = runUnanswered, r.worker.holds
@@ -173,7 +173,7 @@
 		s.breakGang(now, r, "start not answered")
 		return
 	case cluster.ReplyOtherIncarnation:
-		s.WorkerOver(now, id, "another life answers at its address")
+		s.WorkerEnded(now, id, "another life answers at its address")
 		return
 	case cluster.ReplyTicketInvalid:
 		r.task.step.advice.discard(id)
@@ -211,10 +211,10 @@
 		r.stopped, r.knownAt = true, r.worker.holds
 		if r.state == runUnanswered {
 			// The hold that is open says nothing of it, and the next one may be kept open.
-			s.emit(Look{Worker: id})
+			s.emit(Poll{Worker: id})
 		}
 	case cluster.ReplyOtherIncarnation:
-		s.WorkerOver(now, id, "another life answers at its address")
+		s.WorkerEnded(now, id, "another life answers at its address")
 	default:
 		r.stopSent = now
 		if r.state == runUnanswered && reply == cluster.ReplyUnknown && !r.worker.silent {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -16,7 +16,7 @@
 //	seq, order, lastSeen, ok := s.HoldSent(now, worker.ID)
 //	s.Observe(now, worker.ID, seq, report)
 //	for _, c := range s.Schedule(now) { … } // carry out, and feed back the reply
-//	batch := s.Dirty(maxJobs, maxBytes)     // persist, then
+//	batch := s.NextBatch(maxJobs, maxBytes) // persist, then
 //	s.Persisted(now, batch, version)
 package scheduler
 
@@ -33,16 +33,16 @@
 type Params struct {
 	// Epoch is the ownership's epoch, and the fence of all orders.
 	Epoch int64
-	// Lease is how long a worker runs on without hearing from the owner, and LeaseMost the
+	// Lease is how long a worker runs on without hearing from the owner, and MaxLease the
 	// longest that a worker takes.
-	Lease, LeaseMost time.Duration
+	Lease, MaxLease time.Duration
 	// StopTime is how long a worker may take to stop a run.
 	StopTime time.Duration
-	// Uncertain is how long after a takeover an unanswering worker may still
+	// UncertainFor is how long after a takeover an unanswering worker may still
 	// run what the previous owner started there.
-	Uncertain time.Duration
-	// KeepFinished is how long the state of a finished job is kept.
-	KeepFinished time.Duration
+	UncertainFor time.Duration
+	// FinishedRetention is how long the state of a finished job is kept.
+	FinishedRetention time.Duration
 }
 
 // runsPerEpoch separates the run numbers of successive owners: a new owner
@@ -63,32 +63,32 @@
 	Run  int64
 }
 
-// Pace sets the share at which a run works; the reply goes to PaceReplied.
-type Pace struct {
+// SetPace sets the share at which a run works; the reply goes to PaceReplied.
+type SetPace struct {
 	cluster.Order
 	Task    cluster.TaskID
 	Run     int64
 	Percent int
 }
 
-// Look asks a worker at once what it runs; the answer goes to Observe.
-type Look struct{ Worker string }
+// Poll asks a worker at once what it runs; the answer goes to Observe.
+type Poll struct{ Worker string }
 
-// Advise asks the advice service which workers may run a step; the answer goes to Advised.
-type Advise struct {
+// RequestAdvice asks the advice service which workers may run a step; the answer goes to AdviceReplied.
+type RequestAdvice struct {
 	Step    StepID
 	Workers []string
-	// Takes is what the call is expected to take.
-	Takes time.Duration
+	// ExpectedDuration is what the call is expected to take.
+	ExpectedDuration time.Duration
 	// Rank orders waiting calls; the lowest goes first.
 	Rank Rank
 }
 
-func (Start) command()  {}
-func (Stop) command()   {}
-func (Pace) command()   {}
-func (Look) command()   {}
-func (Advise) command() {}
+func (Start) command()         {}
+func (Stop) command()          {}
+func (SetPace) command()       {}
+func (Poll) command()          {}
+func (RequestAdvice) command() {}
 
 // StepID names a step of one repeat of a job.
 type StepID struct {
@@ -246,5 +246,5 @@
 	return j.state, true
 }
 
-// Has reports whether the job is known.
-func (s *Shard) Has(id string) bool { return s.jobs[id] != nil }
+// HasJob reports whether the job is known.
+func (s *Shard) HasJob(id string) bool { return s.jobs[id] != nil }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -72,7 +72,7 @@
 	r.endAllRuns(cluster.OutcomeFailed)
 	r.reportAll()
 	rows := make(map[string]scheduler.Record)
-	b := r.shard.Dirty(10, unlimitedBytes)
+	b := r.shard.NextBatch(10, unlimitedBytes)
 	for _, rec := range b.Records {
 		rows[rec.Job] = rec
 	}
@@ -285,7 +285,7 @@
 		}
 		r.reportAll()
 		for _, c := range r.round() {
-			if p, ok := c.(scheduler.Pace); ok {
+			if p, ok := c.(scheduler.SetPace); ok {
 				paces = append(paces, p.Percent)
 			}
 		}
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -87,7 +87,7 @@
 
 // adviceCall is a adviceCall for advice that is open.
 type adviceCall struct {
-	scheduler.Advise
+	scheduler.RequestAdvice
 	answerAt time.Time
 }
 
@@ -138,7 +138,7 @@
 	delete(s.workers, id)
 	delete(s.workerStates, id)
 	if s.hasOwner() {
-		s.shard.WorkerOver(s.now, id, "its machine says so")
+		s.shard.WorkerEnded(s.now, id, "its machine says so")
 	}
 	s.addWorker()
 }
@@ -156,7 +156,7 @@
 	}
 	s.shard.UpsertWorker(s.now, info)
 	if m.fault == faultInvalidEntry {
-		s.shard.EntryInvalid(s.now, id)
+		s.shard.WorkerEntryInvalid(s.now, id)
 	}
 }
 
@@ -241,8 +241,8 @@
 			s.shard.StartReplied(s.now, c.Worker, c.Task, c.Run, s.startRun(c))
 		case scheduler.Stop:
 			s.shard.StopReplied(s.now, c.Worker, c.Task, c.Run, s.stopRun(c))
-		case scheduler.Advise:
-			s.calls = append(s.calls, adviceCall{c, s.now.Add(c.Takes)})
+		case scheduler.RequestAdvice:
+			s.calls = append(s.calls, adviceCall{c, s.now.Add(c.ExpectedDuration)})
 		}
 	}
 }
@@ -447,7 +447,7 @@
 			continue
 		}
 		if s.rejects() {
-			s.shard.Advised(s.now, c.Step, c.Workers, nil, 0, errNoAdvice)
+			s.shard.AdviceReplied(s.now, c.Step, c.Workers, nil, 0, errNoAdvice)
 			continue
 		}
 		j := s.byID[c.Step.Job]
@@ -458,6 +458,6 @@
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: strconv.FormatInt(s.now.Add(valid).UnixMilli(), 10)})
 			}
 		}
-		s.shard.Advised(s.now, c.Step, c.Workers, tickets, valid, nil)
+		s.shard.AdviceReplied(s.now, c.Step, c.Workers, tickets, valid, nil)
 	}
 }
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -69,7 +69,7 @@
 
 // uncertain reports whether a worker may have what this owner doesn't know of.
 func (s *Shard) uncertain(now time.Time) bool {
-	if now.Sub(s.takeover.since) > s.p.Uncertain {
+	if now.Sub(s.takeover.since) > s.p.UncertainFor {
 		return false
 	}
 	if !s.takeover.listed && now.Sub(s.takeover.since) < unlistedFor {
--- a/internal/scheduler/unanswered_test.go
+++ b/internal/scheduler/unanswered_test.go
@@ -46,7 +46,7 @@
 		t.Fatalf("%d stops, want 1", len(stops))
 	}
 	r.shard.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyOK)
-	if looks := commandsOf[scheduler.Look](r.shard.Schedule(r.now)); len(looks) != 1 || looks[0].Worker != start.Worker {
+	if looks := commandsOf[scheduler.Poll](r.shard.Schedule(r.now)); len(looks) != 1 || looks[0].Worker != start.Worker {
 		t.Fatalf("looks %v, want one at %s", looks, start.Worker)
 	}
 	r.reportAll()
--- a/internal/scheduler/unread.go
+++ b/internal/scheduler/unread.go
@@ -12,8 +12,8 @@
 // there are unread: they exist, but nothing is known of them. What runs of them goes
 // on, and their ends wait on the workers until the jobs are read.
 
-// SetUnread sets what reports whether a job that isn't known here may be unread.
-func (s *Shard) SetUnread(unread func(job string) bool) { s.unread = unread }
+// SetUnreadFunc sets what reports whether a job that isn't known here may be unread.
+func (s *Shard) SetUnreadFunc(unread func(job string) bool) { s.unread = unread }
 
 // mayBeUnread reports whether a job may exist although it isn't known here.
 func (s *Shard) mayBeUnread(job string) bool {
--- a/internal/scheduler/unread_test.go
+++ b/internal/scheduler/unread_test.go
@@ -23,7 +23,7 @@
 	}
 
 	r.takeOver()
-	r.shard.SetUnread(func(job string) bool { return job == "a" })
+	r.shard.SetUnreadFunc(func(job string) bool { return job == "a" })
 	r.upsertWorkers()
 	r.runFor(time.Second)
 	if n := len(r.running()); n != 2 {
@@ -34,11 +34,11 @@
 	r.runFor(time.Second)
 	rows := make(map[string]scheduler.Record)
 	r.persist(rows)
-	if !r.shard.Unconfirmed("w0") && !r.shard.Unconfirmed("w1") {
+	if !r.shard.HasUnconfirmedEnds("w0") && !r.shard.HasUnconfirmedEnds("w1") {
 		t.Error("the ends of a job that was not read are confirmed")
 	}
 
-	r.shard.SetUnread(nil)
+	r.shard.SetUnreadFunc(nil)
 	r.shard.AddJob(r.now, spec, nil, true)
 	r.shard.JobsRead(r.now)
 	r.runFor(time.Second)
@@ -49,7 +49,7 @@
 	if state, _ := r.shard.Job("a"); state != cluster.StateSucceeded {
 		t.Errorf("the job is %q", state)
 	}
-	if r.shard.Unconfirmed("w0") || r.shard.Unconfirmed("w1") {
+	if r.shard.HasUnconfirmedEnds("w0") || r.shard.HasUnconfirmedEnds("w1") {
 		t.Error("ends are not confirmed though all is persisted")
 	}
 }
@@ -63,10 +63,10 @@
 	r.shard.AddJob(r.now, spec, nil, false)
 	r.runFor(time.Second)
 	r.takeOver()
-	r.shard.SetUnread(func(string) bool { return true })
+	r.shard.SetUnreadFunc(func(string) bool { return true })
 	r.upsertWorkers()
 	r.runFor(time.Second)
-	r.shard.SetUnread(nil)
+	r.shard.SetUnreadFunc(nil)
 	r.shard.AddJob(r.now, spec, nil, true)
 	r.shard.JobsRead(r.now)
 	r.round()
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -129,8 +129,8 @@
 	s.log.Warn("task waits", fields...)
 }
 
-// Aside returns how many workers get nothing, or one task at a time, for their health.
-func (s *Shard) Aside() int {
+// SetAsideWorkers returns how many workers get nothing, or one task at a time, for their health.
+func (s *Shard) SetAsideWorkers() int {
 	n := 0
 	for _, w := range s.order {
 		if w.health.probing {
--- a/internal/scheduler/widegang_test.go
+++ b/internal/scheduler/widegang_test.go
@@ -50,14 +50,14 @@
 	for i := range 100 {
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.reportAll()
-		for _, c := range commandsOf[scheduler.Advise](r.round()) {
+		for _, c := range commandsOf[scheduler.RequestAdvice](r.round()) {
 			var tickets []cluster.Ticket
 			for _, w := range c.Workers {
 				if isGood(w) {
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
-			r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+			r.shard.AdviceReplied(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 		}
 		for task, n := range r.running() {
 			if task.Job == "j" && n > 0 {
@@ -121,7 +121,7 @@
 	r.shard.AddJob(r.now, job, nil, false)
 	asked := make(map[string]bool)
 	for range 5 {
-		for _, c := range commandsOf[scheduler.Advise](r.round()) {
+		for _, c := range commandsOf[scheduler.RequestAdvice](r.round()) {
 			var tickets []cluster.Ticket
 			for i, w := range c.Workers {
 				asked[w] = true
@@ -129,7 +129,7 @@
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
-			r.shard.Advised(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
+			r.shard.AdviceReplied(r.now, c.Step, c.Workers, tickets, 2500*time.Millisecond, nil)
 		}
 	}
 	if len(asked) != workers {
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -124,7 +124,7 @@
 		w.setListed(now, true)
 		if w.next == nil || w.next.Started != info.Started {
 			s.log.Info("entry of another life", events.DirectoryEntryInvalid, zap.Stringer("worker", w.info.Incarnation()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
-			s.emit(Look{Worker: info.ID})
+			s.emit(Poll{Worker: info.ID})
 		}
 		w.next = &info
 		return false
@@ -134,8 +134,8 @@
 	return true
 }
 
-// WorkerOver notes that a life is over: nothing runs there any more.
-func (s *Shard) WorkerOver(now time.Time, id, evidence string) {
+// WorkerEnded notes that a life is over: nothing runs there any more.
+func (s *Shard) WorkerEnded(now time.Time, id, evidence string) {
 	w := s.workers[id]
 	if w == nil {
 		return
@@ -220,7 +220,7 @@
 // leaseEnd returns when everything on the worker is surely dead unless it is renewed.
 func (s *Shard) leaseEnd(w *worker) time.Time {
 	if !w.answered {
-		return s.began.Add(s.p.Uncertain)
+		return s.began.Add(s.p.UncertainFor)
 	}
 	left := time.Duration(w.deadline-w.clock) * time.Millisecond
 	end := w.clockAt.Add(time.Duration(float64(left)*ClockSlack) + leaseMargin)
@@ -239,7 +239,7 @@
 			s.loseRuns(now, w, "lease over")
 		}
 		if (w.unlisted || w.entryInvalid) && w.silent && now.After(s.leaseEnd(w)) {
-			s.WorkerOver(now, w.info.ID, "not listed, and its lease is over")
+			s.WorkerEnded(now, w.info.ID, "not listed, and its lease is over")
 		}
 	}
 }
@@ -289,10 +289,10 @@
 	w.used = w.used.Add(w.info.Capacity.Times(int64(len(w.foreign))))
 }
 
-// EntryInvalid notes that a worker's entry in the directory is there but names no worker
+// WorkerEntryInvalid notes that a worker's entry in the directory is there but names no worker
 // to use: another writer may have left it so. Nothing new starts there until the entry
 // is right again. What runs there runs on: nothing says that the life is over or ends.
-func (s *Shard) EntryInvalid(now time.Time, id string) {
+func (s *Shard) WorkerEntryInvalid(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
 		return
@@ -312,8 +312,8 @@
 	}
 }
 
-// ListedWorkers notes all workers that the directory lists.
-func (s *Shard) ListedWorkers(now time.Time, listed map[string]bool) {
+// SetListedWorkers notes all workers that the directory lists.
+func (s *Shard) SetListedWorkers(now time.Time, listed map[string]bool) {
 	for id, w := range s.workers {
 		w.setListed(now, listed[id])
 	}
@@ -353,8 +353,8 @@
 	return list
 }
 
-// Unconfirmed reports whether a worker has ends that are not persisted yet.
-func (s *Shard) Unconfirmed(id string) bool {
+// HasUnconfirmedEnds reports whether a worker has ends that are not persisted yet.
+func (s *Shard) HasUnconfirmedEnds(id string) bool {
 	w := s.workers[id]
 	return w != nil && w.lastEnd > w.confirmedEnd
 }
