--- a/internal/owner/advice.go
+++ b/internal/owner/advice.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// minLongCall is from when a call keeps cheap ones waiting for longer than the
-	// shortest latency target (250 ms) allows.
+	// minLongCall is the duration from which a call delays the short calls behind it for longer
+	// than the shortest latency target (250 ms) allows.
 	minLongCall = 120 * time.Millisecond
-	// shortOnlyShare is the share of nodes that dear calls leave alone.
+	// shortOnlyShare is the share of nodes that take no long calls.
 	shortOnlyShare = 0.34
-	// maxShortCalls is how many cheap calls one node may have open: the service
-	// takes a node's calls one at a time, and a second one hides the way there.
+	// maxShortCalls is how many short calls one node may have in flight. The service handles
+	// the calls of a node one at a time; a second call in flight hides the network latency.
 	maxShortCalls = 2
-	// adviceTimeoutSlack is how much longer than expected a call may take.
+	// adviceTimeoutSlack is added to twice the expected duration of a call to get its timeout.
 	adviceTimeoutSlack = 800 * time.Millisecond
-	// adviserBackoff is how long a node is left alone after its call failed.
+	// adviserBackoff is how long a node is avoided after its call failed.
 	adviserBackoff = time.Second
 )
 
-// AdviceQueue spreads the calls of the advice service over the nodes, since the
-// service takes the calls of one node in turn. The most urgent call goes first.
+// AdviceQueue spreads the calls of the advice service over the nodes, since the service handles
+// the calls of one node one at a time. The most urgent call goes first.
 type AdviceQueue struct {
-	ctx      context.Context // the calls end with the owner, not with who adds them
+	ctx      context.Context // The calls end with the owner, not with the caller of Add.
 	advisers func() []Adviser
 	onAnswer func(scheduler.RequestAdvice, Advice)
 
@@ -39,15 +39,15 @@
 	load    map[string]*adviserLoad
 }
 
-// adviserLoad is what one node has to do for the advice service.
+// adviserLoad tracks the calls of one node.
 type adviserLoad struct {
-	// short and long are the calls that it has open.
+	// short and long count the calls in flight.
 	short, long int
-	// backoffUntil is until when it is left alone, since a call failed.
+	// backoffUntil is when the node may be used again after a failed call.
 	backoffUntil time.Time
 }
 
-// addOpen adds n calls like a to those that are open.
+// addOpen adds n calls of the class of a to those in flight.
 func (l *adviserLoad) addOpen(a scheduler.RequestAdvice, n int) {
 	if isLongCall(a) {
 		l.long += n
@@ -56,27 +56,27 @@
 	}
 }
 
-// isLongCall reports whether a call keeps cheap ones waiting for too long.
+// isLongCall reports whether a call delays short calls for too long.
 func isLongCall(a scheduler.RequestAdvice) bool { return a.ExpectedDuration >= minLongCall }
 
 // Advice is the answer to a call of the advice service.
 type Advice struct {
 	Tickets []cluster.Ticket
-	// ValidFor is for how long the tickets hold; 0: for as long as the queue's policy says.
+	// ValidFor is how long the tickets hold; 0 means as long as the queue's policy says.
 	ValidFor time.Duration
-	// IssuedAt is by when the service gave the tickets, which hold from then on, or when the call
-	// failed.
+	// IssuedAt is the latest time at which the service can have issued the tickets, from which
+	// ValidFor counts, or the time at which the call failed.
 	IssuedAt time.Time
 	Err      error
 }
 
-// NewAdviceQueue returns an empty queue. Its calls go to the nodes that advisers names, in
-// the order of preference, end with ctx, and their answers go to answered.
+// NewAdviceQueue returns an empty queue. Calls go to the nodes that advisers returns, in order
+// of preference, and end with ctx. Answers are passed to onAnswer.
 func NewAdviceQueue(ctx context.Context, advisers func() []Adviser, onAnswer func(scheduler.RequestAdvice, Advice)) *AdviceQueue {
 	return &AdviceQueue{ctx: ctx, advisers: advisers, onAnswer: onAnswer, load: make(map[string]*adviserLoad)}
 }
 
-// Add takes in a call, to be sent as soon as a node can take it.
+// Add queues a call, which is sent as soon as a node can take it.
 func (q *AdviceQueue) Add(a scheduler.RequestAdvice) {
 	q.mu.Lock()
 	at, _ := slices.BinarySearchFunc(q.pending, a, func(x, y scheduler.RequestAdvice) int {
@@ -90,7 +90,7 @@
 	q.Dispatch()
 }
 
-// Dispatch sends what can be sent now.
+// Dispatch sends the queued calls that a node can take now.
 func (q *AdviceQueue) Dispatch() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,8 +115,8 @@
 	q.pending = unsent
 }
 
-// pick returns the node that can take the call soonest, or nil; nodes that are left
-// alone count only if all are. The caller holds mu.
+// pick returns the node that can take the call soonest, or nil. Nodes that back off are used
+// only if all do. The caller holds mu.
 func (q *AdviceQueue) pick(advisers []Adviser, long bool, shortOnly map[string]bool, now time.Time, ignoreBackoff bool) (Adviser, *adviserLoad) {
 	var best Adviser
 	var bestLoad *adviserLoad
@@ -133,9 +133,9 @@
 	return best, bestLoad
 }
 
-// reserveForLongCall leaves out the node that can take a dear call next, so that the less urgent cheap
-// calls behind it in the queue go elsewhere: a dear call goes to a node without any open
-// call, of which there is none while cheap ones keep coming. The caller holds mu.
+// reserveForLongCall leaves out the node that can take a long call next, so that the less
+// urgent short calls behind it in the queue go elsewhere. A long call needs a node without
+// calls in flight, and there is none while short calls keep coming. The caller holds mu.
 func (q *AdviceQueue) reserveForLongCall(advisers []Adviser, shortOnly map[string]bool, now time.Time, ignoreBackoff bool) []Adviser {
 	reserved, fewestShort := -1, maxShortCalls+1
 	for i, a := range advisers {
@@ -151,7 +151,8 @@
 	return slices.Delete(slices.Clone(advisers), reserved, reserved+1)
 }
 
-// shortOnlyNodes returns the names of the nodes that dear calls leave alone, the first ones.
+// shortOnlyNodes returns the names of the nodes that take no long calls: the first ones of the
+// list.
 func shortOnlyNodes(advisers []Adviser) map[string]bool {
 	shortOnly := make(map[string]bool)
 	if len(advisers) <= 1 {
@@ -173,8 +174,8 @@
 	return l
 }
 
-// allBackingOff reports whether the last call of every node failed, which tells nothing
-// about any one of them: the service or the network was at fault. The caller holds mu.
+// allBackingOff reports whether the last call of every node failed. That says nothing about a
+// single node: the service or the network is at fault. The caller holds mu.
 func (q *AdviceQueue) allBackingOff(advisers []Adviser, now time.Time) bool {
 	for _, a := range advisers {
 		if !now.Before(q.loadOf(a).backoffUntil) {
@@ -184,7 +185,7 @@
 	return true
 }
 
-// call makes one call through a node, and hands the answer to the scheduler.
+// call makes one call through a node and passes the answer to onAnswer.
 func (q *AdviceQueue) call(ctx context.Context, adviser Adviser, load *adviserLoad, a scheduler.RequestAdvice) {
 	c, cancel := context.WithTimeout(ctx, a.ExpectedDuration*2+adviceTimeoutSlack)
 	sent := time.Now()
@@ -205,10 +206,10 @@
 	q.Dispatch()
 }
 
-// estimateIssuedAt returns by when an answer that comes now was given. What a call takes beyond its
-// time at the service, and behind another call there, counts as the answer's way, such as
-// by a node that stands still: its tickets run out meanwhile, and starts that brought them
-// later would be rejected.
+// estimateIssuedAt returns the latest time at which an answer that arrives now can have been
+// issued. What a call takes beyond its expected duration and the wait behind one other call is
+// time in transit, such as on a node that has stalled. Meanwhile the tickets expire, and starts
+// that use them later would be rejected.
 func estimateIssuedAt(sent time.Time, takes time.Duration) time.Time {
 	now, expected := time.Now(), sent.Add(takes+minLongCall)
 	if now.After(expected) {
--- a/internal/owner/deps.go
+++ b/internal/owner/deps.go
@@ -13,16 +13,17 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// Workers gives orders to workers.
+// Workers sends orders to workers.
 type Workers interface {
 	Start(ctx context.Context, order cluster.StartOrder) cluster.Reply
 	Stop(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64) cluster.Reply
 	Pace(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64, percent int) cluster.Reply
-	// Hold renews the lease, confirms ends up to lastSeen and waits at most wait for an end.
+	// Hold is a long poll: it renews the lease, confirms ended runs up to lastSeen and waits at
+	// most wait for the next one to end.
 	Hold(ctx context.Context, order cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply)
 }
 
-// Adviser is one node from which the advice service can be called.
+// Adviser is a node through which the advice service can be called.
 type Adviser interface {
 	Name() string
 	Advise(ctx context.Context, step scheduler.StepID, workers []string) (tickets []cluster.Ticket, validFor time.Duration, err error)
@@ -30,7 +31,7 @@
 
 // Advisers lists the nodes that can call the advice service, this one included.
 type Advisers interface {
-	// Advisers returns those that a shard should use, in the order of preference.
+	// Advisers returns the nodes that a shard should use, in order of preference.
 	Advisers(shard cluster.ShardID) []Adviser
 }
 
@@ -39,7 +40,7 @@
 	Machines(ctx context.Context) ([]cluster.Machine, error)
 }
 
-// Directory decodes the rows in which workers announce themselves.
+// Directory decodes the rows with which workers announce themselves.
 type Directory interface {
 	// Table is the name of the directory's table.
 	Table() string
@@ -47,7 +48,7 @@
 	Worker(row tables.Row) (cluster.Worker, error)
 }
 
-// Deps are what an owner needs.
+// Deps are the dependencies of an Owner.
 type Deps struct {
 	Tables    tables.Service
 	Workers   Workers
@@ -55,7 +56,7 @@
 	Machines  Machines
 	Directory Directory
 	Shards    Shards
-	// CountRefusedEntry counts an entry of the directory that names no worker.
+	// CountRefusedEntry counts a directory entry that names no valid worker.
 	CountRefusedEntry func(reason cluster.Kind)
 	Log               *zap.Logger
 }
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// directoryFeedWait is how long the directory's feed waits in one call, and
-	// directoryPause batches the workers' announcements: a row of some 400 bytes for each
-	// worker and 1.5 s, for each owner. It grows by directoryEach with each worker, to
-	// directoryMost, half of the least time for which a worker that drains serves on.
+	// directoryFeedWait is how long one call of the directory's feed waits for a change.
+	// minDirectoryPause batches the workers' announcements: each owner receives a row of some
+	// 400 bytes per worker every 1.5 s. The pause grows by directoryPausePerWorker for each
+	// worker, up to maxDirectoryPause, which is half of the shortest time for which a draining
+	// worker keeps serving.
 	directoryFeedWait       = 2 * time.Second
 	minDirectoryPause       = 200 * time.Millisecond
 	directoryPausePerWorker = 2 * time.Millisecond
 	maxDirectoryPause       = time.Second
-	// maxRefusedEntries is how many refused entries are remembered, so that each is told once:
-	// as many as there are workers in a large shard.
+	// maxRefusedEntries is how many refused entries are remembered, so that each is reported
+	// once: as many as a large shard has workers.
 	maxRefusedEntries = 1000
 )
 
-// followWorkers keeps the list of workers current, and a loop of holds for each.
+// followWorkers keeps the list of workers current and a hold loop running for each.
 func (o *Owner) followWorkers(ctx context.Context) error {
 	f := tables.Follower{
 		Service: o.Tables, Table: o.Directory.Table(), Parts: []string{""}, FeedWait: directoryFeedWait, RelistAfter: directoryFeedWait, Pause: minDirectoryPause,
@@ -46,17 +47,17 @@
 	return nil
 }
 
-// directoryEntry is a row of the directory, as it was decoded.
+// directoryEntry is a decoded row of the directory.
 type directoryEntry struct {
 	key  string
 	gone bool
-	// worker is the one of this shard that the row names, nil if it names none.
+	// worker is nil if the row names no valid worker of this shard.
 	worker *cluster.Worker
 }
 
-// applyDirectory takes in rows of the directory, all of them if whole is set. A row that
-// is there but names no worker, or one of another shard, is not like one that has gone:
-// the life that it stood for gets nothing new, and what runs there runs on.
+// applyDirectory applies rows of the directory; full means that these are all of them. A row
+// that names no valid worker, or a worker of another shard, differs from a deleted row: its
+// worker gets nothing new, but what runs there keeps running.
 func (o *Owner) applyDirectory(ctx context.Context, rows []tables.Row, whole bool) {
 	entries := make([]directoryEntry, len(rows))
 	for i, r := range rows {
@@ -107,8 +108,8 @@
 	return directoryEntry{key: r.Key, worker: &w}
 }
 
-// reportRefused logs and counts an entry that names no worker, once for each reason: it is
-// read again with each list and each time that it is written.
+// reportRefused logs and counts an entry that names no valid worker, once for each reason: the
+// entry is decoded again with each list and each time that it is written.
 func (o *Owner) reportRefused(key string, err error) {
 	reason := cluster.KindUnreadable
 	var field string
@@ -126,7 +127,7 @@
 	o.CountRefusedEntry(reason)
 }
 
-// newRefusedEntries returns the memory of refused entries: by key, what was told of each.
+// newRefusedEntries returns an empty cache for the field refusedEntries.
 func newRefusedEntries() *lru.Cache[string, string] {
 	c, err := lru.New[string, string](maxRefusedEntries)
 	if err != nil {
--- a/internal/owner/feed.go
+++ b/internal/owner/feed.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// jobsFeedWait is how long the jobs' feed waits in one call.
+	// jobsFeedWait is how long one call of the jobs' feed waits for a change.
 	jobsFeedWait = 2 * time.Second
 	// minJobsPause batches the jobs that other nodes could not hand over directly.
 	minJobsPause = 100 * time.Millisecond
 )
 
-// followJobs takes jobs and cancels that reach the store but not this node.
+// followJobs picks up jobs and cancels that are in the store but were not handed to this node.
 func (o *Owner) followJobs(ctx context.Context) error {
 	f := tables.Follower{
 		Service: o.Tables, Table: TableJobs(o.cfg.Shard), Parts: JobParts(o.cfg.Shard.Service), After: o.feedVersion,
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// applyJobs hands the rows of the jobs' feed to the scheduler.
+// applyJobs passes rows of the jobs' feed to the scheduler.
 func (o *Owner) applyJobs(s *scheduler.Shard, now time.Time, rows []tables.Row) {
 	for _, r := range rows {
 		o.jobsVersion = max(o.jobsVersion, r.Version)
@@ -64,13 +64,13 @@
 	}
 }
 
-// feedErrorLogger returns what logs that a table's feed or list failed.
+// feedErrorLogger returns a function that logs that a table's feed or list has failed.
 func (o *Owner) feedErrorLogger(table string) func(error) {
 	return func(err error) {
 		if tables.KindOf(err) == tables.KindHistoryGone {
-			o.Log.Info("feed lost its history", events.StoreFailed, zap.String("table", table))
+			o.Log.Info("feed history has expired", events.StoreFailed, zap.String("table", table))
 			return
 		}
-		o.Log.Warn("table not read", events.StoreFailed, zap.String("table", table), zap.Error(err))
+		o.Log.Warn("reading table failed", events.StoreFailed, zap.String("table", table), zap.Error(err))
 	}
 }
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -16,28 +16,28 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// A shard is taken in two writes, since they lie in two parts of the store: first the
-// row that names the owner, then the fence row beside the progress. Every write of
-// progress depends on the fence's version, so that from the second write on the last
-// owner can persist nothing more; only then is the progress read. Between the two the
-// last owner may still persist progress, which is read later, but spills none, since
-// that depends on the first row.
-
-// fenceKey is the key of the row that every write of progress depends on; job
-// IDs hold only hex digits.
+// A takeover takes two writes, since the rows lie in two parts of the store: first the row that
+// names the owner, then the fence row beside the progress. Every write of progress is
+// conditional on the fence's version, so that the previous owner can persist nothing after the
+// second write; only then is the progress read. Between the two writes the previous owner may
+// still persist progress, which is read later, but no fallback rows, since these are
+// conditional on the first row.
+
+// fenceKey is the key of the row on whose version every write of progress depends. It differs
+// from all job IDs, which hold only hex digits.
 const fenceKey = "!owner"
 
-// fenceRetryDelay is the pause before the fence is tried again while its part of the store
+// fenceRetryDelay is the pause between attempts to take the fence while its part of the store
 // doesn't answer.
 const fenceRetryDelay = 50 * time.Millisecond
 
 // fenceRecord is the value of the fence row.
 type fenceRecord struct {
-	// Epoch is that of the owner which wrote it.
+	// Epoch is the epoch of the owner that wrote the row.
 	Epoch int64 `json:"epoch"`
 }
 
-// FenceRow returns the empty row that names a shard's fence.
+// FenceRow returns a row with only the table, part and key of a shard's fence.
 func FenceRow(shard cluster.ShardID) tables.Row {
 	return tables.Row{Table: TableProgress, Part: ProgressPart(shard), Key: fenceKey}
 }
@@ -51,16 +51,16 @@
 	return FenceRow(shard), nil
 }
 
-// fence returns the row on which every write of this owner depends.
+// fence returns the row whose version is a condition of every write of this owner.
 func (o *Owner) fence() tables.Row {
 	fence := FenceRow(o.cfg.Shard)
 	fence.Version = o.fenceVersion
 	return fence
 }
 
-// takeFence writes the fence under this owner's epoch, on condition that it holds a
-// lower one, until that is known to be done. A write whose answer is lost shows when the
-// row is read again: it holds this epoch, which no other owner has.
+// takeFence writes the fence with this owner's epoch, on condition that it holds a lower one,
+// and retries until the outcome is known. If the answer to the write is lost, the row shows
+// whether the write took effect: no other owner has this epoch.
 func (o *Owner) takeFence(ctx context.Context) error {
 	seen := o.cfg.Fence
 	for ctx.Err() == nil {
@@ -68,14 +68,14 @@
 		switch epoch := o.fenceEpoch(row); {
 		case err != nil:
 			seen = tables.Row{}
-			o.Log.Warn("fence not taken", events.StoreFailed, zap.Stringer("shard", o.cfg.Shard), zap.Int64("epoch", o.Epoch()), zap.Error(err))
+			o.Log.Warn("taking the fence failed", events.StoreFailed, zap.Stringer("shard", o.cfg.Shard), zap.Int64("epoch", o.Epoch()), zap.Error(err))
 			tables.Sleep(ctx, tables.RetryPause(err, fenceRetryDelay))
 		case epoch == o.Epoch():
 			o.fenceVersion = row.Version
 			return nil
 		case epoch > o.Epoch():
 			o.EndOwnership("the fence of the progress has a higher epoch")
-			return &Error{"take fence", KindLost, errors.New("an owner with a higher epoch has it")}
+			return &Error{"take fence", KindLost, errors.New("an owner with a higher epoch holds the fence")}
 		default:
 			seen = row
 		}
@@ -83,8 +83,8 @@
 	return &Error{"take fence", KindLoad, ctx.Err()}
 }
 
-// tryTakeFence reads the fence, unless it was seen, and replaces it if it holds a lower epoch
-// than this owner's. It returns the row as it stands then.
+// tryTakeFence reads the fence, unless seen already holds it, and replaces it if its epoch is
+// lower than this owner's. It returns the current row.
 func (o *Owner) tryTakeFence(ctx context.Context, seen tables.Row) (tables.Row, error) {
 	if seen.Key == "" {
 		var err error
@@ -98,7 +98,7 @@
 	return o.writeFence(ctx, seen)
 }
 
-// writeFence replaces the fence that was seen, and returns the row as it stands then.
+// writeFence replaces the fence row seen and returns the current row.
 func (o *Owner) writeFence(ctx context.Context, seen tables.Row) (tables.Row, error) {
 	value, err := json.Marshal(fenceRecord{o.Epoch()})
 	if err != nil {
@@ -119,25 +119,24 @@
 	return FenceRow(o.cfg.Shard), nil
 }
 
-// fenceEpoch returns the epoch that a fence row holds. One that can't be read is no
-// owner's, and is replaced.
+// fenceEpoch returns the epoch in a fence row. An unreadable row has epoch 0 and is replaced.
 func (o *Owner) fenceEpoch(row tables.Row) int64 {
 	if row.Version == 0 {
 		return 0
 	}
 	var rec fenceRecord
 	if err := json.Unmarshal(row.Value, &rec); err != nil {
-		o.Log.Warn("fence row replaced", events.RowSkipped, zap.Stringer("shard", o.cfg.Shard), zap.Error(err))
+		o.Log.Warn("unreadable fence row is replaced", events.RowSkipped, zap.Stringer("shard", o.cfg.Shard), zap.Error(err))
 		return 0
 	}
 	return rec.Epoch
 }
 
-// fenceChangedEvidence is why an ownership ends whose fence has changed.
+// fenceChangedEvidence is the evidence with which an ownership ends when the fence has changed.
 const fenceChangedEvidence = "another owner writes progress"
 
-// fenceLost reports whether rows as they stand, which a write was answered with whose
-// conditions did not hold, show that another owner has written the fence.
+// fenceLost reports whether the current rows, returned by a write whose conditions did not
+// hold, show that another owner has written the fence.
 func (o *Owner) fenceLost(current []tables.Row) bool {
 	return slices.ContainsFunc(current, func(r tables.Row) bool { return r.Key == fenceKey && r.Version != o.fenceVersion })
 }
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -17,17 +17,19 @@
 )
 
 const (
-	// gangPollInterval is how often the other shards' owners are asked about a gang that they run
-	// with this one: room that has come free in all of them is taken this much later.
+	// gangPollInterval is how often the owners of other shards are polled about a gang that
+	// spans shards. It delays the use of capacity that has become free in all of them.
 	gangPollInterval = 100 * time.Millisecond
-	// gangCallTimeout is how long the answer of one is waited for: an owner that has used up
-	// its processor quota stands still for 0.1 s.
+	// gangCallTimeout bounds one call to another owner, which stalls for 0.1 s when it has used
+	// up its CPU quota.
 	gangCallTimeout = 300 * time.Millisecond
-	// remoteJobPollInterval is how often the shard that speaks for a job is asked whether it has ended.
+	// remoteJobPollInterval is how often the shard that leads a job is asked whether the job
+	// has ended.
 	remoteJobPollInterval = time.Second
 )
 
-// gangLoop asks the other shards about the gangs that this owner leads, and lets them start.
+// gangLoop polls the other shards about the gangs that this owner leads and starts those that
+// are ready.
 func (o *Owner) gangLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, gangPollInterval)
@@ -43,7 +45,7 @@
 	return nil
 }
 
-// pollGang asks all other shards about one gang, and starts it if all are ready.
+// pollGang asks all other shards about one gang and starts it if all are ready.
 func (o *Owner) pollGang(ctx context.Context, r scheduler.GangPoll) {
 	answers := make([]*scheduler.GangState, len(r.Queries))
 	forEachPart(r.Queries, func(i int, p scheduler.ShardMessage[scheduler.GangQuery]) {
@@ -52,7 +54,7 @@
 		if state, err := o.Shards.QueryGang(c, p.Shard, p.Body); err == nil {
 			answers[i] = &state
 		} else if ctx.Err() == nil {
-			o.Log.Info("gang not answered for", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
+			o.Log.Info("gang query failed", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
 		}
 	})
 	var starts []scheduler.ShardMessage[scheduler.GangStart]
@@ -61,13 +63,13 @@
 		c, cancel := context.WithTimeout(ctx, gangCallTimeout)
 		defer cancel()
 		if err := o.Shards.StartGang(c, p.Shard, p.Body); err != nil && ctx.Err() == nil {
-			o.Log.Info("members of a gang not started", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
+			o.Log.Info("starting members of a gang failed", events.PeerLost, zap.String("job", r.Step.Job), zap.Stringer("shard", p.Shard), zap.Error(err))
 			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.GangNotStarted(now, r.Step, p.Body.Run) })
 		}
 	})
 }
 
-// forEachPart calls fn for all parts at once, and waits.
+// forEachPart calls fn for all parts concurrently and waits.
 func forEachPart[T any](parts []scheduler.ShardMessage[T], fn func(int, scheduler.ShardMessage[T])) {
 	var all sync.WaitGroup
 	for i, p := range parts {
@@ -76,7 +78,7 @@
 	all.Wait()
 }
 
-// HandleGangQuery answers another shard's owner.
+// HandleGangQuery answers another shard's owner about a gang.
 func (o *Owner) HandleGangQuery(ask scheduler.GangQuery) (state scheduler.GangState, ok bool) {
 	o.updateShard(func(s *scheduler.Shard, now time.Time) {
 		if o.loaded {
@@ -86,7 +88,7 @@
 	return state, ok
 }
 
-// HandleGangStart starts members of a gang for another shard's owner, or none.
+// HandleGangStart starts members of a gang for another shard's owner: all of them or none.
 func (o *Owner) HandleGangStart(start scheduler.GangStart) error {
 	ok := false
 	o.updateShard(func(s *scheduler.Shard, now time.Time) { ok = o.loaded && s.StartGangMembers(now, start) })
@@ -96,9 +98,9 @@
 	return nil
 }
 
-// remoteJobLoop ends jobs of which this shard runs members of gangs once they have ended. A
-// cancel comes by itself; that the gang has succeeded is known to the shard that speaks for
-// the job, also if this one's members were lost with their workers at that moment.
+// remoteJobLoop ends jobs of which this shard runs gang members for another shard, once they
+// have ended. Cancels also reach this shard, but only the shard that leads the job knows
+// whether a gang has succeeded: members here may have been lost with their workers just then.
 func (o *Owner) remoteJobLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, remoteJobPollInterval)
@@ -112,14 +114,14 @@
 	return nil
 }
 
-// endRemoteJob ends one such job if it has ended.
+// endRemoteJob ends such a job if it has ended in the shard that leads it.
 func (o *Owner) endRemoteJob(ctx context.Context, id string) {
 	c, cancel := context.WithTimeout(ctx, remoteJobPollInterval)
 	defer cancel()
 	state, found, err := o.Shards.JobState(c, o.cfg.Shard.Service, id)
 	switch {
 	case err != nil:
-		return // It is asked again.
+		return // The next round asks again.
 	case !found:
 		state = cluster.StateCancelled
 	case !state.Finished():
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// maxHoldWait is how long a worker may keep a hold open for an end: so old may
-	// the progress of its runs be.
+	// maxHoldWait is how long a worker may keep a hold open while it waits for a run to end.
+	// The progress known of its runs is at most this old.
 	maxHoldWait = 500 * time.Millisecond
-	// holdTimeoutSlack is how much longer an answer may take.
+	// holdTimeoutSlack is added to the wait to get the timeout of a hold.
 	holdTimeoutSlack = 300 * time.Millisecond
-	// minHoldPause is the least pause between two holds: ends that come together are
-	// reported together. A worker doesn't wait while it has ends that are not
-	// confirmed, so holdUnconfirmed keeps from asking until they are persisted.
+	// minHoldPause is the shortest pause between two holds, so that runs that end together are
+	// reported together. A worker answers at once while some of its ended runs are not
+	// confirmed, so the next hold waits up to maxUnconfirmedPause for them to be persisted.
 	minHoldPause        = 8 * time.Millisecond
 	maxUnconfirmedPause = 60 * time.Millisecond
-	// holdRetryDelay is the pause after a hold that failed.
+	// holdRetryDelay is the pause after a failed hold.
 	holdRetryDelay = 200 * time.Millisecond
 )
 
+// startHoldLoop starts the hold loop of a worker, unless it is running.
 func (o *Owner) startHoldLoop(ctx context.Context, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,7 +43,7 @@
 	})
 }
 
-// holdLoop keeps one worker's lease and takes its reports until its life is over.
+// holdLoop renews one worker's lease and takes its reports until the worker's life is over.
 func (o *Owner) holdLoop(ctx context.Context, id string) {
 	wait, failures := time.Duration(0), 0
 	for ctx.Err() == nil {
@@ -54,7 +55,7 @@
 		}
 		renewsLease := order.DeadlineMS != 0
 		if !renewsLease {
-			// What it runs has to be known first.
+			// The worker has not answered yet, or not of late: ask at once what it runs.
 			wait = 0
 		}
 		c, cancel := context.WithTimeout(ctx, wait+holdTimeoutSlack)
@@ -92,7 +93,7 @@
 	}
 }
 
-// pauseBetweenHolds waits between two holds, longer while ends are not persisted yet.
+// pauseBetweenHolds waits before the next hold, longer while ended runs are not persisted yet.
 func (o *Owner) pauseBetweenHolds(ctx context.Context, id string) {
 	tables.Sleep(ctx, minHoldPause)
 	for waited := minHoldPause; waited < maxUnconfirmedPause; waited += minHoldPause {
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// listRetryDelay is the pause before a list that failed is read again.
+	// listRetryDelay is the pause before a failed list is retried.
 	listRetryDelay = 100 * time.Millisecond
-	// minPartsWait is how long a load waits at least for parts of the jobs that don't
-	// answer: a fast store answers in 4 ms, and one lost answer costs 0.2 s.
+	// minPartsWait is the shortest time that a load waits for job parts that don't answer: a
+	// fast store answers in 4 ms, and one lost answer costs 0.2 s.
 	minPartsWait = 300 * time.Millisecond
-	// partsWaitFactor is how many times as long as the lists of progress took it waits:
-	// the lists of the jobs are read in two rounds, and a slow store takes 0.4 s for each.
+	// partsWaitFactor extends the wait to a multiple of the time that reading the progress
+	// took: a slow store takes 0.4 s for a list, and the job parts are read in two rounds.
 	partsWaitFactor = 3
 )
 
-// jobPartRows are the jobs' rows of one part.
+// jobPartRows are the rows of the jobs of one part.
 type jobPartRows struct {
 	part    string
 	rows    []tables.Row
 	version int64
 }
 
-// loadedRows are the rows of a shard as they were read.
+// loadedRows are the rows of a shard as load has read them.
 type loadedRows struct {
 	jobs []tables.Row
-	// progress is that of the jobs, by their IDs.
+	// progress maps job IDs to the rows of their progress.
 	progress   map[string]tables.Row
 	workerList tables.Row
-	// fallbackRows is progress that was written beside the rows of the jobs' own.
+	// fallbackRows hold progress that was written while its own part did not answer.
 	fallbackRows []tables.Row
-	// version is the oldest of the lists of jobs, from which their feed goes on.
+	// version is the oldest version of the lists of jobs; their feed continues from it.
 	version int64
 	// missingParts are the parts of the jobs that have not been read.
 	missingParts map[string]bool
 }
 
-// load takes the fence, and then reads the jobs, their progress and the roster of
-// workers: before the fence is taken, the last owner may still move jobs and persist
-// progress. Parts of the jobs that don't answer are left for later, once all else has
-// been read.
+// load takes the fence and then reads the jobs, their progress and the worker list. The fence
+// comes first, since until then the previous owner may still move jobs and persist progress.
+// Job parts that don't answer in time are loaded later, so that they don't hold up the
+// takeover.
 func (o *Owner) load(ctx context.Context) error {
 	if err := o.takeFence(ctx); err != nil {
 		return err
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// readJobParts reads the jobs of all parts, each until that succeeds. Each read has a turn, so
-// that few answers come at once; one that doesn't answer soon keeps no other from its turn,
-// since some parts may be away.
+// readJobParts reads the jobs of all parts and retries each until it succeeds. Read slots limit
+// how many answers arrive at once. A read that takes long gives up its slot, since a part of
+// the store may be unavailable and must not block the others.
 func (o *Owner) readJobParts(ctx context.Context) <-chan jobPartRows {
 	read := make(chan jobPartRows, NumJobParts)
 	o.group.Go(func() error {
@@ -105,11 +105,10 @@
 	return read
 }
 
-// maxReadSlotTime is how long a read keeps its turn at most: an answer takes 4 ms as a rule.
+// maxReadSlotTime is the longest time that a read keeps its slot; an answer usually takes 4 ms.
 const maxReadSlotTime = 50 * time.Millisecond
 
-// acquireReadSlot waits for a turn, which ends when the returned function is called or turnTime
-// is over.
+// acquireReadSlot waits for a slot, which is released by releaseSlot or after maxReadSlotTime.
 func acquireReadSlot(ctx context.Context, slots chan struct{}) (releaseSlot func()) {
 	select {
 	case slots <- struct{}{}:
@@ -125,8 +124,8 @@
 	}
 }
 
-// collectJobParts takes the parts as they are read, until all are or the time is over.
-// The feed needs the version of one.
+// collectJobParts receives the parts as they are read, until all are there or the deadline has
+// passed. It waits for at least one part, since the feed needs its version.
 func (o *Owner) collectJobParts(ctx context.Context, loaded *loadedRows, partsRead <-chan jobPartRows, deadline time.Time) error {
 	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
@@ -152,12 +151,12 @@
 	return nil
 }
 
-// progressRangeStarts are the keys from which a shard's progress is read, each to the next one:
-// together it is some hundred kilobytes, which owners on slow links have read by several
-// others.
+// progressRangeStarts are the keys at which the ranges begin in which a shard's progress is
+// read. It is some hundred kilobytes in all, and owners on slow links have several other nodes
+// read a range each.
 var progressRangeStarts = []string{"", "4", "8", "c"}
 
-// readProgress reads the progress of all jobs, also what is spilled of it, and the roster.
+// readProgress reads the progress of all jobs, including fallback rows, and the worker list.
 func (o *Owner) readProgress(ctx context.Context, loaded *loadedRows) error {
 	ranges := make([][]tables.Row, len(progressRangeStarts))
 	g, ctx := errgroup.WithContext(ctx)
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// listWithRetry reads rows, again and again until that succeeds.
+// listWithRetry reads rows, and retries until that succeeds or ctx ends.
 func (o *Owner) listWithRetry(ctx context.Context, req tables.ListRequest) ([]tables.Row, int64, error) {
 	for {
 		rows, version, err := tables.ListAll(ctx, o.Tables, req)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,9 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package owner runs a shard on the node that owns it: it loads what earlier
-// owners persisted, keeps the workers' leases, carries out what the scheduler
-// decides and persists progress in batches, always under the condition that
-// the shard is still owned.
+// Package owner runs a shard on the node that owns it: it loads what earlier owners persisted,
+// renews the workers' leases, executes the scheduler's decisions and persists progress in
+// batches, on condition that this node still owns the shard.
+//
+// A new owner first takes the fence, which shuts out writes of the previous owner, then reads
+// the shard's rows and passes them to the scheduler. After that, loops follow the feeds of jobs
+// and workers, keep one hold open per worker (a long poll that renews the lease and reports
+// ended runs), and write progress. While the store's part that holds the progress does not
+// answer, progress goes to fallback rows in another part.
 //
 // # Usage
 //
@@ -28,16 +33,16 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
 	// KindLost: another node owns the shard.
 	KindLost Kind = "lost"
-	// KindLoad: what is persisted could not be read.
+	// KindLoad: persisted state could not be read.
 	KindLoad Kind = "load"
-	// KindRefused: the order of another owner can't be carried out.
+	// KindRefused: a request of another shard's owner can't be carried out.
 	KindRefused Kind = "refused"
 )
 
@@ -54,19 +59,20 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Config is what one ownership works with.
+// Config configures the ownership of one shard.
 type Config struct {
 	Shard cluster.ShardID
-	// Layout tells which workers belong to the shard.
+	// Layout assigns workers to shards.
 	Layout cluster.Layout
-	// Row names this owner in the store.
+	// Row is the row in the store that names this owner.
 	Row tables.Row
-	// Fence is the shard's fence as it was read while Row was written; without a key it
-	// is not known. It saves a call of a takeover.
+	// Fence is the shard's fence as read while Row was written, which saves a takeover one
+	// call. Without a key, the fence is not known.
 	Fence tables.Row
-	// MaxParallelReads is how many parts of the jobs are read at once; 0: tables.MaxParallelLists.
+	// MaxParallelReads is how many parts of the jobs are read at once; 0 means
+	// tables.MaxParallelLists.
 	MaxParallelReads int
-	// MaxWriteBytes is how many bytes of progress one write should have at most; 0: any.
+	// MaxWriteBytes limits the progress in one write, approximately; 0 means no limit.
 	MaxWriteBytes int
 	Params        scheduler.Params
 }
@@ -78,17 +84,16 @@
 
 	mu    sync.Mutex
 	shard *scheduler.Shard
-	// holdLoops are the workers that have a loop of holds.
+	// holdLoops are the workers for which a holdLoop runs.
 	holdLoops map[string]bool
-	// refusedEntries are the entries of the directory that name no worker, by key: what was
-	// told of each.
+	// refusedEntries maps the key of each invalid directory entry to the reason last reported.
 	refusedEntries *lru.Cache[string, string]
 	loaded         bool
 	startedAt      time.Time
-	// feedVersion is the version from which the jobs' feed goes on after the load, and
-	// jobsVersion the one up to which all of the shard's jobs have been seen.
+	// feedVersion is the version from which the jobs' feed continues after the load, and
+	// jobsVersion the version up to which all of the shard's jobs have been seen.
 	feedVersion, jobsVersion int64
-	// fenceVersion is the version of the fence that this owner has written.
+	// fenceVersion is the version of the fence that this owner wrote.
 	fenceVersion int64
 
 	advice        *AdviceQueue
@@ -98,9 +103,9 @@
 	unreadParts   unreadParts
 	wakeScheduler chan struct{}
 	wakePersist   chan struct{}
-	// wakeMachineList asks for a listing of the machines before it is due.
+	// wakeMachineList requests a listing of the machines before the next one is due.
 	wakeMachineList chan struct{}
-	// cancelRun ends the ownership; lost is why, if that came before Run.
+	// cancelRun ends the ownership. lostErr is the reason, also if it was set before Run.
 	cancelRun context.CancelCauseFunc
 	lostErr   error
 	group     *errgroup.Group
@@ -118,10 +123,11 @@
 	}
 }
 
-// Age returns how long the shard has been owned here.
+// Age returns for how long this node has owned the shard.
 func (o *Owner) Age() time.Duration { return time.Since(o.startedAt) }
 
-// inShard reports whether a worker or machine of that service and rack belongs to the shard.
+// inShard reports whether a worker or machine of the given service and rack belongs to the
+// shard.
 func (o *Owner) inShard(service, rack string) bool {
 	return service == o.cfg.Shard.Service && o.cfg.Layout.ShardOf(rack) == o.cfg.Shard.Index
 }
@@ -168,7 +174,8 @@
 	return err
 }
 
-// EndOwnership ends the ownership: another node has taken it.
+// EndOwnership makes Run return a KindLost error because another node has taken the shard. The
+// evidence is the cause of the error.
 func (o *Owner) EndOwnership(evidence string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -178,7 +185,7 @@
 	}
 }
 
-// updateShard runs fn on the shard and wakes the scheduler.
+// updateShard calls fn with the shard locked and wakes the scheduler.
 func (o *Owner) updateShard(fn func(s *scheduler.Shard, now time.Time)) {
 	o.mu.Lock()
 	fn(o.shard, time.Now())
@@ -186,7 +193,7 @@
 	notify(o.wakeScheduler)
 }
 
-// adviceReceived hands the answer of the advice service to the scheduler.
+// adviceReceived passes an answer of the advice service to the scheduler.
 func (o *Owner) adviceReceived(call scheduler.RequestAdvice, a Advice) {
 	o.updateShard(func(s *scheduler.Shard, _ time.Time) {
 		s.AdviceReplied(a.IssuedAt, call.Step, call.Workers, a.Tickets, a.ValidFor, a.Err)
@@ -200,11 +207,10 @@
 	}
 }
 
-// AddJob takes a job that was persisted with that version. One that was accepted for a
-// later owner shows that there is one. One that is not known
-// here although all rows up to its version are was moved to another shard before
-// this owner came: its acceptance was told late. One of a part that has not been read
-// is read with it.
+// AddJob adds a job that was persisted with the given version. A job accepted for a later owner
+// proves that this ownership is over. A job up to jobsVersion that is not known here was moved
+// to another shard before this owner took over, and its acceptance was reported late: it is
+// ignored. So is a job in a part that has not been read yet, since it is loaded with its part.
 func (o *Owner) AddJob(job cluster.Job, version int64) {
 	if job.Epoch > o.Epoch() {
 		o.EndOwnership("a job was accepted for a later owner")
@@ -217,7 +223,7 @@
 	})
 }
 
-// CancelJob takes a cancel that has been persisted.
+// CancelJob applies a cancel that has been persisted.
 func (o *Owner) CancelJob(id string) {
 	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.CancelJob(now, id) })
 }
@@ -229,23 +235,23 @@
 	return o.shard.Job(id)
 }
 
-// WaitingJobs returns how many jobs of a queue have not begun; ok is false while
-// the shard is being loaded.
+// WaitingJobs returns how many jobs of a queue have not begun; ok is false while the shard is
+// being loaded.
 func (o *Owner) WaitingJobs(queue string) (n int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Waiting(queue), o.loaded
 }
 
-// Load returns how much of the shard's room its work takes and waits for: 1 means
-// that it is full, with nothing waiting.
+// Load returns the demand of the running and waiting work relative to the shard's capacity. 1
+// means that the shard is full and nothing waits.
 func (o *Owner) Load() float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.Load()
 }
 
-// knownWorkers returns the workers that are known at the moment.
+// knownWorkers returns the IDs of the workers that are known now.
 func (o *Owner) knownWorkers() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -259,7 +265,8 @@
 	return o.shard.Counts()
 }
 
-// WorkersSetAside returns how many workers of the shard are set aside.
+// WorkersSetAside returns how many workers of the shard are set aside because their tasks fail
+// or stall.
 func (o *Owner) WorkersSetAside() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
