--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -153,7 +153,7 @@
 }
 
 // Tagged is a connection of a Transport, on which its user may keep a number.
-type Tagged interface{ Mark() *atomic.Int64 }
+type Tagged interface{ Tag() *atomic.Int64 }
 
 // Tag returns the number that is kept on the connection, 0 at first.
 func (k *conn) Tag() *atomic.Int64 { return &k.mark }
