--- a/internal/cell/callers.go
+++ b/internal/cell/callers.go
@@ -31,20 +31,20 @@
 	AnswerNoJob Answer = "no_job"
 )
 
-// tellTries is how often a shard's owner is told something. A call that fails because its
+// notifyAttempts is how often a shard's owner is told something. A call that fails because its
 // connection passes nothing any more has the silent ones beside it closed, so that the next
 // call gets a new one. Otherwise the owner would have to wait for its feed of the store,
 // which may have gone silent in the same moment and is given up after 2 s.
-const tellTries = 2
+const notifyAttempts = 2
 
-// toOwner tells a shard's owner something that it also finds in the store.
-func (n *Node) toOwner(shard cluster.ShardID, here func(*owner.Owner), there func(context.Context, member) error) {
+// notifyOwner tells a shard's owner something that it also finds in the store.
+func (n *Node) notifyOwner(shard cluster.ShardID, here func(*owner.Owner), there func(context.Context, member) error) {
 	if o := n.local(shard); o != nil {
 		here(o)
 		return
 	}
 	go func() {
-		for range tellTries {
+		for range notifyAttempts {
 			rec, _ := n.owner(shard)
 			if rec.Owner.Name == "" {
 				return
@@ -58,9 +58,9 @@
 	}()
 }
 
-// askOwner makes a call of a shard's owner, here or on another node, whose answer there has
+// callOwner makes a call of a shard's owner, here or on another node, whose answer there has
 // to begin to arrive within a time.
-func askOwner[Req, Resp any](ctx context.Context, n *Node, shard cluster.ShardID, path string, req Req, within time.Duration,
+func callOwner[Req, Resp any](ctx context.Context, n *Node, shard cluster.ShardID, path string, req Req, within time.Duration,
 	here func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
 	if n.local(shard) != nil {
@@ -77,7 +77,7 @@
 // State returns a job's state, from its owner or else from the store.
 func (n *Node) State(ctx context.Context, service, id string) (cluster.State, Answer) {
 	for _, shard := range n.likelyShards(service, id) {
-		if state, ok := n.ownersState(ctx, shard, id); ok {
+		if state, ok := n.stateFromOwner(ctx, shard, id); ok {
 			return state, AnswerOK
 		}
 	}
@@ -89,7 +89,7 @@
 		return "", answer
 	}
 	shard := shards[0]
-	if state, ok := n.ownersState(ctx, shard, id); ok {
+	if state, ok := n.stateFromOwner(ctx, shard, id); ok {
 		return state, AnswerOK
 	}
 	state, found, err := owner.StoredJobState(ctx, n.store, shard, id)
@@ -102,8 +102,8 @@
 	return state, AnswerOK
 }
 
-// ownersState asks a shard's owner for a job's state; false: it doesn't tell.
-func (n *Node) ownersState(ctx context.Context, shard cluster.ShardID, id string) (cluster.State, bool) {
+// stateFromOwner asks a shard's owner for a job's state; false: it doesn't tell.
+func (n *Node) stateFromOwner(ctx context.Context, shard cluster.ShardID, id string) (cluster.State, bool) {
 	if o := n.local(shard); o != nil {
 		return o.JobState(id)
 	}
@@ -111,7 +111,7 @@
 	if rec.Owner.Name == "" || n.peers.isDown(rec.Owner.Name) {
 		return "", false
 	}
-	reply, err := call[jobQuery, stateReply](ctx, n.peers, rec.Owner.Address, pathState, jobQuery{shard, id}, askPeer)
+	reply, err := call[jobQuery, stateReply](ctx, n.peers, rec.Owner.Address, pathState, jobQuery{shard, id}, peerTimeout)
 	return reply.State, err == nil && reply.Known
 }
 
@@ -125,11 +125,11 @@
 		return AnswerOK
 	}
 	for n.timeLeft(ctx) {
-		if shards, ok := n.tryCancel(ctx, service, id); ok {
+		if shards, ok := n.cancelOnce(ctx, service, id); ok {
 			n.Log.Info("cancel accepted", events.CancelAccepted, zap.String("job", id), zap.String("state", string(state)), zap.Stringers("shards", shards))
 			for _, shard := range shards {
-				n.toOwner(shard, func(o *owner.Owner) { o.CancelJob(id) }, func(ctx context.Context, m member) error {
-					_, err := call[jobQuery, done](ctx, n.peers, m.Address, pathCancel, jobQuery{shard, id}, askPeer)
+				n.notifyOwner(shard, func(o *owner.Owner) { o.CancelJob(id) }, func(ctx context.Context, m member) error {
+					_, err := call[jobQuery, empty](ctx, n.peers, m.Address, pathCancel, jobQuery{shard, id}, peerTimeout)
 					return err
 				})
 			}
@@ -140,8 +140,8 @@
 	return AnswerUnknown
 }
 
-// tryCancel looks a job's shards up and writes its cancel there once.
-func (n *Node) tryCancel(ctx context.Context, service, id string) ([]cluster.ShardID, bool) {
+// cancelOnce looks a job's shards up and writes its cancel there once.
+func (n *Node) cancelOnce(ctx context.Context, service, id string) ([]cluster.ShardID, bool) {
 	c, cancel := tryContext(ctx)
 	defer cancel()
 	shards, pin, answer := n.lookUpPin(c, service, id)
--- a/internal/cell/claim.go
+++ b/internal/cell/claim.go
@@ -13,23 +13,23 @@
 const (
 	// rankDelay keeps the successors from trying all at once.
 	rankDelay = 120 * time.Millisecond
-	// rankStep is how often a waiting successor looks at its rank: it rises when one
+	// rankPollInterval is how often a waiting successor looks at its rank: it rises when one
 	// before it takes another shard, or when the node itself loses one that it wanted.
-	rankStep = rankDelay / 4
+	rankPollInterval = rankDelay / 4
 )
 
 // claim waits until it is this node's turn to take a shard; false: another node was
 // first. A shard that this node is taking already counts, so that of several shards
 // without an owner it takes one and leaves the others to nodes with more room.
 func (n *Node) claim(ctx context.Context, shard cluster.ShardID, version int64) bool {
-	for waited := time.Duration(0); ; waited += rankStep {
+	for waited := time.Duration(0); ; waited += rankPollInterval {
 		if _, current := n.owner(shard); current != version || n.Draining() || ctx.Err() != nil {
 			return false
 		}
 		if n.tryClaim(shard, waited) {
 			return true
 		}
-		tables.Sleep(ctx, rankStep)
+		tables.Sleep(ctx, rankPollInterval)
 	}
 }
 
@@ -46,8 +46,8 @@
 	return true
 }
 
-// unclaim ends a claim, whether the shard was taken or not.
-func (n *Node) unclaim(shard cluster.ShardID) {
+// releaseClaim ends a claim, whether the shard was taken or not.
+func (n *Node) releaseClaim(shard cluster.ShardID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.claimed, shard)
--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -20,21 +20,21 @@
 	fromList = "list"
 )
 
-// fetchBegin is by when a peer's configuration has to begin to arrive. To encode and pack
+// configFetchTimeout is by when a peer's configuration has to begin to arrive. To encode and pack
 // one of 4,246 routes takes 5.5 ms of a whole core, 30 ms on a fifth of one; a node that has
 // used up its quota stands still for 0.1 s, and several may fetch from it at once.
-const fetchBegin = 600 * time.Millisecond
+const configFetchTimeout = 600 * time.Millisecond
 
 // followConfig keeps the operators' configuration current.
 func (n *Node) followConfig(ctx context.Context) {
 	f := tables.Follower{
-		Service: ownStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: followSilence,
+		Service: ownStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: configFeedWait,
 		Apply: func(rows []tables.Row, whole bool) {
 			for _, r := range rows {
 				n.applyConfigRow(r, whole)
 			}
 		},
-		OnError: n.storeFailed(n.Configs.Table()),
+		OnError: n.logReadFailure(n.Configs.Table()),
 	}
 	f.Run(ctx)
 }
@@ -69,7 +69,7 @@
 		if old != nil && old.Version >= cfg.Version {
 			return
 		}
-		behind = n.behind.duration(versionOf(old))
+		behind = n.configLag.duration(versionOf(old))
 		if n.config.CompareAndSwap(old, &cfg) {
 			break
 		}
@@ -80,15 +80,15 @@
 	n.watchServices(cfg.Services)
 }
 
-// configSeen fetches a newer configuration that a peer has, unless one is being
+// fetchNewerConfig fetches a newer configuration that a peer has, unless one is being
 // fetched: side by side, and begun anew with each sign of life, fetches filled the
 // link of a slow node and none ended.
-func (n *Node) configSeen(reply pingReply) {
+func (n *Node) fetchNewerConfig(reply pingReply) {
 	inForce := versionOf(n.Config())
 	if reply.ConfigVersion <= inForce {
 		return
 	}
-	n.behind.heardOf(reply.ConfigVersion, inForce)
+	n.configLag.note(reply.ConfigVersion, inForce)
 	if !n.fetching.CompareAndSwap(false, true) {
 		return
 	}
@@ -100,7 +100,7 @@
 
 // fetchConfig fetches a peer's configuration.
 func (n *Node) fetchConfig(ctx context.Context, from member) {
-	cfg, err := call[done, cluster.Config](ctx, n.peers, from.Address, pathConfig, done{}, fetchBegin)
+	cfg, err := call[empty, cluster.Config](ctx, n.peers, from.Address, pathConfig, empty{}, configFetchTimeout)
 	if err != nil {
 		n.countFetch("failed")
 		if ctx.Err() == nil {
@@ -125,8 +125,8 @@
 	return cfg.Version
 }
 
-// behind notes since when a node has known that its configuration is not the newest.
-type behind struct {
+// configLag notes since when a node has known that its configuration is not the newest.
+type configLag struct {
 	mu sync.Mutex
 	// newest is the newest version that a peer has told of, and since is when the node
 	// heard of a version above the one in force, which it had not been behind before.
@@ -134,8 +134,8 @@
 	since  time.Time
 }
 
-// heardOf notes that a peer has a version above the one in force here.
-func (b *behind) heardOf(version, inForce int64) {
+// note notes that a peer has a version above the one in force here.
+func (b *configLag) note(version, inForce int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.newest <= inForce {
@@ -146,7 +146,7 @@
 
 // duration returns for how long the node has known of a version above the one in force,
 // or 0.
-func (b *behind) duration(inForce int64) time.Duration {
+func (b *configLag) duration(inForce int64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.newest <= inForce {
--- a/internal/cell/gang.go
+++ b/internal/cell/gang.go
@@ -31,18 +31,18 @@
 // QueryGang asks a shard's owner how a gang stands there.
 func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error) {
 	msg := gangMessage[scheduler.GangQuery]{shard, ask}
-	return askOwner(ctx, n.Node, shard, pathGang, msg, askPeer, n.gangAsked)
+	return callOwner(ctx, n.Node, shard, pathGang, msg, peerTimeout, n.handleGangState)
 }
 
 // StartGang lets a shard's owner start members of a gang.
 func (n otherShards) StartGang(ctx context.Context, shard cluster.ShardID, start scheduler.GangStart) error {
 	msg := gangMessage[scheduler.GangStart]{shard, start}
-	_, err := askOwner(ctx, n.Node, shard, pathMembers, msg, askPeer, n.membersOrdered)
+	_, err := callOwner(ctx, n.Node, shard, pathMembers, msg, peerTimeout, n.handleGangStart)
 	return err
 }
 
-// gangAsked answers for a gang that a shard owned here runs with others.
-func (n *Node) gangAsked(_ context.Context, msg gangMessage[scheduler.GangQuery]) (scheduler.GangState, error) {
+// handleGangState answers for a gang that a shard owned here runs with others.
+func (n *Node) handleGangState(_ context.Context, msg gangMessage[scheduler.GangQuery]) (scheduler.GangState, error) {
 	o := n.local(msg.Shard)
 	if o == nil {
 		return scheduler.GangState{}, errNotOwner()
@@ -54,14 +54,14 @@
 	return state, nil
 }
 
-// membersOrdered starts members of a gang on a shard owned here.
-func (n *Node) membersOrdered(_ context.Context, msg gangMessage[scheduler.GangStart]) (done, error) {
+// handleGangStart starts members of a gang on a shard owned here.
+func (n *Node) handleGangStart(_ context.Context, msg gangMessage[scheduler.GangStart]) (empty, error) {
 	o := n.local(msg.Shard)
 	if o == nil {
-		return done{}, errNotOwner()
+		return empty{}, errNotOwner()
 	}
 	if err := o.HandleGangStart(msg.What); err != nil {
-		return done{}, httpx.NewProblem(http.StatusConflict, "not_started", err.Error())
+		return empty{}, httpx.NewProblem(http.StatusConflict, "not_started", err.Error())
 	}
-	return done{}, nil
+	return empty{}, nil
 }
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -16,29 +16,29 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// handOver asks other nodes to take what this one owns, before it stops.
-func (n *Node) handOver() {
+// handOverAll asks other nodes to take what this one owns, before it stops.
+func (n *Node) handOverAll() {
 	n.mu.Lock()
 	owned := maps.Clone(n.owned)
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(n.ctx, handOverMost)
+	ctx, cancel := context.WithTimeout(n.ctx, handOverTotalTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for shard, o := range owned {
 		wg.Go(func() {
-			if !n.handOverOne(ctx, shard, o) {
-				n.release(ctx, shard)
+			if !n.handOverShard(ctx, shard, o) {
+				n.releaseShard(ctx, shard)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// handOverMost bounds all hand-overs together: the grace period is for callers too.
-const handOverMost = 2 * time.Second
+// handOverTotalTimeout bounds all hand-overs together: the grace period is for callers too.
+const handOverTotalTimeout = 2 * time.Second
 
-// handOverOne hands a shard to the first successor that takes it, and reports whether one did.
-func (n *Node) handOverOne(ctx context.Context, shard cluster.ShardID, o *owner.Owner) bool {
+// handOverShard hands a shard to the first successor that takes it, and reports whether one did.
+func (n *Node) handOverShard(ctx context.Context, shard cluster.ShardID, o *owner.Owner) bool {
 	for _, c := range successors(shard, n.peers.candidates()) {
 		if n.handOverTo(ctx, shard, o, c.member) {
 			return true
@@ -50,7 +50,7 @@
 // handOverTo asks one node to take a shard, which goes on here until it has.
 func (n *Node) handOverTo(ctx context.Context, shard cluster.ShardID, o *owner.Owner, to member) bool {
 	_, version := n.owner(shard)
-	_, err := call[takeRequest, done](ctx, n.peers, to.Address, pathTake, takeRequest{shard, version}, handOverTimeout)
+	_, err := call[takeRequest, empty](ctx, n.peers, to.Address, pathTake, takeRequest{shard, version}, handOverCallTimeout)
 	if err != nil {
 		n.Log.Warn("shard not handed over", events.PeerLost, zap.Stringer("shard", shard), zap.String("to", to.Name), zap.Error(err))
 		return false
@@ -61,34 +61,34 @@
 }
 
 const (
-	// roomierBy is how many times the processor that this node has for a shard
+	// minRoomRatio is how many times the processor that this node has for a shard
 	// another one must have for the shard to move there: a move costs a takeover.
-	roomierBy = 2.0
-	// settledAfter is how long a shard stays where it was taken: nodes that start
+	minRoomRatio = 2.0
+	// minOwnershipAge is how long a shard stays where it was taken: nodes that start
 	// together don't know each other at first.
-	settledAfter = 3 * time.Second
+	minOwnershipAge = 3 * time.Second
 )
 
-// moveToRoomier hands a shard over to a node with much more processor for it, such
+// moveToLargerNode hands a shard over to a node with much more processor for it, such
 // as a large one that comes back after its loss.
-func (n *Node) moveToRoomier(ctx context.Context, shard cluster.ShardID, o *owner.Owner) {
-	if o.Age() < settledAfter || n.store.failing() || !n.relay.DirectAvailable() {
+func (n *Node) moveToLargerNode(ctx context.Context, shard cluster.ShardID, o *owner.Owner) {
+	if o.Age() < minOwnershipAge || n.store.failing() || !n.relay.DirectAvailable() {
 		return
 	}
 	here := n.asCandidate()
 	here.owns--
 	best, ok := n.peers.first(here, shard.String())
-	if ok && best.room() >= roomierBy*here.room() {
+	if ok && best.room() >= minRoomRatio*here.room() {
 		n.handOverTo(ctx, shard, o, best.member)
 	}
 }
 
-// handOverTimeout bounds one hand-over, which is one write of the store: it takes 0.8 to
+// handOverCallTimeout bounds one hand-over, which is one write of the store: it takes 0.8 to
 // 1.0 s while the store is 60 to 100 times slower.
-const handOverTimeout = 1500 * time.Millisecond
+const handOverCallTimeout = 1500 * time.Millisecond
 
-// release leaves the shard without an owner, for whichever node comes first.
-func (n *Node) release(ctx context.Context, shard cluster.ShardID) {
+// releaseShard leaves the shard without an owner, for whichever node comes first.
+func (n *Node) releaseShard(ctx context.Context, shard cluster.ShardID) {
 	rec, version := n.owner(shard)
 	seen, row := replacing(shard, version, ownerRecord{Epoch: rec.Epoch})
 	if _, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}}); err != nil {
--- a/internal/cell/helpers.go
+++ b/internal/cell/helpers.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// milliPerWorker is what the calls of one busy worker use of a node's processor, in
+	// cpuMilliPerWorker is what the calls of one busy worker use of a node's processor, in
 	// thousandths of a core: four calls a second of 0.4 ms each.
-	milliPerWorker = 1.6
-	// callsShare is how much of its processor a node spends at most on the calls of
+	cpuMilliPerWorker = 1.6
+	// maxCallCPUShare is how much of its processor a node spends at most on the calls of
 	// workers: what is left has to bear bursts and takeovers.
-	callsShare = 0.25
-	// helpersLeast and helpersMost bound how many nodes help an owner: the loss of one
+	maxCallCPUShare = 0.25
+	// minHelpers and helpersMost bound how many nodes help an owner: the loss of one
 	// should concern few workers, and each costs the owner a connection and its messages.
-	helpersLeast = 4
-	helpersMost  = 32
+	minHelpers = 4
+	maxHelpers = 32
 )
 
 // newFanout returns the calls of workers for the owner of a shard.
@@ -25,27 +25,27 @@
 	return fanout.New(fanout.Config{
 		Direct: n.Workers, Client: n.peers.client, Log: n.Log, Workers: layout.Workers / max(1, layout.Shards),
 		Helpers:   func(workers int) ([]fanout.Helper, bool) { return n.helpers(shard, workers) },
-		OnFailure: n.helperFailed,
+		OnFailure: n.probeFailedHelper,
 	})
 }
 
-// helperFailed finds out whether a node that has failed as a helper is down, so that it
+// probeFailedHelper finds out whether a node that has failed as a helper is down, so that it
 // isn't chosen again.
-func (n *Node) helperFailed(name string) {
+func (n *Node) probeFailedHelper(name string) {
 	if q, ok := n.peers.get(name); ok {
-		n.peers.ask(n.ctx, q.member)
+		n.peers.pingShared(n.ctx, q.member)
 	}
 }
 
 // helpers returns the nodes that should make the calls of so many workers for the owner
 // of a shard: the next successors that own nothing, unless this one can make them itself.
 func (n *Node) helpers(shard cluster.ShardID, workers int) (list []fanout.Helper, needed bool) {
-	need := float64(workers) * milliPerWorker / callsShare
+	need := float64(workers) * cpuMilliPerWorker / maxCallCPUShare
 	if need <= float64(n.me.CPUMilli) {
 		return nil, false
 	}
 	for _, c := range successors(shard, n.peers.candidates()) {
-		if (need <= 0 && len(list) >= helpersLeast) || len(list) == helpersMost {
+		if (need <= 0 && len(list) >= minHelpers) || len(list) == maxHelpers {
 			break
 		}
 		if c.owns == 0 {
--- a/internal/cell/layout.go
+++ b/internal/cell/layout.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// layoutLook is the pause between two looks for a service's layout, which is in
+	// layoutPollInterval is the pause between two looks for a service's layout, which is in
 	// the store after the first start. layoutMake is how long a node waits for it
 	// before it makes one, and machinesWithin is by when a listing of the machines has
 	// to begin to arrive.
-	layoutLook     = 10 * time.Millisecond
-	layoutMake     = 100 * time.Millisecond
-	machinesWithin = 700 * time.Millisecond
+	layoutPollInterval = 10 * time.Millisecond
+	layoutCreateDelay  = 100 * time.Millisecond
+	machinesTimeout    = 700 * time.Millisecond
 )
 
 // layout returns how a service is divided into shards; ok is false while that is not known.
@@ -35,8 +35,8 @@
 	return l, ok
 }
 
-// layoutSeen notes a service's layout. The first one stays: it is written once.
-func (n *Node) layoutSeen(r tables.Row) {
+// applyLayout notes a service's layout. The first one stays: it is written once.
+func (n *Node) applyLayout(r tables.Row) {
 	var l cluster.Layout
 	if err := json.Unmarshal(r.Value, &l); err != nil || l.Shards < 1 || l.Shards > cluster.MaxShards || layoutPrefix+l.Service != r.Key {
 		n.Log.Warn("layout row skipped", events.RowSkipped, zap.String("key", r.Key), zap.Error(err))
@@ -62,19 +62,19 @@
 		}
 		// The first successor of shard 0 makes it; the others only if that takes long.
 		rank := n.rank(cluster.ShardID{Service: service})
-		if time.Since(since) >= layoutMake+time.Duration(rank)*rankDelay {
-			n.makeLayout(ctx, service)
+		if time.Since(since) >= layoutCreateDelay+time.Duration(rank)*rankDelay {
+			n.createLayout(ctx, service)
 			since = time.Now()
 		}
-		tables.Sleep(ctx, layoutLook)
+		tables.Sleep(ctx, layoutPollInterval)
 	}
 	return cluster.Layout{}, false
 }
 
-// makeLayout plans a service's layout from the machines that the platform lists,
+// createLayout plans a service's layout from the machines that the platform lists,
 // and writes it unless another node has.
-func (n *Node) makeLayout(ctx context.Context, service string) {
-	c, cancel := conns.WithStallTimeout(ctx, machinesWithin)
+func (n *Node) createLayout(ctx context.Context, service string) {
+	c, cancel := conns.WithStallTimeout(ctx, machinesTimeout)
 	machines, err := n.Machines.Machines(c)
 	cancel()
 	if err != nil && n.cfg.Machines != "" {
@@ -94,20 +94,20 @@
 	case err != nil:
 		n.Log.Warn("layout not written", events.StoreFailed, zap.String("service", service), zap.Error(err))
 	case res.Committed:
-		n.layoutSeen(row)
+		n.applyLayout(row)
 	default:
 		for _, r := range res.Current {
-			n.layoutSeen(r)
+			n.applyLayout(r)
 		}
 	}
 }
 
 const (
-	// ownedShare is the part of its processor that the owner of a shard should use at its
+	// ownerCPUShare is the part of its processor that the owner of a shard should use at its
 	// usual load: bursts take twice that.
-	ownedShare = 0.6
-	// shardLeast is the least size of a shard: few workers hold no wide job.
-	shardLeast = 24
+	ownerCPUShare = 0.6
+	// minShardWorkers is the least size of a shard: few workers hold no wide job.
+	minShardWorkers = 24
 )
 
 // workersPerShard returns how many workers a shard should have at most: as many as half of
@@ -121,5 +121,5 @@
 	hosts := append(n.peers.processors(), n.me.CPUMilli)
 	slices.Sort(hosts)
 	typical := float64(hosts[(len(hosts)-1)/2])
-	return min(max(shardLeast, int(typical*ownedShare/settings.MilliOwned)), settings.MostWorkersPerShard)
+	return min(max(minShardWorkers, int(typical*ownerCPUShare/settings.MilliOwned)), settings.MostWorkersPerShard)
 }
--- a/internal/cell/loads.go
+++ b/internal/cell/loads.go
@@ -14,31 +14,31 @@
 // 2,450 calls a second on 147 nodes with ten shards, for 56 jobs a second.
 
 const (
-	// loadFresh is for how long a load that an owner has told is good enough to choose
+	// loadFreshFor is for how long a load that an owner has told is good enough to choose
 	// by: a shard fills up or empties within some seconds.
-	loadFresh = 300 * time.Millisecond
-	// loadWithin is how long a job waits for the answer. An owner that doesn't tell in
+	loadFreshFor = 300 * time.Millisecond
+	// loadTimeout is how long a job waits for the answer. An owner that doesn't tell in
 	// that time is busy: one that has used up its processor quota stands still for 0.1 s.
-	loadWithin = 60 * time.Millisecond
-	// loadStale is how old a load may be that is used all the same.
-	loadStale = 2 * time.Second
-	// loadWithoutOwner is assumed of a shard whose owner doesn't answer: it may be
+	loadTimeout = 60 * time.Millisecond
+	// loadMaxAge is how old a load may be that is used all the same.
+	loadMaxAge = 2 * time.Second
+	// assumedLoad is assumed of a shard whose owner doesn't answer: it may be
 	// without one for a second.
-	loadWithoutOwner = 2.0
+	assumedLoad = 2.0
 )
 
-// askLoads asks the owners of shards for their loads, but for those that are known well
+// refreshLoads asks the owners of shards for their loads, but for those that are known well
 // enough, and waits a little for the answers.
-func (n *Node) askLoads(ctx context.Context, shards []cluster.ShardID) {
-	ctx, cancel := context.WithTimeout(ctx, loadWithin)
+func (n *Node) refreshLoads(ctx context.Context, shards []cluster.ShardID) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	var asked []<-chan struct{}
 	for _, shard := range shards {
 		rec, _ := n.owner(shard)
-		if n.local(shard) != nil || rec.Owner.Name == "" || n.peers.heardWithin(rec.Owner, loadFresh) {
+		if n.local(shard) != nil || rec.Owner.Name == "" || n.peers.answeredWithin(rec.Owner, loadFreshFor) {
 			continue
 		}
-		asked = append(asked, n.peers.ask(n.ctx, rec.Owner))
+		asked = append(asked, n.peers.pingShared(n.ctx, rec.Owner))
 	}
 	for _, answered := range asked {
 		select {
@@ -49,27 +49,27 @@
 	}
 }
 
-// heardWithin reports whether that life of a node answered so lately.
-func (p *peers) heardWithin(m member, d time.Duration) bool {
+// answeredWithin reports whether that life of a node answered so lately.
+func (p *peers) answeredWithin(m member, d time.Duration) bool {
 	q, ok := p.get(m.Name)
-	return ok && q.Life == m.Life && time.Since(q.lastOK) < d
+	return ok && q.Incarnation == m.Incarnation && time.Since(q.lastOK) < d
 }
 
-// ask pings a node, once for all that ask at the same time; the channel is closed when
+// pingShared pings a node, once for all that pingShared at the same time; the channel is closed when
 // it has answered or failed to.
-func (p *peers) ask(ctx context.Context, m member) <-chan struct{} {
+func (p *peers) pingShared(ctx context.Context, m member) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if open := p.asking[m.Life]; open != nil {
+	if open := p.pinging[m.Incarnation]; open != nil {
 		return open
 	}
 	answered := make(chan struct{})
-	p.asking[m.Life] = answered
+	p.pinging[m.Incarnation] = answered
 	go func() {
 		// ping notes and logs what comes of it.
 		_, _ = p.ping(ctx, m)
 		p.mu.Lock()
-		delete(p.asking, m.Life)
+		delete(p.pinging, m.Incarnation)
 		p.mu.Unlock()
 		close(answered)
 	}()
@@ -85,5 +85,5 @@
 	if load, ok := n.peers.load(rec.Owner.Name, shard); ok {
 		return load
 	}
-	return loadWithoutOwner
+	return assumedLoad
 }
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -33,9 +33,9 @@
 type member struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Life is drawn at each start, so that a restart shows.
-	Life       string `json:"life"`
-	DataCentre string `json:"data_centre"`
+	// Incarnation is drawn at each start, so that a restart shows.
+	Incarnation string `json:"life"`
+	DataCentre  string `json:"data_centre"`
 	// CPUMilli is the processor that the node may use, in thousandths of a core.
 	CPUMilli int64 `json:"cpu_milli,omitempty"`
 }
@@ -125,8 +125,8 @@
 	Version int64 `json:"version"`
 }
 
-// done is the empty reply.
-type done struct{}
+// empty is the empty reply.
+type empty struct{}
 
 // storeReply carries a reply of the table service, or why there is none.
 type storeReply[T any] struct {
@@ -135,6 +135,6 @@
 	Detail string      `json:"detail,omitempty"`
 }
 
-// askPeer bounds a call whose answer needs no further call: nodes are a
+// peerTimeout bounds a call whose answer needs no further call: nodes are a
 // millisecond apart, and a busy one answers within a few tens of them.
-const askPeer = 300 * time.Millisecond
+const peerTimeout = 300 * time.Millisecond
--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -13,7 +13,7 @@
 
 // registerMetrics sets up the gauges; docs/metrics.md lists all metrics.
 func (n *Node) registerMetrics() {
-	total := func(name string, of func(scheduler.Counts) int64) {
+	gauge := func(name string, of func(scheduler.Counts) int64) {
 		n.metrics.NewGauge(name, func() float64 { return float64(of(n.counts())) })
 	}
 	n.metrics.NewGauge("switchbank_shards_run", func() float64 {
@@ -26,17 +26,17 @@
 		return n.store.silent().Seconds()
 	})
 	n.metrics.NewGauge("switchbank_config_version", func() float64 { return float64(versionOf(n.Config())) })
-	n.metrics.NewGauge("switchbank_config_behind_seconds", func() float64 { return n.behind.duration(versionOf(n.Config())).Seconds() })
-	total("switchbank_runs_started", func(c scheduler.Counts) int64 { return c.Starts })
-	total("switchbank_runs_done", func(c scheduler.Counts) int64 { return c.Done })
-	total("switchbank_runs_failed", func(c scheduler.Counts) int64 { return c.Failed })
-	total("switchbank_runs_lost", func(c scheduler.Counts) int64 { return c.Lost })
-	total("switchbank_runs_stopped", func(c scheduler.Counts) int64 { return c.Stops })
-	total("switchbank_runs_preempted", func(c scheduler.Counts) int64 { return c.Preempted })
-	total("switchbank_runs_copied", func(c scheduler.Counts) int64 { return c.Copies })
-	total("switchbank_advice_calls", func(c scheduler.Counts) int64 { return c.AdviceCalls })
-	n.metrics.NewGauge("switchbank_workers_aside", n.workersAside)
-	total("switchbank_workers_set_aside", func(c scheduler.Counts) int64 { return c.SetAside })
+	n.metrics.NewGauge("switchbank_config_behind_seconds", func() float64 { return n.configLag.duration(versionOf(n.Config())).Seconds() })
+	gauge("switchbank_runs_started", func(c scheduler.Counts) int64 { return c.Starts })
+	gauge("switchbank_runs_done", func(c scheduler.Counts) int64 { return c.Done })
+	gauge("switchbank_runs_failed", func(c scheduler.Counts) int64 { return c.Failed })
+	gauge("switchbank_runs_lost", func(c scheduler.Counts) int64 { return c.Lost })
+	gauge("switchbank_runs_stopped", func(c scheduler.Counts) int64 { return c.Stops })
+	gauge("switchbank_runs_preempted", func(c scheduler.Counts) int64 { return c.Preempted })
+	gauge("switchbank_runs_copied", func(c scheduler.Counts) int64 { return c.Copies })
+	gauge("switchbank_advice_calls", func(c scheduler.Counts) int64 { return c.AdviceCalls })
+	n.metrics.NewGauge("switchbank_workers_aside", n.quarantinedWorkers)
+	gauge("switchbank_workers_set_aside", func(c scheduler.Counts) int64 { return c.SetAside })
 }
 
 // counts sums the decisions of the shards that run here; they begin at 0 with each ownership.
@@ -59,8 +59,8 @@
 	return sum
 }
 
-// workersAside returns how many workers of the shards that run here are set aside.
-func (n *Node) workersAside() float64 {
+// quarantinedWorkers returns how many workers of the shards that run here are set aside.
+func (n *Node) quarantinedWorkers() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 0
@@ -76,19 +76,19 @@
 	n.metrics.GetOrCreateHistogram(`switchbank_call_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// countRefused counts an entry of the directory that names no worker.
-func (n *Node) countRefused(reason cluster.Kind) {
+// countRejectedEntry counts an entry of the directory that names no worker.
+func (n *Node) countRejectedEntry(reason cluster.Kind) {
 	n.metrics.GetOrCreateCounter(`switchbank_worker_entries_refused_total{reason="` + string(reason) + `"}`).Inc()
 }
 
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	n.noteUsage()
+	n.updateUsageMetrics()
 	n.metrics.WritePrometheus(w)
 }
 
-// noteUsage takes the node's calls of others into its metrics.
-func (n *Node) noteUsage() {
+// updateUsageMetrics takes the node's calls of others into its metrics.
+func (n *Node) updateUsageMetrics() {
 	set := func(name, path string, v int64) {
 		n.metrics.GetOrCreateCounter(name + `{path="` + path + `"}`).Set(uint64(v))
 	}
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -100,15 +100,15 @@
 type Node struct {
 	cfg settings.Settings
 	Deps
-	me      member
-	relay   *tables.Relay
-	store   *watchedStore
-	peers   *peers
-	helping *fanout.Server
-	listed  listing
-	metrics *metrics.Set
-	config  atomic.Pointer[cluster.Config]
-	behind  behind
+	me           member
+	relay        *tables.Relay
+	store        *watchedStore
+	peers        *peers
+	helperServer *fanout.Server
+	listed       listing
+	metrics      *metrics.Set
+	config       atomic.Pointer[cluster.Config]
+	configLag    configLag
 	// fetching is set while a configuration is being fetched from a peer.
 	fetching atomic.Bool
 	draining atomic.Bool
@@ -148,12 +148,12 @@
 	}
 	n := &Node{
 		cfg: cfg, Deps: deps, metrics: metrics.NewSet(),
-		me:    member{Name: cfg.Node, Address: cfg.Listen.PeersAt, Life: newLife(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
+		me:    member{Name: cfg.Node, Address: cfg.Listen.PeersAt, Incarnation: newLife(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
 		owned: make(map[cluster.ShardID]*owner.Owner), claimed: make(map[cluster.ShardID]bool),
 		taking: make(map[cluster.ShardID]bool), owners: make(map[cluster.ShardID]ownerSeen),
 		layouts: make(map[string]cluster.Layout), watched: make(map[string]bool), pins: newPins(),
 	}
-	n.helping = fanout.NewServer(deps.Workers, deps.Log)
+	n.helperServer = fanout.NewServer(deps.Workers, deps.Log)
 	n.peers = newPeers(n)
 	n.relay = tables.NewRelay(deps.Store, n.peers, tables.ListRequest{Table: TableCell, Limit: 1})
 	n.store = newWatchedStore(n.relay, deps.Log)
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	n.Log.Info("node started", events.NodeStarted, zap.String("node", n.me.Name), zap.String("life", n.me.Life),
+	n.Log.Info("node started", events.NodeStarted, zap.String("node", n.me.Name), zap.String("life", n.me.Incarnation),
 		zap.String("store", n.cfg.Store), zap.Strings("seeds", n.cfg.Seeds))
 	n.group.Go(func() error { n.followConfig(n.ctx); return nil })
 	n.group.Go(func() error { n.followCell(n.ctx); return nil })
@@ -216,8 +216,8 @@
 	began := time.Now()
 	n.draining.Store(true)
 	n.Log.Info("node is draining", events.NodeDraining, zap.String("node", n.me.Name))
-	n.handOver()
-	n.helping.Close()
+	n.handOverAll()
+	n.helperServer.Close()
 	grace := time.Duration(n.cfg.Bounds.GraceMS) * time.Millisecond
 	tables.Sleep(n.ctx, min(drainServe, grace/2)-time.Since(began))
 	c, cancel := context.WithTimeout(n.ctx, grace-stopMargin-time.Since(began))
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -42,9 +42,9 @@
 // followCell keeps the members' and the owners' rows current.
 func (n *Node) followCell(ctx context.Context) {
 	f := tables.Follower{
-		Service: n.store, Table: TableCell, Parts: []string{""}, FeedWait: cellSilence, Pause: cellPause,
+		Service: n.store, Table: TableCell, Parts: []string{""}, FeedWait: cellFeedWait, Pause: cellFeedPause,
 		Apply:   func(rows []tables.Row, _ bool) { n.applyCell(rows) },
-		OnError: n.storeFailed(TableCell),
+		OnError: n.logReadFailure(TableCell),
 	}
 	f.Run(ctx)
 }
@@ -64,7 +64,7 @@
 		case strings.HasPrefix(r.Key, ownerPrefix):
 			n.ownerRowSeen(r)
 		case strings.HasPrefix(r.Key, layoutPrefix):
-			n.layoutSeen(r)
+			n.applyLayout(r)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	defer n.mu.Unlock()
 	owned := make(map[string]int, len(n.owners))
 	for _, o := range n.owners {
-		owned[o.Owner.Life]++
+		owned[o.Owner.Incarnation]++
 	}
 	return owned
 }
@@ -276,7 +276,7 @@
 		return
 	}
 	rec, err := decodeOwner(r)
-	if err == nil && rec.Owner.Life == n.me.Life && n.local(shard) == nil {
+	if err == nil && rec.Owner.Incarnation == n.me.Incarnation && n.local(shard) == nil {
 		n.own(shard, r, rec, tables.Row{})
 		return
 	}
@@ -288,10 +288,10 @@
 	layout, _ := n.layout(shard.Service)
 	workers := n.newFanout(shard, &layout)
 	o := owner.New(owner.Config{
-		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.readAtOnce(), MaxWriteBytes: n.writeMost(), Params: n.params(rec.Epoch),
+		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.parallelReads(), MaxWriteBytes: n.writeBytes(), Params: n.params(rec.Epoch),
 	}, owner.Deps{
 		Tables: ownersStore{n.store, n}, Workers: workers, Advisers: n.peers, Machines: readMachines{n, shard.Service}, Directory: n.Directory, Shards: otherShards{n},
-		CountRefusedEntry: n.countRefused, Log: n.Log,
+		CountRefusedEntry: n.countRejectedEntry, Log: n.Log,
 	})
 	if !n.noteOwned(shard, o, rec, row.Version) {
 		workers.Close()
--- a/internal/cell/peerapi.go
+++ b/internal/cell/peerapi.go
@@ -16,45 +16,45 @@
 	// maxPeerBody bounds a message of a peer: the store's limit of 1 MB for one
 	// write, in base64 and with its keys.
 	maxPeerBody = 4 << 20
-	// membersTold bounds the members that a ping's reply names.
-	membersTold = 10
+	// maxMembersInReply bounds the members that a ping's reply names.
+	maxMembersInReply = 10
 )
 
 func (n *Node) peerMux() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.Handle("POST "+pathPing, httpx.Handle(maxPeerBody, n.pinged))
-	mux.Handle("POST "+pathJob, httpx.Handle(maxPeerBody, n.jobHanded))
-	mux.Handle("POST "+pathCancel, httpx.Handle(maxPeerBody, n.cancelHanded))
-	mux.Handle("POST "+pathState, httpx.Handle(maxPeerBody, n.stateAsked))
-	mux.Handle("POST "+pathWaiting, httpx.Handle(maxPeerBody, n.waitingAsked))
-	mux.Handle("POST "+pathAdvise, httpx.Handle(maxPeerBody, n.adviseAsked))
-	mux.Handle("POST "+pathTake, httpx.Handle(maxPeerBody, n.takeAsked))
-	mux.Handle("POST "+pathGang, httpx.Handle(maxPeerBody, n.gangAsked))
-	mux.Handle("POST "+pathMembers, httpx.Handle(maxPeerBody, n.membersOrdered))
-	mux.Handle("POST "+pathConfig, httpx.Handle(maxPeerBody, n.configAsked))
+	mux.Handle("POST "+pathPing, httpx.Handle(maxPeerBody, n.handlePing))
+	mux.Handle("POST "+pathJob, httpx.Handle(maxPeerBody, n.handleJob))
+	mux.Handle("POST "+pathCancel, httpx.Handle(maxPeerBody, n.handleCancel))
+	mux.Handle("POST "+pathState, httpx.Handle(maxPeerBody, n.handleState))
+	mux.Handle("POST "+pathWaiting, httpx.Handle(maxPeerBody, n.handleWaiting))
+	mux.Handle("POST "+pathAdvise, httpx.Handle(maxPeerBody, n.handleAdvise))
+	mux.Handle("POST "+pathTake, httpx.Handle(maxPeerBody, n.handleTake))
+	mux.Handle("POST "+pathGang, httpx.Handle(maxPeerBody, n.handleGangState))
+	mux.Handle("POST "+pathMembers, httpx.Handle(maxPeerBody, n.handleGangStart))
+	mux.Handle("POST "+pathConfig, httpx.Handle(maxPeerBody, n.handleConfig))
 	mux.Handle("POST "+pathCommit, httpx.Handle(maxPeerBody, func(ctx context.Context, txn tables.Txn) (storeReply[tables.TxnResult], error) {
-		return onBehalf(n.relay.Direct().Commit(ctx, txn)), nil
+		return storeReplyOf(n.relay.Direct().Commit(ctx, txn)), nil
 	}))
 	mux.Handle("POST "+pathList, httpx.Handle(maxPeerBody, func(ctx context.Context, req tables.ListRequest) (storeReply[tables.ListResult], error) {
-		return onBehalf(n.relay.Direct().List(ctx, req)), nil
+		return storeReplyOf(n.relay.Direct().List(ctx, req)), nil
 	}))
 	mux.Handle("POST "+pathFeed, httpx.Handle(maxPeerBody, func(ctx context.Context, req tables.FeedRequest) (storeReply[tables.FeedResult], error) {
-		return onBehalf(n.relay.Direct().Feed(ctx, req)), nil
+		return storeReplyOf(n.relay.Direct().Feed(ctx, req)), nil
 	}))
-	mux.Handle("POST "+pathWorkers, n.helping)
-	mux.Handle("POST "+pathMachines, httpx.Handle(maxPeerBody, n.machinesAsked))
+	mux.Handle("POST "+pathWorkers, n.helperServer)
+	mux.Handle("POST "+pathMachines, httpx.Handle(maxPeerBody, n.handleMachines))
 	return mux
 }
 
-// onBehalf wraps the store's reply for a peer that the store turns away.
-func onBehalf[T any](res T, err error) storeReply[T] {
+// storeReplyOf wraps the store's reply for a peer that the store turns away.
+func storeReplyOf[T any](res T, err error) storeReply[T] {
 	if err != nil {
 		return storeReply[T]{Failed: tables.KindOf(err), Detail: err.Error()}
 	}
 	return storeReply[T]{Result: res}
 }
 
-func (n *Node) pinged(ctx context.Context, req pingRequest) (pingReply, error) {
+func (n *Node) handlePing(ctx context.Context, req pingRequest) (pingReply, error) {
 	n.peers.heardFrom(req.From)
 	reply := pingReply{
 		Me: n.me, Draining: n.Draining(), StoreGood: n.relay.DirectAvailable() && !n.store.down(),
@@ -83,25 +83,25 @@
 	return httpx.NewProblem(http.StatusConflict, "not_owner", "the shard is not owned here")
 }
 
-func (n *Node) jobHanded(_ context.Context, msg jobMessage) (done, error) {
+func (n *Node) handleJob(_ context.Context, msg jobMessage) (empty, error) {
 	o := n.local(msg.Job.ShardID())
 	if o == nil {
-		return done{}, errNotOwner()
+		return empty{}, errNotOwner()
 	}
 	o.AddJob(msg.Job, msg.Version)
-	return done{}, nil
+	return empty{}, nil
 }
 
-func (n *Node) cancelHanded(_ context.Context, q jobQuery) (done, error) {
+func (n *Node) handleCancel(_ context.Context, q jobQuery) (empty, error) {
 	o := n.local(q.Shard)
 	if o == nil {
-		return done{}, errNotOwner()
+		return empty{}, errNotOwner()
 	}
 	o.CancelJob(q.ID)
-	return done{}, nil
+	return empty{}, nil
 }
 
-func (n *Node) stateAsked(_ context.Context, q jobQuery) (stateReply, error) {
+func (n *Node) handleState(_ context.Context, q jobQuery) (stateReply, error) {
 	o := n.local(q.Shard)
 	if o == nil {
 		return stateReply{}, errNotOwner()
@@ -110,7 +110,7 @@
 	return stateReply{Known: ok, State: state}, nil
 }
 
-func (n *Node) waitingAsked(_ context.Context, q waitingQuery) (waitingReply, error) {
+func (n *Node) handleWaiting(_ context.Context, q waitingQuery) (waitingReply, error) {
 	o := n.local(q.Shard)
 	if o == nil {
 		return waitingReply{}, errNotOwner()
@@ -122,7 +122,7 @@
 	return waitingReply{Waiting: count}, nil
 }
 
-func (n *Node) adviseAsked(ctx context.Context, req adviseRequest) (adviseReply, error) {
+func (n *Node) handleAdvise(ctx context.Context, req adviseRequest) (adviseReply, error) {
 	tickets, validFor, err := n.Advice.Advise(ctx, req.Step, req.Workers)
 	if err != nil {
 		return adviseReply{}, httpx.NewProblem(http.StatusBadGateway, "advice_failed", err.Error())
@@ -130,22 +130,22 @@
 	return adviseReply{Tickets: tickets, ValidMS: validFor.Milliseconds()}, nil
 }
 
-// takeAsked takes over the shard of a node that stops. The write goes on if that node
+// handleTake takes over the shard of a node that stops. The write goes on if that node
 // gives up: it may take effect all the same, and has to be settled here.
-func (n *Node) takeAsked(ctx context.Context, req takeRequest) (done, error) {
+func (n *Node) handleTake(ctx context.Context, req takeRequest) (empty, error) {
 	if n.Draining() {
-		return done{}, errNotOwner()
+		return empty{}, errNotOwner()
 	}
 	if _, version := n.owner(req.Shard); version < req.Version {
 		n.rereadOwner(ctx, req.Shard)
 	}
 	if _, ok := n.layout(req.Shard.Service); !ok || !n.take(n.ctx, req.Shard, req.Version, "handed over") {
-		return done{}, errNotOwner()
+		return empty{}, errNotOwner()
 	}
-	return done{}, nil
+	return empty{}, nil
 }
 
-func (n *Node) configAsked(context.Context, done) (cluster.Config, error) {
+func (n *Node) handleConfig(context.Context, empty) (cluster.Config, error) {
 	cfg := n.Config()
 	if cfg == nil {
 		return cluster.Config{}, httpx.NewProblem(http.StatusServiceUnavailable, "no_configuration", "no configuration is known yet")
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -37,8 +37,8 @@
 	sorted []*peer
 	// next turns the order in which peers are pinged, and asked about an owner.
 	next int
-	// asking are the pings that are open for those who wait for a load, by life.
-	asking map[string]chan struct{}
+	// pinging are the pings that are open for those who wait for a load, by life.
+	pinging map[string]chan struct{}
 	// relayNext turns the order in which relays are tried.
 	relayNext int
 }
@@ -65,7 +65,7 @@
 
 func newPeers(n *Node) *peers {
 	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Compressed: true, Usage: n.Usage}, idlePerPeer, idleTimeout)
-	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), asking: make(map[string]chan struct{})}
+	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), pinging: make(map[string]chan struct{})}
 }
 
 // learn notes a node that another source has named.
@@ -83,7 +83,7 @@
 		p.sorted = slices.Insert(p.sorted, at, q)
 		return
 	}
-	if old.Life != m.Life {
+	if old.Incarnation != m.Incarnation {
 		old.member, old.firstFail = m, time.Time{}
 	}
 }
@@ -121,7 +121,7 @@
 	p.learn(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if q := p.list[m.Name]; q != nil && q.Life == m.Life && q.untried() {
+	if q := p.list[m.Name]; q != nil && q.Incarnation == m.Incarnation && q.untried() {
 		q.lastOK = time.Now()
 	}
 }
@@ -137,7 +137,7 @@
 		// earlier lives as a rule: what those owned doesn't count.
 		c := candidate{member: q.member, hash: q.hash}
 		if !q.lastOK.IsZero() {
-			c.owns = owned[q.Life]
+			c.owns = owned[q.Incarnation]
 		}
 		// A node must not take everything before one with more room can.
 		roomier := q.untried() && c.room() > here.room()
@@ -192,7 +192,7 @@
 	for i := range p.sorted {
 		// Each asker is told of other ones, and of all after some rounds.
 		q := p.sorted[(to.Knows+i)%len(p.sorted)]
-		if p.up(q, now) && len(list) < membersTold {
+		if p.up(q, now) && len(list) < maxMembersInReply {
 			list = append(list, q.member)
 		}
 	}
@@ -224,7 +224,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.list[owner]
-	if q == nil || time.Since(q.lastOK) > loadStale || !q.firstFail.IsZero() {
+	if q == nil || time.Since(q.lastOK) > loadMaxAge || !q.firstFail.IsZero() {
 		return 0, false
 	}
 	for _, s := range q.reply.Owns {
--- a/internal/cell/ping.go
+++ b/internal/cell/ping.go
@@ -119,7 +119,7 @@
 
 // ping asks a node for a sign of life and notes what it says.
 func (p *peers) ping(ctx context.Context, m member) (pingReply, error) {
-	reply, err := call[pingRequest, pingReply](ctx, p, m.Address, pathPing, pingRequest{From: p.n.me, Knows: p.known()}, askPeer)
+	reply, err := call[pingRequest, pingReply](ctx, p, m.Address, pathPing, pingRequest{From: p.n.me, Knows: p.known()}, peerTimeout)
 	if err != nil {
 		p.failed(m, err)
 		return reply, err
@@ -139,7 +139,7 @@
 	if wasDown {
 		p.n.Log.Info("peer answers again", events.PeerRecovered, zap.String("peer", reply.Me.Name))
 	}
-	p.n.configSeen(reply)
+	p.n.fetchNewerConfig(reply)
 	return reply, nil
 }
 
@@ -159,7 +159,7 @@
 	p.mu.Lock()
 	q := p.list[m.Name]
 	var first bool
-	if q != nil && q.Life == m.Life {
+	if q != nil && q.Incarnation == m.Incarnation {
 		if first = q.firstFail.IsZero(); first {
 			q.firstFail = time.Now()
 			q.retriedAt, q.retryIn = q.firstFail, retryFirst
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -69,7 +69,7 @@
 	if rack != "" {
 		asked = append(asked, near)
 	}
-	n.askLoads(ctx, asked)
+	n.refreshLoads(ctx, asked)
 	if rack != "" && n.shardLoad(near) < nearUntil {
 		return near
 	}
@@ -101,7 +101,7 @@
 		return from, false
 	}
 	ids := layout.IDs()
-	n.askLoads(n.ctx, ids)
+	n.refreshLoads(n.ctx, ids)
 	if m.Unfit {
 		return ids[(from.Index+1)%len(ids)], true
 	}
--- a/internal/cell/reader.go
+++ b/internal/cell/reader.go
@@ -40,8 +40,8 @@
 	at   time.Time
 }
 
-// machinesAsked lists the machines for another node.
-func (n *Node) machinesAsked(ctx context.Context, _ done) (machineList, error) {
+// handleMachines lists the machines for another node.
+func (n *Node) handleMachines(ctx context.Context, _ empty) (machineList, error) {
 	n.listed.mu.Lock()
 	defer n.listed.mu.Unlock()
 	if time.Since(n.listed.at) < machinesKept {
@@ -75,11 +75,11 @@
 // Machines lists the machines.
 func (r readMachines) Machines(ctx context.Context) ([]cluster.Machine, error) {
 	if m, ok := r.n.reader(r.service); ok {
-		res, err := call[done, machineList](ctx, r.n.peers, m.Address, pathMachines, done{}, askPeer)
+		res, err := call[empty, machineList](ctx, r.n.peers, m.Address, pathMachines, empty{}, peerTimeout)
 		if err == nil {
 			return res.Machines, nil
 		}
-		r.n.helperFailed(m.Name)
+		r.n.probeFailedHelper(m.Name)
 	}
 	return r.n.Machines.Machines(ctx)
 }
@@ -113,6 +113,6 @@
 	if err == nil || tables.IsFinal(err) || ctx.Err() != nil {
 		return res, err
 	}
-	s.n.helperFailed(m.Name)
+	s.n.probeFailedHelper(m.Name)
 	return read(s.watchedStore, ctx, req)
 }
--- a/internal/cell/submit.go
+++ b/internal/cell/submit.go
@@ -112,8 +112,8 @@
 
 // tellOwner hands a job to the owner of its shard.
 func (n *Node) tellOwner(job cluster.Job, version int64) {
-	n.toOwner(job.ShardID(), func(o *owner.Owner) { o.AddJob(job, version) }, func(ctx context.Context, m member) error {
-		_, err := call[jobMessage, done](ctx, n.peers, m.Address, pathJob, jobMessage{job, version}, askPeer)
+	n.notifyOwner(job.ShardID(), func(o *owner.Owner) { o.AddJob(job, version) }, func(ctx context.Context, m member) error {
+		_, err := call[jobMessage, empty](ctx, n.peers, m.Address, pathJob, jobMessage{job, version}, peerTimeout)
 		return err
 	})
 }
--- a/internal/cell/waiting.go
+++ b/internal/cell/waiting.go
@@ -44,6 +44,6 @@
 
 // waitingIn asks a shard's owner how many jobs of a queue have not begun.
 func (n *Node) waitingIn(ctx context.Context, shard cluster.ShardID, queue string) (int, error) {
-	reply, err := askOwner(ctx, n, shard, pathWaiting, waitingQuery{shard, queue}, waitingTimeout, n.waitingAsked)
+	reply, err := callOwner(ctx, n, shard, pathWaiting, waitingQuery{shard, queue}, waitingTimeout, n.handleWaiting)
 	return reply.Waiting, err
 }
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -121,7 +121,7 @@
 		w.suspect = suspicion{}
 	case o != nil:
 		w.suspect = suspicion{}
-		n.moveToRoomier(ctx, w.shard, o)
+		n.moveToLargerNode(ctx, w.shard, o)
 	default:
 		n.takeIfLost(ctx, w.shard, &w.suspect)
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	n.take(ctx, shard, version, cause)
-	n.unclaim(shard)
+	n.releaseClaim(shard)
 	*suspect = suspicion{}
 }
 
@@ -163,15 +163,15 @@
 	if rec.Owner.Name == n.me.Name {
 		return "owner was an earlier life of this node"
 	}
-	if s.life != rec.Owner.Life {
-		*s = suspicion{life: rec.Owner.Life}
+	if s.life != rec.Owner.Incarnation {
+		*s = suspicion{life: rec.Owner.Incarnation}
 	}
 	c, cancel := context.WithTimeout(ctx, watchPing)
 	reply, err := n.peers.ping(c, rec.Owner)
 	cancel()
 	if err == nil {
 		s.refused, s.silentSince = 0, time.Time{}
-		if reply.Me.Life != rec.Owner.Life {
+		if reply.Me.Incarnation != rec.Owner.Incarnation {
 			return "owner has started anew"
 		}
 		return ""
