--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -37,11 +37,11 @@
 		Service: o.Tables, Table: o.Directory.Table(), Parts: []string{""}, FeedWait: directoryFeedWait, RelistAfter: directoryFeedWait, Pause: minDirectoryPause,
 		OnError: o.feedErrorLogger(o.Directory.Table()),
 	}
-	f.Apply = func(rows []tables.Row, whole bool) {
-		if whole {
+	f.Apply = func(rows []tables.Row, full bool) {
+		if full {
 			f.Pause = min(max(minDirectoryPause, time.Duration(len(rows))*directoryPausePerWorker), maxDirectoryPause)
 		}
-		o.applyDirectory(ctx, rows, whole)
+		o.applyDirectory(ctx, rows, full)
 	}
 	f.Run(ctx)
 	return nil
@@ -58,7 +58,7 @@
 // applyDirectory applies rows of the directory; full means that these are all of them. A row
 // that names no valid worker, or a worker of another shard, differs from a deleted row: its
 // worker gets nothing new, but what runs there keeps running.
-func (o *Owner) applyDirectory(ctx context.Context, rows []tables.Row, whole bool) {
+func (o *Owner) applyDirectory(ctx context.Context, rows []tables.Row, full bool) {
 	entries := make([]directoryEntry, len(rows))
 	for i, r := range rows {
 		entries[i] = o.decodeEntry(r)
@@ -75,7 +75,7 @@
 				s.UpsertWorker(now, *e.worker)
 			}
 		}
-		if whole {
+		if full {
 			listed := make(map[string]bool, len(entries))
 			for _, e := range entries {
 				listed[e.key] = true
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -11,31 +11,31 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// Team is a team's claim on the cell and what it uses.
+// Team is a team's share of the cell and its usage.
 type Team struct {
 	Name   string
 	Weight float64
 	Used   resource.Amount
-	// Quota is what the team may always use; it may borrow idle room beyond it.
+	// Quota is what the team may always use. Beyond it, the team may borrow idle capacity.
 	Quota resource.Amount
 }
 
-// WaitingJob is a job that waits.
+// WaitingJob is a job with tasks that wait to be placed.
 type WaitingJob struct {
 	// TeamIndex is an index into the teams.
 	TeamIndex int
 	Priority  int
-	// Deadline is zero when there is none.
+	// Deadline is zero if there is none.
 	Deadline time.Time
 	// RunTime is the declared or learned run time.
 	RunTime   time.Duration
 	Submitted time.Time
-	// TaskSize is what one task asks for, and Need what the waiting tasks do together.
+	// TaskSize is the request of one task, and Demand that of all waiting tasks together.
 	TaskSize resource.Amount
 	Demand   resource.Amount
 }
 
-// slack is how long the item may still wait and meet its deadline.
+// slack is how long the job may still wait and meet its deadline.
 func (j *WaitingJob) slack(now time.Time) time.Duration {
 	if j.Deadline.IsZero() {
 		return 1<<63 - 1
@@ -43,8 +43,8 @@
 	return j.Deadline.Sub(now) - j.RunTime
 }
 
-// urgency groups slacks by powers of two of the run time, so that among items
-// that are about as urgent the largest can go first.
+// urgency groups slacks by powers of two of the run time, so that among jobs of similar urgency
+// the largest can go first.
 func (j *WaitingJob) urgency(now time.Time) int {
 	if j.Deadline.IsZero() {
 		return bits.UintSize
@@ -52,8 +52,8 @@
 	return bits.Len64(uint64(max(0, j.slack(now)) / max(j.RunTime, time.Second)))
 }
 
-// sortSize is the size by which items that are about as urgent are ordered; those
-// without a deadline keep the order in which they came.
+// sortSize is the size by which jobs of similar urgency are ordered. Jobs without a deadline
+// keep their order of submission.
 func (j *WaitingJob) sortSize() int64 {
 	if j.Deadline.IsZero() {
 		return 0
@@ -61,11 +61,10 @@
 	return j.TaskSize.CPUMilli + j.TaskSize.MemoryMB
 }
 
-// Order returns the indices of the items in the order in which to place them:
-// by priority; within a priority the team with the least weighted dominant
-// share goes first, those within their quota before those that borrow; within
-// a team the least slack goes first, of those about as urgent the largest, then
-// the oldest.
+// Order returns the indices of the jobs in the order in which to place them: by priority;
+// within a priority, teams within their quota before those that borrow, and then the team with
+// the lowest weighted dominant share; within a team by urgency, then the largest, then the
+// least slack, then the oldest.
 func Order(now time.Time, jobs []WaitingJob, teams []Team, total resource.Amount) []int {
 	byTeam := sortByTeam(now, jobs, len(teams))
 	used := make([]resource.Amount, len(teams))
@@ -88,6 +87,7 @@
 	return order
 }
 
+// sortByTeam returns the indices of each team's jobs in the order in which to place them.
 func sortByTeam(now time.Time, jobs []WaitingJob, teamCount int) [][]int {
 	byTeam := make([][]int, teamCount)
 	for i := range jobs {
@@ -108,7 +108,7 @@
 	return byTeam
 }
 
-// goesBefore reports whether team a's first item goes goesBefore team b's.
+// goesBefore reports whether the first job of team a goes before that of team b.
 func goesBefore(jobs []WaitingJob, byTeam [][]int, teams []Team, used []resource.Amount, total resource.Amount, a, b int) bool {
 	x, y := &jobs[byTeam[a][0]], &jobs[byTeam[b][0]]
 	if x.Priority != y.Priority {
@@ -120,10 +120,12 @@
 	return weightedShare(teams[a], used[a], total) < weightedShare(teams[b], used[b], total)
 }
 
+// fitsQuota reports whether the team stays within its quota with the job.
 func fitsQuota(t Team, used resource.Amount, j *WaitingJob) bool {
 	return t.Quota.Fits(used.Add(j.Demand))
 }
 
+// weightedShare returns the team's dominant share of the cell, divided by its weight.
 func weightedShare(t Team, used, total resource.Amount) float64 {
 	return used.DominantShare(total) / max(t.Weight, 1e-9)
 }
--- a/internal/policy/place.go
+++ b/internal/policy/place.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package policy holds the decisions of the scheduler as pure functions: no
-// clock, no input or output, no lock.
+// Package policy implements the scheduling decisions as pure functions, without clocks, I/O or
+// locks: where to place a task, in which order to place the jobs of several teams, and which
+// tasks to preempt.
 //
 // # Usage
 //
@@ -15,11 +16,11 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// Weights say what a cell values; a bundle sets them.
+// Weights balance the goals of placement; a bundle sets them.
 type Weights struct {
-	// Waiting favours emptier workers, where a task is least disturbed.
+	// Waiting favours emptier workers, on which a task is disturbed least.
 	Waiting float64 `json:"waiting" yaml:"waiting"`
-	// Packing favours fuller workers, so that large tasks still find room.
+	// Packing favours fuller workers, so that capacity for large tasks stays free elsewhere.
 	Packing float64 `json:"packing" yaml:"packing"`
 }
 
@@ -31,23 +32,26 @@
 	JobTasks int
 	// RackTasks is how many tasks of the same job run in the worker's rack.
 	RackTasks int
-	// Unschedulable workers take nothing new.
+	// Unschedulable workers get no new tasks.
 	Unschedulable bool
 }
 
-// Constraints is what a job asks of the places of its tasks together.
+// Constraints are the requirements of a job on the placement of its tasks relative to each
+// other.
 type Constraints struct {
-	// Spread asks for different racks, and for different workers within a rack.
+	// Spread prefers different racks, and different workers within a rack.
 	Spread bool
 }
 
+// Penalties that are subtracted from a candidate's score.
 const (
-	sameRackPenalty        = 10.0
-	sameWorkerPenalty      = 3.0
+	sameRackPenalty   = 10.0
+	sameWorkerPenalty = 3.0
+	// idleAcceleratorPenalty keeps workers with free accelerators for tasks that need them.
 	idleAcceleratorPenalty = 5.0
 )
 
-// Place returns the index of the best candidate that has room for size.
+// Place returns the index of the best candidate with enough free capacity for size.
 func Place(size resource.Amount, candidates []Candidate, constraints Constraints, w Weights) (int, bool) {
 	best, bestScore := -1, math.Inf(-1)
 	for i := range candidates {
@@ -62,7 +66,7 @@
 	return best, best >= 0
 }
 
-// score rates a candidate that has room; higher is better.
+// score rates a candidate with enough free capacity; higher is better.
 func score(size resource.Amount, c *Candidate, constraints Constraints, w Weights) float64 {
 	utilization := meanUtilization(size, c)
 	s := w.Packing*utilization - w.Waiting*utilization
@@ -75,7 +79,8 @@
 	return s
 }
 
-// meanUtilization returns the mean share of the worker that is in use once size is on it.
+// meanUtilization returns the mean utilization of the worker's resources with a task of the
+// size on it.
 func meanUtilization(size resource.Amount, c *Candidate) float64 {
 	used := c.Capacity.Sub(c.Free).Add(size)
 	sum, n := 0.0, 0.0
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -60,25 +60,25 @@
 	}
 }
 
-// TestPlaceNeverOverfills places at random until nothing fits: no worker is
-// given more than it has in any resource.
+// TestPlaceNeverOverfills places random tasks until nothing fits, and checks that no worker is
+// given more than its capacity in any resource.
 func TestPlaceNeverOverfills(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
 	props.Property("free never goes below zero", prop.ForAll(func(seed int64, packing float64) bool {
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
-		cs := make([]policy.Candidate, 16)
-		for i := range cs {
-			cs[i].Capacity = amount(1000+r.Int64N(8000), 1000+r.Int64N(8000), r.Int64N(4))
-			cs[i].Free = cs[i].Capacity
+		candidates := make([]policy.Candidate, 16)
+		for i := range candidates {
+			candidates[i].Capacity = amount(1000+r.Int64N(8000), 1000+r.Int64N(8000), r.Int64N(4))
+			candidates[i].Free = candidates[i].Capacity
 		}
 		for range 400 {
 			size := amount(1+r.Int64N(3000), 1+r.Int64N(3000), r.Int64N(2))
-			i, ok := policy.Place(size, cs, policy.Constraints{Spread: r.IntN(2) == 0}, policy.Weights{Packing: packing, Waiting: 1 - packing})
+			i, ok := policy.Place(size, candidates, policy.Constraints{Spread: r.IntN(2) == 0}, policy.Weights{Packing: packing, Waiting: 1 - packing})
 			if !ok {
 				continue
 			}
-			cs[i].Free = cs[i].Free.Sub(size)
-			if !cs[i].Free.Fits(amount(0, 0, 0)) {
+			candidates[i].Free = candidates[i].Free.Sub(size)
+			if !candidates[i].Free.Fits(amount(0, 0, 0)) {
 				return false
 			}
 		}
@@ -95,38 +95,39 @@
 		{Name: "b", Weight: 1, Used: amount(10_000, 0, 0)},
 		{Name: "c", Weight: 10, Used: amount(50_000, 0, 0)},
 	}
-	need := amount(1000, 1000, 0)
-	items := []policy.WaitingJob{
-		{TeamIndex: 0, Priority: 1, Demand: need},
-		{TeamIndex: 1, Priority: 1, Demand: need},
-		{TeamIndex: 0, Priority: 9, Demand: need},
-		{TeamIndex: 1, Priority: 1, Demand: need, Deadline: now.Add(time.Minute), RunTime: 30 * time.Second},
-		{TeamIndex: 1, Priority: 1, Demand: need, Deadline: now.Add(50 * time.Second), RunTime: time.Second},
-		{TeamIndex: 2, Priority: 1, Demand: need},
+	demand := amount(1000, 1000, 0)
+	jobs := []policy.WaitingJob{
+		{TeamIndex: 0, Priority: 1, Demand: demand},
+		{TeamIndex: 1, Priority: 1, Demand: demand},
+		{TeamIndex: 0, Priority: 9, Demand: demand},
+		{TeamIndex: 1, Priority: 1, Demand: demand, Deadline: now.Add(time.Minute), RunTime: 30 * time.Second},
+		{TeamIndex: 1, Priority: 1, Demand: demand, Deadline: now.Add(50 * time.Second), RunTime: time.Second},
+		{TeamIndex: 2, Priority: 1, Demand: demand},
 	}
-	got := policy.Order(now, items, teams, total)
-	// The urgent one; team c has the least share for its weight; then b by slack, then a.
+	got := policy.Order(now, jobs, teams, total)
+	// The urgent job; team c has the lowest share for its weight; then b by slack, then a.
 	want := []int{2, 5, 3, 4, 1, 0}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("have %v, want %v", got, want)
 	}
 }
 
-// TestOrderLargestOfAboutAsUrgent lets a large task go first among deadlines that
-// are far off alike, but not before one that is due, and never without a deadline.
-func TestOrderLargestOfAboutAsUrgent(t *testing.T) {
+// TestOrderLargestOfSimilarUrgency checks that a large task goes first among jobs whose
+// deadlines are similarly far off, but not before a job that is due, and not among jobs without
+// a deadline.
+func TestOrderLargestOfSimilarUrgency(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	item := func(size int64, due time.Duration, sent int) policy.WaitingJob {
-		i := policy.WaitingJob{TaskSize: amount(size, size, 0), RunTime: time.Minute, Submitted: now.Add(time.Duration(sent) * time.Second)}
+	job := func(size int64, due time.Duration, submitted int) policy.WaitingJob {
+		i := policy.WaitingJob{TaskSize: amount(size, size, 0), RunTime: time.Minute, Submitted: now.Add(time.Duration(submitted) * time.Second)}
 		if due > 0 {
 			i.Deadline = now.Add(due)
 		}
 		return i
 	}
-	items := []policy.WaitingJob{
-		item(1000, 40*time.Minute, 0), item(9000, 41*time.Minute, 1), item(500, 3*time.Minute, 2), item(100, 0, 3), item(8000, 0, 4),
+	jobs := []policy.WaitingJob{
+		job(1000, 40*time.Minute, 0), job(9000, 41*time.Minute, 1), job(500, 3*time.Minute, 2), job(100, 0, 3), job(8000, 0, 4),
 	}
-	got := policy.Order(now, items, []policy.Team{{Name: "a", Weight: 1}}, amount(100_000, 100_000, 0))
+	got := policy.Order(now, jobs, []policy.Team{{Name: "a", Weight: 1}}, amount(100_000, 100_000, 0))
 	if want := "[2 1 0 3 4]"; fmt.Sprint(got) != want {
 		t.Errorf("have %v, want %s", got, want)
 	}
@@ -138,23 +139,23 @@
 		{Name: "borrows", Weight: 1, Used: amount(1000, 1000, 0)},
 		{Name: "owns", Weight: 1, Used: amount(20_000, 20_000, 0), Quota: amount(40_000, 40_000, 0)},
 	}
-	items := []policy.WaitingJob{{TeamIndex: 0, Demand: amount(1000, 1000, 0)}, {TeamIndex: 1, Demand: amount(1000, 1000, 0)}}
-	if got := policy.Order(time.Time{}, items, teams, total); got[0] != 1 {
+	jobs := []policy.WaitingJob{{TeamIndex: 0, Demand: amount(1000, 1000, 0)}, {TeamIndex: 1, Demand: amount(1000, 1000, 0)}}
+	if got := policy.Order(time.Time{}, jobs, teams, total); got[0] != 1 {
 		t.Errorf("have %v: the team within its quota must go first", got)
 	}
 }
 
 func benchmarkPlace(b *testing.B, workers int) {
 	r := rand.New(rand.NewPCG(1, 2))
-	cs := make([]policy.Candidate, workers)
-	for i := range cs {
-		cs[i].Capacity = amount(32_000, 64_000, 0)
-		cs[i].Free = amount(r.Int64N(32_000), r.Int64N(64_000), 0)
+	candidates := make([]policy.Candidate, workers)
+	for i := range candidates {
+		candidates[i].Capacity = amount(32_000, 64_000, 0)
+		candidates[i].Free = amount(r.Int64N(32_000), r.Int64N(64_000), 0)
 	}
 	w := policy.Weights{Waiting: 0.4, Packing: 0.6}
 	b.ReportAllocs()
 	for b.Loop() {
-		policy.Place(amount(2000, 2000, 0), cs, policy.Constraints{}, w)
+		policy.Place(amount(2000, 2000, 0), candidates, policy.Constraints{}, w)
 	}
 }
 
--- a/internal/policy/preempt.go
+++ b/internal/policy/preempt.go
@@ -9,22 +9,22 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// MaxPreemptions is how often a task may be preempted; after that it is left alone.
+// MaxPreemptions is how often a task may be preempted.
 const MaxPreemptions = 2
 
-// RunningTask is a task that might be preempted.
+// RunningTask is a task that may have to be preempted.
 type RunningTask struct {
 	Priority int
 	Size     resource.Amount
-	// Attempt is the task's attempt: a high one has been disturbed before.
+	// Attempt is the number of the task's attempt; a higher one has been interrupted before.
 	Attempt     int
 	Preemptible bool
 }
 
-// Victims returns the indices of the tasks to stop on a worker so that size
-// fits, or false when no choice is enough. Only preemptible tasks of a lower
-// priority are taken: the least urgent first, then the least disturbed, and none
-// whose room is not needed.
+// Victims returns the indices of the tasks to preempt on a worker so that size fits, or false
+// if no choice is enough. Only preemptible tasks of a lower priority are chosen, those of the
+// lowest priority first, then those with the fewest attempts, and none whose capacity is not
+// needed.
 func Victims(size, free resource.Amount, priority int, tasks []RunningTask) ([]int, bool) {
 	if free.Fits(size) {
 		return nil, true
@@ -52,7 +52,7 @@
 	return dropUnneeded(size, free, tasks, chosen), true
 }
 
-// dropUnneeded leaves out the tasks whose room turned out not to be needed.
+// dropUnneeded removes the tasks whose capacity turned out not to be needed.
 func dropUnneeded(size, free resource.Amount, tasks []RunningTask, chosen []int) []int {
 	var needed []int
 	for _, i := range chosen {
--- a/internal/policy/preempt_test.go
+++ b/internal/policy/preempt_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestVictimsAreEnoughAndNoMore draws workers at random.
-func TestVictimsAreEnoughAndNoMore(t *testing.T) {
+// TestVictimsAreSufficientAndMinimal checks random workers.
+func TestVictimsAreSufficientAndMinimal(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(13))
 	props.Property("enough, and none to spare", prop.ForAll(func(seed int64) bool {
 		r := rand.New(rand.NewPCG(uint64(seed), 2))
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package resource holds the amounts of processors, memory and accelerators
-// that workers have and tasks need.
+// Package resource defines amounts of CPU, memory and accelerators: the capacity of workers and
+// the requests of tasks.
 //
 // # Usage
 //
@@ -11,11 +11,11 @@
 
 // Amount is a quantity of each resource of a worker.
 type Amount struct {
-	// CPUMilli is processors in thousandths of a core.
+	// CPUMilli is CPU in thousandths of a core.
 	CPUMilli int64 `json:"cpu_milli" yaml:"cpu_milli"`
-	// MemoryMB is memory in units of 1,000,000 bytes.
+	// MemoryMB is memory in megabytes of 1,000,000 bytes.
 	MemoryMB int64 `json:"memory_mb" yaml:"memory_mb"`
-	// Accelerators is whole accelerators.
+	// Accelerators is the number of accelerators.
 	Accelerators int64 `json:"accelerators" yaml:"accelerators"`
 }
 
@@ -24,7 +24,7 @@
 	return Amount{a.CPUMilli + b.CPUMilli, a.MemoryMB + b.MemoryMB, a.Accelerators + b.Accelerators}
 }
 
-// Sub returns a less b.
+// Sub returns a minus b.
 func (a Amount) Sub(b Amount) Amount {
 	return Amount{a.CPUMilli - b.CPUMilli, a.MemoryMB - b.MemoryMB, a.Accelerators - b.Accelerators}
 }
@@ -34,17 +34,17 @@
 	return Amount{a.CPUMilli * n, a.MemoryMB * n, a.Accelerators * n}
 }
 
-// Fits reports whether b is at most a in every resource.
+// Fits reports whether b fits into a: it is at most a in every resource.
 func (a Amount) Fits(b Amount) bool {
 	return b.CPUMilli <= a.CPUMilli && b.MemoryMB <= a.MemoryMB && b.Accelerators <= a.Accelerators
 }
 
-// Max returns the larger of a and b in each resource.
+// Max returns the maximum of a and b in each resource.
 func (a Amount) Max(b Amount) Amount {
 	return Amount{max(a.CPUMilli, b.CPUMilli), max(a.MemoryMB, b.MemoryMB), max(a.Accelerators, b.Accelerators)}
 }
 
-// DominantShare returns the largest share that a takes of total, from 0 to 1.
+// DominantShare returns the largest share of total that a takes in any resource, from 0 to 1.
 func (a Amount) DominantShare(total Amount) float64 {
 	return max(share(a.CPUMilli, total.CPUMilli), share(a.MemoryMB, total.MemoryMB), share(a.Accelerators, total.Accelerators))
 }
--- a/internal/tables/busyfeed_test.go
+++ b/internal/tables/busyfeed_test.go
@@ -11,8 +11,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// busyService is a table of which 733 rows change each second, as those of 1,100 workers
-// that announce themselves every 1.5 s. A version is one change.
+// busyService is a table of which 733 rows change each second, like those of 1,100 workers that
+// announce themselves every 1.5 s. Each change gets a version of its own.
 type busyService struct {
 	fakeService
 	startedAt time.Time
@@ -27,12 +27,12 @@
 	return 1 + int64(time.Since(s.startedAt).Seconds()*changesPerSecond)
 }
 
-// List answers an empty list.
+// List returns an empty list.
 func (s *busyService) List(context.Context, tables.ListRequest) (tables.ListResult, error) {
 	return tables.ListResult{Version: s.version()}, nil
 }
 
-// Feed answers the oldest changes, as many as fit.
+// Feed returns the oldest changes, as many as fit.
 func (s *busyService) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	tables.Sleep(ctx, 4*time.Millisecond)
 	var res tables.FeedResult
@@ -43,12 +43,10 @@
 	return res, nil
 }
 
-// TestFollowerKeepsUpWithABusyFeed checks that a follower that pauses after each answer
-// does not fall behind a feed that gives out its changes 500 at a time.
-//
-// 1,100 workers announce themselves every 1.5 s. With a pause of 1 s after each answer a
-// follower fell behind by a third of a second each second, and learned that a worker
-// leaves by as much later.
+// TestFollowerKeepsUpWithABusyFeed checks that a follower that pauses after each answer does
+// not fall behind a feed that returns at most 500 changes at a time. With a pause of 1 s after
+// each answer, a follower of 1,100 workers that announce themselves every 1.5 s fell behind by
+// a third of a second each second, and learned as much later that a worker is leaving.
 func TestFollowerKeepsUpWithABusyFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pause, maxLag = time.Second, 1500 * time.Millisecond
--- a/internal/tables/follow.go
+++ b/internal/tables/follow.go
@@ -10,8 +10,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Follower keeps a table current: from its feed, and from a list when the feed has lost
-// its history or has failed twice, and, if that is asked for, when it has been silent.
+// Follower keeps a copy of a table current from its feed. It lists the table when the feed's
+// history has expired or a call has failed twice in a row, and, if RelistAfter is set, when the
+// feed shows no change.
 type Follower struct {
 	Service Service
 	Table   string
@@ -19,40 +20,42 @@
 	Parts []string
 	// FeedWait is how long one call of the feed waits for a change.
 	FeedWait time.Duration
-	// RelistAfter is how long after a list a feed that says nothing makes the table be
-	// listed again; 0: never, which is for large rows that rarely change.
+	// RelistAfter is the time after a list from which a feed without a change makes the table
+	// be listed again. 0 means never, which suits large rows that rarely change.
 	RelistAfter time.Duration
-	// Pause is the least time between two calls of the feed.
+	// Pause is the shortest time between two calls of the feed.
 	Pause time.Duration
-	// After is the version up to which the caller knows the table; 0: list first.
+	// After is the version up to which the caller knows the table; 0 means to list it first.
 	After int64
-	// Apply takes changed rows; whole is true for a full list of the parts.
+	// Apply is called with changed rows, or with full set and all rows of the parts.
 	Apply func(rows []Row, full bool)
-	// OnError is told of the first failed call after one that was answered.
+	// OnError is called with the error of a failed call, unless the call before it failed too.
 	OnError func(err error)
 
 	failing bool
 	// listedAt is when the table was last listed.
 	listedAt time.Time
-	// quietVersion is a version that the feed has shown without a change, and markedAt when;
-	// only a table that isn't listed again needs it.
+	// quietVersion is a version up to which the feed has shown no change, and quietAt when it
+	// did. They are used only if RelistAfter is 0.
 	quietVersion int64
 	quietAt      time.Time
 }
 
-// followRetryDelay is the pause after a failed call: short beside the bounds on
-// configuration (2 s), long beside the answer time of the service (4 ms).
+// followRetryDelay is the pause after a failed call: short compared with the time within which
+// configuration has to arrive (2 s), and long compared with the response time of the service (4
+// ms).
 const followRetryDelay = 100 * time.Millisecond
 
-// fullFeedRows is from how many rows on an answer of the feed may be cut short, with more
-// waiting behind it: the service answers 500 at most. Of 1,100 workers that each announce
-// themselves every 1.5 s, a pause of 1 s after each answer left more behind each second.
+// fullFeedRows is the number of rows from which an answer of the feed counts as full, so that
+// the next call follows without a pause: the service returns 500 rows at most. With 1,100
+// workers that each announce themselves every 1.5 s, and a pause of 1 s after each answer, the
+// follower falls further behind each second.
 const fullFeedRows = 250
 
-// minQuietAge is how old a version has to be that the feed has shown without a change
-// before the feed goes on from there. A feed can be deaf for a second before its history
-// is dropped; one that went on at once would then never learn of what it missed. It is
-// well below the 20 s for which the service keeps its history.
+// minQuietAge is the age from which the feed continues from a version up to which it has shown
+// no change. A feed may miss changes for a second before its history is dropped; a follower
+// that continued from the newest version at once would never learn of them. The age is well
+// below the 20 s for which the service keeps its history.
 const minQuietAge = 5 * time.Second
 
 // Run follows the table until ctx ends.
@@ -92,8 +95,8 @@
 	}
 }
 
-// advanceQuiet returns from where the feed goes on after it has shown a version without a
-// change: from an earlier such version, so that it stays within the history.
+// advanceQuiet returns the version from which the feed continues after it has shown no change:
+// an earlier version of that kind, so that the feed stays within its history.
 func (f *Follower) advanceQuiet(after, version int64) int64 {
 	now := time.Now()
 	if f.quietVersion != 0 && now.Sub(f.quietAt) < minQuietAge {
@@ -105,8 +108,8 @@
 }
 
 // listAndApply applies a list of all parts and returns the version from which the feed
-// goes on. A list fails while one of the parts is away: the feed then goes on from
-// where it was, if that is known.
+// continues. While a part is unavailable, the list fails, and the feed continues from where it
+// was, if that is known.
 func (f *Follower) listAndApply(ctx context.Context, after int64) int64 {
 	rows, version, err := f.listParts(ctx)
 	if err != nil {
@@ -118,12 +121,12 @@
 	return version
 }
 
-// MaxParallelLists bounds the parts that are listed at once: all in one or two rounds,
-// since each list takes 0.4 s while the service is slow.
+// MaxParallelLists bounds the parts that are listed at once, so that all are listed in one or
+// two rounds: each list takes 0.4 s while the service is slow.
 const MaxParallelLists = 40
 
-// listParts reads all parts. The version is the oldest of theirs, from which the feed
-// repeats what later lists have shown.
+// listParts reads all parts and returns the oldest of their versions: a feed from there repeats
+// changes that later lists may already show.
 func (f *Follower) listParts(ctx context.Context) ([]Row, int64, error) {
 	lists := make([][]Row, len(f.Parts))
 	versions := make([]int64, len(f.Parts))
@@ -141,7 +144,7 @@
 	return slices.Concat(lists...), max(slices.Min(versions), 1), nil
 }
 
-// handleError tells of a failed call, unless the one before it failed too, and waits a little.
+// handleError reports a failed call, unless the call before it failed too, and pauses.
 func (f *Follower) handleError(ctx context.Context, err error) {
 	if ctx.Err() == nil && !f.failing {
 		f.failing = true
--- a/internal/tables/follow_test.go
+++ b/internal/tables/follow_test.go
@@ -13,7 +13,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// partialService is a table of which one part is away, and whose feed has a row a second.
+// partialService is a table of which one part is unavailable, and whose feed has a row each
+// second.
 type partialService struct {
 	fakeService
 	// unavailablePart is the part that can't be listed.
@@ -21,7 +22,7 @@
 	startedAt       time.Time
 }
 
-// List answers an empty list, unless the part is away.
+// List returns an empty list, or an error for the unavailable part.
 func (s *partialService) List(_ context.Context, req tables.ListRequest) (tables.ListResult, error) {
 	if req.Part == s.unavailablePart {
 		return tables.ListResult{}, &tables.Error{Op: "fake", Kind: tables.KindRefused, Err: errors.New("away")}
@@ -29,7 +30,7 @@
 	return tables.ListResult{Version: s.version()}, nil
 }
 
-// Feed answers one row as soon as a new version is there, or none after the wait.
+// Feed returns one row as soon as there is a new version, or none after the wait.
 func (s *partialService) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	tables.Sleep(ctx, req.Wait)
 	v := s.version()
@@ -41,9 +42,9 @@
 
 func (s *partialService) version() int64 { return 1 + int64(time.Since(s.startedAt)/time.Second) }
 
-// TestFollowerWithPartAway checks that a feed goes on from where it was while a part
-// can't be listed, and that nothing is missed.
-func TestFollowerWithPartAway(t *testing.T) {
+// TestFollowerWithUnavailablePart checks that a feed continues from where it was while a part
+// can't be listed, and that no change is missed.
+func TestFollowerWithUnavailablePart(t *testing.T) {
 	const knownVersion, seconds = 1, 10
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), seconds*time.Second+time.Second/2)
--- a/internal/tables/healthcheck.go
+++ b/internal/tables/healthcheck.go
@@ -9,12 +9,13 @@
 	"switchbank.example/switchbank/internal/conns"
 )
 
-// silenceTimeout is how long a call may go without an answer while no other call
-// gets one: a node that is cut off from the service alone is so found before the
-// call's own limit. A service that is 100 times slower answers a write in 0.7 s.
+// silenceTimeout is how long a call may go without an answer while no other call of this node
+// gets one. A node that is cut off from the service detects that before the timeout of the
+// call. A service that is 100 times slower answers a write in 0.7 s.
 const silenceTimeout = 900 * time.Millisecond
 
-// cancelIfSilent ends a direct call early if the service answers nothing meanwhile.
+// cancelIfSilent cancels a direct call after the given time if no call has been answered since
+// it began.
 func (r *Relay) cancelIfSilent(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
 	sent := time.Now()
 	return time.AfterFunc(after, func() {
@@ -28,36 +29,36 @@
 }
 
 const (
-	// lostAnswerTimeout is how long a call may go without an answer before the node looks
-	// whether the service is fast: then the answer is lost, or the connection has
-	// gone silent. A fast service answers in 4 ms, and a node that has used up its
-	// processor quota stands still for 0.1 s.
+	// lostAnswerTimeout is how long a call may go without an answer before the node checks
+	// whether the service responds at once. If it does, the answer is lost, or the connection
+	// is dead. A fast service answers in 4 ms, and a node that has used up its CPU quota stalls
+	// for 0.1 s.
 	lostAnswerTimeout = 200 * time.Millisecond
-	// healthCheckTimeout bounds one look, and lookTries is how many there are: the first
-	// may be made on a connection that has gone silent too.
+	// healthCheckTimeout bounds one call of a health check, and healthCheckTries is how many
+	// are made: the first may go out on a dead connection too.
 	healthCheckTimeout = 50 * time.Millisecond
 	healthCheckTries   = 2
-	// failedCheckValid is for how long a look in vain counts: a slow service is not looked
-	// for again for each of its calls.
+	// failedCheckValid is how long a failed health check remains valid, so that not every call
+	// of a slow service makes another one.
 	failedCheckValid = 700 * time.Millisecond
 )
 
-// cancelIfAnswerLost ends a direct call early if nothing of its answer has arrived and the
-// service answers another one at once.
+// cancelIfAnswerLost cancels a direct call after the given time if nothing of its answer has
+// arrived and the service responds to a health check at once.
 func (r *Relay) cancelIfAnswerLost(ctx context.Context, cancel context.CancelFunc, after time.Duration) *time.Timer {
 	return time.AfterFunc(after, func() {
 		if conns.ResponseStarted(ctx) || !r.responds() {
 			return
 		}
-		// The look took a while, in which the answer may have begun to arrive.
+		// The answer may have begun to arrive during the health check.
 		if !conns.ResponseStarted(ctx) {
 			cancel()
 		}
 	})
 }
 
-// responds reports whether the service responds at once. A look counts for a while:
-// longer if it was in vain.
+// responds reports whether the service responds at once. The result of a health check is reused
+// for a while, for longer if it failed.
 func (r *Relay) responds() bool {
 	r.mu.Lock()
 	age, healthy := time.Since(r.checkedAt), r.healthy
@@ -75,7 +76,7 @@
 	return responds.(bool)
 }
 
-// checkHealth makes the calls of one look.
+// checkHealth makes the calls of one health check.
 func (r *Relay) checkHealth() bool {
 	for range healthCheckTries {
 		err := r.checkHealthOnce(context.Background(), healthCheckTimeout)
@@ -87,7 +88,7 @@
 	return false
 }
 
-// checkHealthOnce reads the list that shows whether the service answers.
+// checkHealthOnce reads the list that serves as health check.
 func (r *Relay) checkHealthOnce(ctx context.Context, timeout time.Duration) error {
 	c, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -95,7 +96,7 @@
 	return err
 }
 
-// noteAnswer notes an answer of the service.
+// noteAnswer records that the service has answered, unless err says that it has not.
 func (r *Relay) noteAnswer(err error) {
 	if IsUnknown(err) {
 		return
--- a/internal/tables/quiettable_test.go
+++ b/internal/tables/quiettable_test.go
@@ -13,17 +13,17 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// historyKept is how long quietService keeps what has changed.
+// historyKept is how long quietService keeps its history.
 const historyKept = 20 * time.Second
 
-// quietService is a table of one row that changes once, among others that change each
-// 100 ms, so that the version rises all the while.
+// quietService is a table of one row that changes once. Other rows change each 100 ms, so that
+// the version rises all the time.
 type quietService struct {
 	fakeService
 	startedAt time.Time
-	// changeAfter is when the row changeAfter; until then it has version 1.
+	// changeAfter is when the row changes; until then it has version 1.
 	changeAfter time.Duration
-	// outage is how long from then on the feed shows nothing; after it the history is gone.
+	// outage is how long from then on the feed shows no changes; after it the history is gone.
 	outage time.Duration
 	lists  int
 	feeds  int
@@ -32,10 +32,10 @@
 // tick is how often the version rises.
 const tick = 100 * time.Millisecond
 
-// version is the newest one.
+// version returns the newest version.
 func (s *quietService) version() int64 { return 1 + int64(time.Since(s.startedAt)/tick) }
 
-// changedVersion is the version of the row's change, or 0 if it hasn't changedVersion yet.
+// changedVersion returns the version of the row's change, or 0 if it has not changed yet.
 func (s *quietService) changedVersion() int64 {
 	if time.Since(s.startedAt) < s.changeAfter {
 		return 0
@@ -47,13 +47,13 @@
 	return tables.Row{Table: "t", Key: "k", Version: version}
 }
 
-// List answers the row as it stands.
+// List returns the current row.
 func (s *quietService) List(context.Context, tables.ListRequest) (tables.ListResult, error) {
 	s.lists++
 	return tables.ListResult{Rows: []tables.Row{s.row(max(1, s.changedVersion()))}, Version: s.version()}, nil
 }
 
-// Feed answers the change as soon as it is there, unless the feed is deaf.
+// Feed returns the change as soon as it is there, except during the outage.
 func (s *quietService) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	s.feeds++
 	for end := time.Now().Add(req.Wait); ; tables.Sleep(ctx, tick/10) {
@@ -75,18 +75,18 @@
 	}
 }
 
-// TestFollowerOfQuietTable follows a row that rarely changes. It is listed once, however
-// long nothing changes; each change is seen within a second. That also holds for one
-// that is made while the feed is deaf, which shows by the loss of the history after it.
-//
-// A list each second was 380 kB a second on each node for 1,446 routes; without lists,
-// and with the feed going on from the version of the last change, the feed would leave
-// the history after 20 s; going on from the newest version that it has shown, it would
-// never show what was changed while it was deaf.
+// TestFollowerOfQuietTable follows a row that rarely changes, and checks that the table is
+// listed once, however long nothing changes, and that each change is seen in time. This
+// includes a change made while the feed shows none, which the follower notices by the loss of
+// the history afterwards. Listing each second took 380 kB a second on each node for 1,446
+// routes. Without lists, a feed that continues from the version of the last change leaves the
+// history after 20 s, and one that continues from the newest version that it has shown misses
+// changes during an outage.
 func TestFollowerOfQuietTable(t *testing.T) {
 	const (
 		duration = 90 * time.Second
-		// maxDelay is by when a change is seen once the feed hears again.
+		// maxDelay is the time within which a change must be seen once the feed shows changes
+		// again.
 		maxDelay = 2 * time.Second
 	)
 	for _, c := range []struct {
--- a/internal/tables/relay_test.go
+++ b/internal/tables/relay_test.go
@@ -17,14 +17,14 @@
 // healthCheck is what a relay reads to see whether the service answers.
 var healthCheck = tables.ListRequest{Table: "t"}
 
-// fakeService answers, refuses or is silent.
+// fakeService answers, refuses or doesn't answer.
 type fakeService struct {
 	mu               sync.Mutex
 	silent, refusing bool
-	// silentCalls is how many more calls get no answer, as on old connections.
+	// silentCalls is how many more calls get no answer, as on dead connections.
 	silentCalls int
 	calls       int
-	// responseTime is how long an answer responseTime.
+	// responseTime is how long an answer takes.
 	responseTime time.Duration
 }
 
@@ -77,9 +77,9 @@
 
 func (p peerList) Relays() []tables.Service { return p }
 
-// TestRelayWhileTurnedAway checks that a refused call goes through a peer, that
-// calls don't wait for a silent service again and again, and that its return is found.
-func TestRelayWhileTurnedAway(t *testing.T) {
+// TestRelayWhileServiceRefuses checks that a refused call goes through a peer, that calls don't
+// wait repeatedly for a service that doesn't answer, and that its recovery is detected.
+func TestRelayWhileServiceRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestRelayDoesNotRepeatUnknownWrites checks that a write without an answer is
-// left to its caller, who knows its conditions.
+// TestRelayDoesNotRepeatUnknownWrites checks that a write without an answer is left to its
+// caller, which can tell from the write's conditions whether it took effect.
 func TestRelayDoesNotRepeatUnknownWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, peer := &fakeService{silent: true}, &fakeService{}
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestRelayAfterSilentConnection checks that a service which answers on a new
-// connection is called directly again at once, and that no peer is bothered.
+// TestRelayAfterSilentConnection checks that a service that answers on a new connection is
+// called directly again at once, and not through a peer.
 func TestRelayAfterSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		direct, peer := &fakeService{silentCalls: 1}, &fakeService{silent: true}
@@ -147,8 +147,8 @@
 	})
 }
 
-// TestLostAnswers checks that a call whose answer is lost is given up soon while the
-// service is fast, and that calls of a slow service have the time that they take.
+// TestLostAnswers checks that a call whose answer is lost is cancelled soon while the service
+// is fast, and that calls to a slow service get the time that they need.
 func TestLostAnswers(t *testing.T) {
 	const fast, slow = 4 * time.Millisecond, 280 * time.Millisecond
 	for _, c := range []struct {
@@ -173,7 +173,7 @@
 				if took := time.Since(began); (err == nil) != c.answered || took != c.took {
 					t.Errorf("%v after %s, want %s", err, took, c.took)
 				}
-				// The last look may be open still.
+				// The last health check may still be running.
 				time.Sleep(time.Second)
 			})
 		})
@@ -202,10 +202,10 @@
 	return s.fakeService.Commit(ctx, txn)
 }
 
-// TestLargeWriteOnSlowLink checks that a write isn't given up while it is being sent: one
-// of 700 kB takes 0.75 s over a link of 10 Mbit/s, while other calls are answered at once.
-// It was taken for one whose answer is lost after 0.2 s, and would have been sent again
-// and again.
+// TestLargeWriteOnSlowLink checks that a write isn't cancelled while it is being sent. One of
+// 700 kB takes 0.75 s over a link of 10 Mbit/s, while other calls are answered at once: it was
+// taken for a write whose answer is lost after 0.2 s, and would have been repeated again and
+// again.
 func TestLargeWriteOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := &slowUpload{rate: 1_250_000}
@@ -214,7 +214,7 @@
 		if err != nil || !res.Committed {
 			t.Errorf("%+v, %v", res, err)
 		}
-		// A small one whose answer is lost is given up as soon as before.
+		// A small write whose answer is lost is cancelled as soon as before.
 		svc.set(true, false)
 		began := time.Now()
 		_, err = r.Commit(t.Context(), tables.Txn{Put: []tables.Row{{Table: "t", Key: "k", Value: make([]byte, 100)}}})
--- a/internal/tables/retry_test.go
+++ b/internal/tables/retry_test.go
@@ -9,8 +9,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// TestInvalidRequestWaitsLonger checks that what the service can't accept is not sent
-// again at the pace of what may go through the next time.
+// TestInvalidRequestWaitsLonger checks that a request that the service can't accept is retried
+// after a longer pause than one that may succeed the next time.
 func TestInvalidRequestWaitsLonger(t *testing.T) {
 	const usual = 50 * time.Millisecond
 	for _, c := range []struct {
--- a/internal/tables/tables.go
+++ b/internal/tables/tables.go
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package tables is the product's view of the transactional table service in
-// which everything durable lives, and the ways to use it when it fails: a
-// relay through peers that the service still answers, and a follower that
-// keeps a table current from a feed and from lists.
+// Package tables defines the interface of the transactional table service, in which everything
+// durable lives, and the means to keep using it when it fails: a Relay, which calls it through
+// peers while it is unavailable to this node, and a Follower, which keeps a copy of a table
+// current from its feed and from lists.
+//
+// A table is divided into parts. Rows of one part are committed together, and each part may be
+// unavailable on its own.
 //
 // # Usage
 //
@@ -21,27 +24,29 @@
 	"github.com/pkg/errors"
 )
 
-// Row is one row. Only rows of one part commit together.
+// Row is one row of a table. Only rows of the same part can be committed together.
 type Row struct {
 	Table string `json:"table"`
 	Part  string `json:"part,omitempty"`
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Version is that of the transaction which wrote the row; 0: there is no row.
+	// Version is the version of the transaction that wrote the row; 0 means that there is no
+	// row.
 	Version int64 `json:"version,omitempty"`
-	// Deleted is set in a feed for a row that was removed.
+	// Deleted is set in a feed for a deleted row.
 	Deleted bool `json:"gone,omitempty"`
 }
 
-// Txn takes effect as a whole, and only if each row in If has the version named there.
-// All its rows lie in one part: not every table service commits several together.
+// Txn is a transaction: it takes effect as a whole, and only if each row in If has the version
+// given there. All its rows lie in one part, since not every table service commits several
+// together.
 type Txn struct {
 	If     []Row `json:"if,omitempty"`
 	Put    []Row `json:"put,omitempty"`
 	Remove []Row `json:"remove,omitempty"`
 }
 
-// size returns about how many bytes the Txn has on its way: values go in base64.
+// size returns the approximate size of the encoded Txn in bytes; values are encoded in base64.
 func (t Txn) size() int {
 	n := 0
 	for _, rows := range [][]Row{t.If, t.Put, t.Remove} {
@@ -58,9 +63,9 @@
 // TxnResult is the answer to a Txn.
 type TxnResult struct {
 	Committed bool `json:"committed"`
-	// Version is that of the rows put.
+	// Version is the new version of the rows in Put.
 	Version int64 `json:"version"`
-	// Current holds the rows of If as they stand, when the Txn was not committed.
+	// Current holds the current rows of If, if the Txn was not committed.
 	Current []Row `json:"current,omitempty"`
 }
 
@@ -68,7 +73,7 @@
 type ListRequest struct {
 	Table string `json:"table"`
 	Part  string `json:"part,omitempty"`
-	// From is the first key, To the first one left out; "" is no bound.
+	// From is the first key, and To the first key after the range; "" means no bound.
 	From  string `json:"from,omitempty"`
 	To    string `json:"to,omitempty"`
 	Limit int    `json:"limit,omitempty"`
@@ -81,14 +86,14 @@
 	Version int64 `json:"version"`
 }
 
-// FeedRequest asks for the changes of a table after a version.
+// FeedRequest asks for the changes of a table since a version.
 type FeedRequest struct {
 	Table string        `json:"table"`
 	After int64         `json:"after"`
 	Wait  time.Duration `json:"wait"`
 }
 
-// FeedResult holds the changes in order; the next request goes on after Version.
+// FeedResult holds the changes in order; the next request continues from Version.
 type FeedResult struct {
 	Rows    []Row `json:"rows"`
 	Version int64 `json:"version"`
@@ -101,16 +106,16 @@
 	Feed(ctx context.Context, req FeedRequest) (FeedResult, error)
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindRefused: the service answered that it has done nothing.
+	// KindRefused: the service answered that it did nothing.
 	KindRefused Kind = "refused"
-	// KindUnknown: no answer; a write may take effect now or seconds later.
+	// KindUnknown: there was no answer; a write may take effect now or seconds later.
 	KindUnknown Kind = "unknown"
-	// KindHistoryGone: the feed can't go on from that version.
+	// KindHistoryGone: the feed can't continue from the version, since its history has expired.
 	KindHistoryGone Kind = "history_gone"
 	// KindInvalid: the service can't accept the request as it is.
 	KindInvalid Kind = "invalid"
@@ -141,12 +146,12 @@
 // IsUnknown reports whether a write that returned err may still take effect.
 func IsUnknown(err error) bool { return err != nil && KindOf(err) == KindUnknown }
 
-// invalidRetryDelay is the pause after a request that the service can't accept: the same one
-// is refused again until its sender is mended.
+// invalidRetryDelay is the pause after a request that the service can't accept: it is refused
+// again until the sender is fixed.
 const invalidRetryDelay = time.Second
 
-// RetryPause returns how long to wait before a request that failed is sent again,
-// usually for the pause given.
+// RetryPause returns the pause before a failed request is sent again, which is delay for most
+// errors.
 func RetryPause(err error, delay time.Duration) time.Duration {
 	if KindOf(err) == KindInvalid {
 		return max(delay, invalidRetryDelay)
@@ -154,15 +159,15 @@
 	return delay
 }
 
-// IsFinal reports whether err is the service's answer to the request itself, which it
-// would give by any other way too.
+// IsFinal reports whether err is the service's answer to the request itself, which would be the
+// same through a peer.
 func IsFinal(err error) bool {
 	k := KindOf(err)
 	return k == KindHistoryGone || k == KindInvalid
 }
 
-// ListAll reads all rows that a request asks for, page by page. The version is that
-// of the first page, from which a feed repeats what later pages may have shown.
+// ListAll reads all rows that a request asks for, page by page. It returns the version of the
+// first page: a feed from there repeats changes that later pages may already show.
 func ListAll(ctx context.Context, svc Service, req ListRequest) ([]Row, int64, error) {
 	var rows []Row
 	version := int64(-1)
