--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -15,32 +15,31 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// TestStalledLongRunningTaskMoves lets a task that lasts come to a worker on which nothing
-// comes on, beside a sound one, and checks that it is at work on the sound one soon.
-//
-// Only runs that end were watched for standing still: this one stayed at 0% for good, and
-// counted as away, so that no other task of its step could leave a worker either.
+// TestStalledLongRunningTaskMoves checks that a long-running task that makes no progress on its
+// first worker soon is at work on another one. If only batch runs are watched for progress, it
+// stays at 0% forever, and since it counts as unavailable, no other task of its step can leave
+// a worker either.
 func TestStalledLongRunningTaskMoves(t *testing.T) {
 	const within = 10 * time.Second
 	r := newRig(t, 2)
 	r.upsertWorkers()
 	r.shard.AddJob(r.now, batch("j", longRunningTasks(1, 500)), nil, false)
 	r.runFor(200 * time.Millisecond)
-	stuck := r.workerOf("j")
-	if stuck == "" {
+	stalledOn := r.workerOf("j")
+	if stalledOn == "" {
 		t.Fatal("the task does not run")
 	}
 	for end := r.now.Add(within); r.now.Before(end); {
 		r.runFor(100 * time.Millisecond)
-		r.workers[otherWorker(stuck)].setPercent(100)
+		r.workers[otherWorker(stalledOn)].setPercent(100)
 	}
-	if w := r.workerOf("j"); w != otherWorker(stuck) {
-		t.Errorf("the task runs on %q %v after it stood still on %q", w, within, stuck)
+	if w := r.workerOf("j"); w != otherWorker(stalledOn) {
+		t.Errorf("the task runs on %q %v after it stalled on %q", w, within, stalledOn)
 	}
 }
 
-// TestSlowlyStartingLongRunningTaskIsKept lets a task that lasts be at work only after
-// two seconds in which its percent does not rise, and checks that it isn't stopped.
+// TestSlowlyStartingLongRunningTaskIsKept checks that a long-running task that makes no progress
+// for its first two seconds and is at work then is not stopped.
 func TestSlowlyStartingLongRunningTaskIsKept(t *testing.T) {
 	r := newRig(t, 2)
 	r.upsertWorkers()
@@ -55,12 +54,9 @@
 	}
 }
 
-// TestStalledTaskMovesAfterItsCopyIsLost lets a speculative task stand still, and the
-// worker of its copy die. The task stands still on the first worker all the same, so it has
-// to start elsewhere.
-//
-// A task got one copy in its life; one that stood still was copied or left alone, so that
-// after the copy was lost nothing helped it any more.
+// TestStalledTaskMovesAfterItsCopyIsLost checks that a stalled speculative task whose copy is
+// lost with its worker starts on a third worker. A task may get more than one copy: with only
+// one, nothing helps it once that copy is lost.
 func TestStalledTaskMovesAfterItsCopyIsLost(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -71,7 +67,7 @@
 	first := r.workerOf("j")
 	r.runFor(2 * time.Second)
 	if n := len(r.workersOf("j")); n != 2 {
-		t.Fatalf("%d runs of a task that stands still, want 2", n)
+		t.Fatalf("%d runs of a stalled task, want 2", n)
 	}
 	for _, w := range r.workersOf("j") {
 		if w != first {
@@ -85,13 +81,11 @@
 			return
 		}
 	}
-	t.Errorf("5 s after its copy was lost, the task runs on %v only, where it stands still", r.workersOf("j"))
+	t.Errorf("5 s after its copy was lost, the task runs only on %v, where it is stalled", r.workersOf("j"))
 }
 
-// TestTaskMovesWhenBothRunsStall lets a speculative task and its copy both stand still, and
-// checks that it comes to the third worker, which is sound.
-//
-// With two runs of a task, neither was helped.
+// TestTaskMovesWhenBothRunsStall checks that a speculative task that stalls together with its
+// copy starts on a third, sound worker.
 func TestTaskMovesWhenBothRunsStall(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -99,26 +93,25 @@
 	step.Speculative = true
 	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.runFor(2 * time.Second)
-	still := r.workersOf("j")
-	if len(still) != 2 {
-		t.Fatalf("%d runs of a task that stands still, want 2", len(still))
+	stalledOn := r.workersOf("j")
+	if len(stalledOn) != 2 {
+		t.Fatalf("%d runs of a stalled task, want 2", len(stalledOn))
 	}
 	for range 60 {
 		r.runFor(100 * time.Millisecond)
 		for _, w := range r.workersOf("j") {
-			if w != still[0] && w != still[1] {
+			if w != stalledOn[0] && w != stalledOn[1] {
 				return
 			}
 		}
 	}
-	t.Errorf("6 s later the task runs on %v, where it stands still, and not on the sound worker", r.workersOf("j"))
+	t.Errorf("after 6 s the task runs on %v, where it is stalled, want the third worker", r.workersOf("j"))
 }
 
-// TestTaskAvoidsBusyWorker lets one of two workers answer all starts as busy while one
-// job waits, and checks that it runs on the other soon.
-//
-// A worker that takes no start is set aside once two jobs have met that. A job that was alone
-// chose the same worker each 50 ms for as long as that went on, with room on the other.
+// TestTaskAvoidsBusyWorker checks that a job that is alone in the shard soon starts elsewhere
+// while one worker answers all starts as busy. Such a worker is set aside only after two jobs
+// have met that, so a single job must not choose the same worker again each 50 ms while
+// another one has capacity.
 func TestTaskAvoidsBusyWorker(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gang=%v", gang), func(t *testing.T) {
@@ -134,17 +127,16 @@
 				r.roundWithBusy("w0")
 			}
 			if n := len(r.running()); n != 2 {
-				t.Errorf("%d of 2 tasks run %v after the job came", n, within)
+				t.Errorf("%d of 2 tasks run %v after the job was added", n, within)
 			}
 		})
 	}
 }
 
-// TestInheritedJobMovesOnceWorkersHaveAnswered lets a worker answer a new owner only after its
-// takeover has ended by time, and checks that a job which can't run here may then move.
-//
-// Whether all workers had answered was noted once, at the end of the takeover. After one that
-// ended by time, no job of an earlier owner moved any more, whatever was learned later.
+// TestInheritedJobMovesOnceWorkersHaveAnswered lets a worker answer a new owner only after the
+// takeover has timed out, and checks that an inherited job that can't run here may move from
+// then on. If the answers are checked only once, at the end of the takeover, no inherited job
+// ever moves after a takeover that timed out.
 func TestInheritedJobMovesOnceWorkersHaveAnswered(t *testing.T) {
 	r := newRig(t, 2)
 	r.upsertWorkers()
@@ -154,7 +146,7 @@
 	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.runFor(12 * time.Second)
 	if n := len(r.shard.BeginMoves(r.now, 1)); n != 0 {
-		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
+		t.Fatalf("%d jobs move while a worker may still report their runs, want none", n)
 	}
 	r.workers["w1"].silent = false
 	r.runFor(2 * time.Second)
@@ -163,8 +155,8 @@
 	}
 }
 
-// TestInheritedJobMovesOnceWorkersAreListed lets the machines be listed only after the
-// takeover has ended by time, and checks the same.
+// TestInheritedJobMovesOnceWorkersAreListed checks the same for workers that are listed only
+// after the takeover has timed out.
 func TestInheritedJobMovesOnceWorkersAreListed(t *testing.T) {
 	r := newRig(t, 2)
 	r.takeOverUnlisted()
@@ -174,7 +166,7 @@
 	r.shard.AddJob(r.now, batch("j", step), nil, true)
 	r.runFor(12 * time.Second)
 	if n := len(r.shard.BeginMoves(r.now, 1)); n != 0 {
-		t.Fatalf("%d jobs move while a worker may still tell of their runs", n)
+		t.Fatalf("%d jobs move while a worker may still report their runs, want none", n)
 	}
 	r.shard.ExpectWorkers(r.workerIDs())
 	r.runFor(2 * time.Second)
@@ -183,11 +175,10 @@
 	}
 }
 
-// TestHeldFillerResumes lets a serving task go over its target once, for which the filler
-// beside it is held, and then stay at 0.7 of it. The filler works on in the end.
-//
-// A filler got more only once the tail was under 0.6 of the target. A serving task whose own
-// tail is above that kept it held for good.
+// TestHeldFillerResumes checks that a filler that was held because the serving task beside it
+// exceeded its latency target resumes while that task stays at 0.7 of the target. If it needed
+// the latency to fall below 0.6 of the target, a serving task that is above that by itself would
+// hold it forever.
 func TestHeldFillerResumes(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
@@ -196,7 +187,7 @@
 	r.addLongRunning(batch("serves", serving))
 	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
 	pace := 100
-	tail := func(ms int64, d time.Duration) {
+	runAtLatency := func(ms int64, d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
 			r.runWithProgress(100 * time.Millisecond)
 			for i, e := range r.workers["w0"].running {
@@ -209,18 +200,18 @@
 			}
 		}
 	}
-	tail(50, time.Second)
-	tail(150, 5*time.Second)
+	runAtLatency(50, time.Second)
+	runAtLatency(150, 5*time.Second)
 	if pace != 0 {
-		t.Fatalf("the filler's pace is %d beside a task over its target, want 0", pace)
+		t.Fatalf("the filler's pace is %d beside a serving task over its target, want 0", pace)
 	}
-	tail(70, 10*time.Second)
+	runAtLatency(70, 10*time.Second)
 	if pace == 0 {
-		t.Error("the filler is still held 10 s after the tail fell to 0.7 of the target")
+		t.Error("the filler is still held 10 s after the latency fell to 0.7 of the target")
 	}
 }
 
-// workersOf returns the workers on which something of a job runs, in order.
+// workersOf returns the workers on which tasks of a job run, in order.
 func (r *rig) workersOf(job string) []string {
 	var list []string
 	for _, id := range r.workerIDs() {
@@ -233,7 +224,7 @@
 	return list
 }
 
-// workerOf returns the first worker on which something of a job runs, or "".
+// workerOf returns the first worker on which a task of a job runs, or "".
 func (r *rig) workerOf(job string) string {
 	if list := r.workersOf(job); len(list) > 0 {
 		return list[0]
@@ -241,7 +232,7 @@
 	return ""
 }
 
-// otherWorker returns the otherWorker one of two workers.
+// otherWorker returns the other of the workers w0 and w1.
 func otherWorker(worker string) string {
 	if worker == "w0" {
 		return "w1"
@@ -249,14 +240,14 @@
 	return "w0"
 }
 
-// setPercent sets how far all runs on a worker have come.
+// setPercent sets the progress of all runs on a worker.
 func (f *fakeWorker) setPercent(percent int) {
 	for i := range f.running {
 		f.running[i].Percent = percent
 	}
 }
 
-// roundWithBusy takes one round, in which one worker takes no start.
+// roundWithBusy runs one scheduling round in which one worker answers all starts as busy.
 func (r *rig) roundWithBusy(busy string) {
 	for _, c := range r.shard.Schedule(r.now) {
 		switch c := c.(type) {
@@ -274,21 +265,19 @@
 	}
 }
 
-// TestUnplaceableGangDoesNotBlockOthers lets a gang that no worker could hold wait in a
-// shard that is full of tasks of six seconds, and checks that a less urgent gang, which
-// fits, starts as soon as it does without the first.
-//
-// Room is kept for up to 15 s for the first gang of a round only, and one that never finds
-// any took that place in each round: the second gang waited for as long as the first did.
+// TestUnplaceableGangDoesNotBlockOthers checks that in a shard full of six-second tasks a gang
+// that no set of workers can hold does not delay a less urgent gang that fits. Capacity is
+// reserved for up to 15 s for the first gang of a round only, so a gang that never fits must
+// not take that place in each round.
 func TestUnplaceableGangDoesNotBlockOthers(t *testing.T) {
-	for _, beside := range []bool{false, true} {
-		t.Run(fmt.Sprintf("beside=%v", beside), func(t *testing.T) {
+	for _, unplaceable := range []bool{false, true} {
+		t.Run(fmt.Sprintf("unplaceable=%v", unplaceable), func(t *testing.T) {
 			const within = 20 * time.Second
 			r := newRig(t, 4)
 			r.upsertWorkers()
 			f := &busyShard{rig: r}
 			f.runBusy(6 * time.Second)
-			if beside {
+			if unplaceable {
 				wide := tasks(5, 3000)
 				wide.Gang = true
 				job := batch("wide", wide)
@@ -304,26 +293,26 @@
 				f.runBusy(100 * time.Millisecond)
 			}
 			if !r.isRunning("fits") {
-				t.Errorf("the gang that fits does not run %v after it came", within)
+				t.Errorf("the gang that fits does not run %v after it was added", within)
 			}
 		})
 	}
 }
 
-// busyShard is a rig that is full of tasks of six seconds, of which more always wait.
+// busyShard is a rig that is full of six-second tasks, with more of them always waiting.
 type busyShard struct {
 	*rig
-	// cpu is what each of them takes; 0: half of a worker.
+	// cpu is what each task needs, in thousandths of a core; 0: 2000, half of a worker.
 	cpu int64
-	// everyMS is how often one comes; 0: three in 0.9 s.
+	// everyMS is the time between two submitted tasks; 0: 300 ms.
 	everyMS  int64
 	added    int
 	progress map[cluster.TaskID]float64
 }
 
-// runBusy lets all workers runBusy for a time.
+// runBusy advances the time while all workers make progress and tasks keep being submitted.
 func (f *busyShard) runBusy(d time.Duration) {
-	const percent = 100.0 / 60 // in a tenth of a second
+	const percent = 100.0 / 60 // Progress of a six-second task in 0.1 s.
 	if f.progress == nil {
 		f.progress = make(map[cluster.TaskID]float64)
 	}
@@ -355,11 +344,9 @@
 	}
 }
 
-// TestStalledFillerMoves lets a task that fills come to a worker on which
-// nothing comes on, beside a sound one, and checks that it comes to that one.
-//
-// What fills gets what others leave, so that it may stand still for a while, and was not
-// watched at all: it stayed for good where nothing came on.
+// TestStalledFillerMoves checks that a filler that makes no progress on its first worker moves
+// to a sound one. Fillers get only unused CPU time and may stall for a while, but they must not
+// be exempt from the check for progress.
 func TestStalledFillerMoves(t *testing.T) {
 	const within = 12 * time.Second
 	r := newRig(t, 2)
@@ -368,17 +355,15 @@
 	step.BestEffortCPU = true
 	r.shard.AddJob(r.now, batch("j", step), nil, false)
 	r.runFor(200 * time.Millisecond)
-	stuck := r.workerOf("j")
+	stalledOn := r.workerOf("j")
 	r.runFor(within)
-	if w := r.workerOf("j"); w != otherWorker(stuck) {
-		t.Errorf("the filler runs on %q %v after it stood still on %q", w, within, stuck)
+	if w := r.workerOf("j"); w != otherWorker(stalledOn) {
+		t.Errorf("the filler runs on %q %v after it stalled on %q", w, within, stalledOn)
 	}
 }
 
-// TestHeldFillerMoves lets a serving task stay over its target, for which
-// the filler beside it is held, and then lets a second worker come. The filler goes there.
-//
-// It was held for as long as the serving task was over its target, whatever the cause.
+// TestHeldFillerMoves checks that a filler that is held beside a serving task that stays over
+// its latency target moves to a second worker once there is one.
 func TestHeldFillerMoves(t *testing.T) {
 	const within = 15 * time.Second
 	r := newRig(t, 1)
@@ -387,7 +372,7 @@
 	serving.LatencyTargetMS, filler.BestEffortCPU = 100, true
 	r.addLongRunning(batch("serves", serving))
 	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
-	over := func(d time.Duration) {
+	runOverTarget := func(d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
 			r.runFor(100 * time.Millisecond)
 			for i, e := range r.workers["w0"].running {
@@ -397,24 +382,23 @@
 			}
 		}
 	}
-	over(3 * time.Second)
+	runOverTarget(3 * time.Second)
 	r.workers["w1"] = &fakeWorker{}
 	r.upsertWorkers()
-	over(within)
+	runOverTarget(within)
 	if w := r.workerOf("fills"); w != "w1" {
-		t.Errorf("the filler runs on %q %v after another worker came, want w1", w, within)
+		t.Errorf("the filler runs on %q %v after another worker was added, want w1", w, within)
 	}
 }
 
-// TestUnplaceableStepsDoNotBlockOthers lets more steps wait than may have room set aside in
-// a round, for which there never is any beside tasks that last, and checks that a less urgent
-// one, which only needs some small tasks to end, starts as soon as it does without them.
-//
-// They counted among the steps that have room set aside though none was found for them, in
-// each round, so that the small tasks took all room that came free.
+// TestUnplaceableStepsDoNotBlockOthers checks that steps that never get capacity beside
+// long-running tasks do not delay a less urgent step that fits once some small tasks end. There
+// are more of them than may have capacity reserved in a round, so a step for which none can be
+// reserved must not count towards that limit; otherwise small tasks take all capacity that
+// becomes free.
 func TestUnplaceableStepsDoNotBlockOthers(t *testing.T) {
-	for _, beside := range []int{0, 10} {
-		t.Run(fmt.Sprintf("beside=%d", beside), func(t *testing.T) {
+	for _, unplaceable := range []int{0, 10} {
+		t.Run(fmt.Sprintf("unplaceable=%d", unplaceable), func(t *testing.T) {
 			const within = 20 * time.Second
 			r := newRig(t, 4)
 			r.upsertWorkers()
@@ -423,7 +407,7 @@
 			r.addLongRunning(batch("lasts", each))
 			f := &busyShard{rig: r, cpu: 750, everyMS: 400}
 			f.runBusy(8 * time.Second)
-			for i := range beside {
+			for i := range unplaceable {
 				job := batch(fmt.Sprintf("never%d", i), tasks(1, 3500))
 				job.Policy.Priority = 1
 				r.shard.AddJob(r.now, job, nil, false)
@@ -433,18 +417,16 @@
 				f.runBusy(100 * time.Millisecond)
 			}
 			if !r.isRunning("fits") {
-				t.Errorf("the task that fits does not run %v after it came", within)
+				t.Errorf("the task that fits does not run %v after it was added", within)
 			}
 		})
 	}
 }
 
-// TestOverdueFillerIsPreempted lets a filler that is overdue by its estimate, and
-// goes on, hold the memory that a task that lasts needs, and checks that it makes way soon.
-//
-// The room of a run that is overdue counted as free at once, anew each 0.3 s, so that none
-// was made: the task that lasts started after 6.8 s, and after 0.2 s where the estimate was
-// long. Behind a speculative run that stood still it did not start within 60 s.
+// TestOverdueFillerIsPreempted checks that a filler that has exceeded its estimate and holds the
+// memory that a long-running task needs is soon preempted. If the capacity of an overdue run
+// counted as about to be free, nothing would be preempted: the task started after 6.8 s instead
+// of 0.2 s, and behind a stalled speculative run not within 60 s.
 func TestOverdueFillerIsPreempted(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
@@ -455,15 +437,13 @@
 	r.addLongRunning(batch("lasts", longRunningTasks(1, 1000)))
 	r.runFor(3 * time.Second)
 	if !r.isRunning("lasts") {
-		t.Error("the task that lasts does not run after 3 s")
+		t.Error("the long-running task does not run after 3 s")
 	}
 }
 
-// TestCopiesDoNotUseLastAttempt lets copies of a speculative task fail whose first
-// run is on a worker that is silent, and checks that the job isn't shown as failed.
-//
-// A copy was started after each that had failed: two used up the two attempts while the
-// first run could still succeed.
+// TestCopiesDoNotUseLastAttempt checks that a job does not fail while copies of its speculative
+// task fail and the original run, on a silent worker, may still succeed. Copies must leave an
+// attempt to the original: two of them would use up both attempts.
 func TestCopiesDoNotUseLastAttempt(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -488,13 +468,11 @@
 	r.wantState(cluster.StateRunning)
 }
 
-// TestJobThatStayedIsOfferedAgain lets a job that stayed once wait beside new ones that may
-// move in each round, and checks that it is offered to other shards again.
-//
-// Jobs that had never been offered always came first: one that had stayed was offered in
-// none of 100 rounds.
+// TestJobThatStayedIsOfferedAgain checks that a job for which no other shard was found is offered
+// again while newer jobs may move in each round. If jobs that were never offered always came
+// first, it would never be offered again.
 func TestJobThatStayedIsOfferedAgain(t *testing.T) {
-	const atOnce = 4
+	const perRound = 4
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	add := func(id string) {
@@ -504,15 +482,15 @@
 	}
 	add("stayed")
 	r.runFor(time.Second)
-	r.shard.BeginMoves(r.now, atOnce)
+	r.shard.BeginMoves(r.now, perRound)
 	r.shard.CancelMove("stayed")
 	offered := 0
 	for i := range 50 {
-		for k := range atOnce {
-			add(fmt.Sprintf("n%d", i*atOnce+k))
+		for k := range perRound {
+			add(fmt.Sprintf("n%d", i*perRound+k))
 		}
 		r.runFor(200 * time.Millisecond)
-		for _, m := range r.shard.BeginMoves(r.now, atOnce) {
+		for _, m := range r.shard.BeginMoves(r.now, perRound) {
 			if m.Job.ID == "stayed" {
 				offered++
 				r.shard.CancelMove("stayed")
@@ -522,15 +500,14 @@
 		}
 	}
 	if offered == 0 {
-		t.Error("the job that stayed is offered in none of 50 rounds")
+		t.Error("the job that stayed was offered in none of 50 rounds")
 	}
 }
 
-// TestWaitLogNamesBlockingReason lets a task that lasts wait for a worker that is set aside and
-// full of what lasts, and checks that the log names its being full: a task that lasts takes
-// workers that are set aside.
-//
-// The log named the first reason found, and looked at the worker's health before its room.
+// TestWaitLogNamesBlockingReason lets a long-running task wait for a worker that is set aside and
+// also full of long-running tasks, and checks that the log names the lack of capacity: it is
+// what blocks the task, since long-running tasks use workers that are set aside. The log must
+// not name the worker's health only because that is checked first.
 func TestWaitLogNamesBlockingReason(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	r := newRig(t, 1)
@@ -552,9 +529,9 @@
 	r.runFor(3 * time.Second)
 	waits := logs.FilterMessage("task waits").All()
 	if len(waits) == 0 {
-		t.Fatal("nothing tells that the task waits")
+		t.Fatal("the log has no entry for the waiting task")
 	}
 	if got := waits[0].ContextMap(); got["full"] != int64(1) {
-		t.Errorf("the log names %v, want full=1", got)
+		t.Errorf("the log entry has the fields %v, want full=1", got)
 	}
 }
--- a/internal/scheduler/unanswered_test.go
+++ b/internal/scheduler/unanswered_test.go
@@ -35,9 +35,9 @@
 	return r, starts[0]
 }
 
-// TestUnansweredStartIsResolvedAtOnce checks that a worker that did not answer a start is asked
-// for its runs as soon as it has taken the stop. Without that, the open hold and the next one
-// could each delay the answer by half a second.
+// TestUnansweredStartIsResolvedAtOnce checks that a worker that did not answer a start is
+// polled for its runs as soon as it has taken the stop. Without that, the open hold and the
+// next one could each delay the answer by half a second.
 func TestUnansweredStartIsResolvedAtOnce(t *testing.T) {
 	r, start := startOne(t)
 	r.shard.StartReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyUnknown)
@@ -46,8 +46,8 @@
 		t.Fatalf("%d stops, want 1", len(stops))
 	}
 	r.shard.StopReplied(r.now, start.Worker, start.Task, start.Run, cluster.ReplyOK)
-	if looks := commandsOf[scheduler.Poll](r.shard.Schedule(r.now)); len(looks) != 1 || looks[0].Worker != start.Worker {
-		t.Fatalf("looks are %v, want one at %s", looks, start.Worker)
+	if polls := commandsOf[scheduler.Poll](r.shard.Schedule(r.now)); len(polls) != 1 || polls[0].Worker != start.Worker {
+		t.Fatalf("polls are %v, want one at %s", polls, start.Worker)
 	}
 	r.reportAll()
 	r.now = r.now.Add(50 * time.Millisecond)
