--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -7,34 +7,34 @@
 	"testing"
 )
 
-// The model plays all interleavings of a first owner of shard A that moves a job to
-// shard B, two nodes that take shard A over, shard B's owner, and a caller that cancels
-// the job, with replies that are lost and writes that take effect late. A process may
-// stop at any step, since no step of another waits for it. The writes and their
-// conditions are those of fence.go, move.go and rows.go.
+// The model explores all interleavings of a first owner of shard A that moves a job to shard B,
+// two nodes that take over shard A in turn, the owner of shard B, and a caller that cancels the
+// job. Replies may be lost, and writes may take effect late. A process may stop at any step,
+// since no other one waits for its steps. The writes and their conditions are those of
+// fence.go, move.go and rows.go.
 
 // Steps of an owner of shard A.
 const (
-	stepClaim    = iota // write the owner's row
-	stepSeeFence        // read the fence
-	stepFence           // write the fence
-	stepJobs            // read the jobs
-	stepProgress        // read the progress
-	stepWorkers         // contact the workers, which then refuse lower epochs
-	stepRun             // hold the job, of which nothing runs here
-	stepSeePin          // read the pin
-	stepMark            // write the mark
-	stepMove            // write pin and job for shard B
-	stepSettle          // read the pin after a move without an answer, or a mark found
-	stepBump            // give the pin a new version
-	stepUnmark          // remove the mark of a job that has moved
-	stepBegun           // persist that the job has begun
+	stepClaim          = iota // Write the owner's row.
+	stepReadFence             // Read the fence.
+	stepWriteFence            // Write the fence.
+	stepReadJobs              // Read the jobs.
+	stepReadProgress          // Read the progress.
+	stepContactWorkers        // Contact the workers, which then refuse lower epochs.
+	stepHoldJob               // Have the job, of which nothing runs here.
+	stepReadPin               // Read the pin.
+	stepWriteMark             // Mark the job as moving.
+	stepWriteMove             // Write the pin and the job for shard B.
+	stepResolveMove           // Read the pin after a move without an answer, or after finding a mark.
+	stepBumpPin               // Give the pin a new version.
+	stepRemoveMark            // Remove the mark of a job that has moved.
+	stepWriteBegun            // Persist that the job has begun.
 	stepEnd
 )
 
 // Steps of the caller's cancel.
 const (
-	cancelLooks = iota
+	cancelReadsPin = iota
 	cancelWrites
 	cancelAnswered
 )
@@ -47,180 +47,181 @@
 )
 
 const (
-	shardA = 0
-	shardB = 1
-	owners = 2
-	// noWrite marks an empty slot of writes that may take effect late.
+	shardA     = 0
+	shardB     = 1
+	ownerCount = 2
+	// noWrite marks an empty slot for a write that may take effect late.
 	noWrite = -1
-	// mostPins and mostMarks bound how often the pin and the mark are written before
-	// another move begins, and with it the search.
-	mostPins  = 1
-	mostMarks = 1
+	// maxPinWrites and maxMarkWrites are how often the pin and the mark may have been written
+	// when another move begins. They bound the number of states.
+	maxPinWrites  = 1
+	maxMarkWrites = 1
 )
 
-// modelOwner is what one owner believes. The fields that end in Late hold the version
-// on which a write that may take effect late depends.
-type modelOwner struct {
+// ownerState is what one owner knows. The fields whose names begin with late hold the version
+// that is the condition of a write that may take effect late.
+type ownerState struct {
 	step                                   int8
 	fence, progress, pin                   int8
-	knows, marked, begun                   bool
-	fenceLate, markLate, moveLate, pinLate int8
+	hasJob, marked, begun                  bool
+	lateFence, lateMark, lateMove, latePin int8
 }
 
-// model is one state of all processes and the store.
-type model struct {
+// systemState is one state of all processes and of the store.
+type systemState struct {
 	ownerEpoch, fenceEpoch, workersEpoch int8
 	progress, progressVersion            int8
-	pinAt, pinVersion                    int8
+	pinShard, pinVersion                 int8
 	cancel                               [2]bool
 	started                              [2]bool
-	n                                    [owners]modelOwner
-	canceller, cancelPin, cancelAt       int8
-	cancelLate                           int8
-	cancelLateAt                         int8
-	// readBy is the highest epoch that has read the progress.
-	readBy int8
-	broken int8
+	owners                               [ownerCount]ownerState
+	cancelStep, cancelPin, cancelShard   int8
+	lateCancel                           int8
+	lateCancelShard                      int8
+	// readerEpoch is the highest epoch that has read the progress.
+	readerEpoch int8
+	violated    int8
 }
 
-// The promises of the model.
+// The violations that the model looks for.
 const (
-	kept = iota
+	noViolation = iota
 	ranTwice
 	cancelLost
 	jobLost
 	oldOwnerPersisted
 )
 
-var promiseNames = map[int8]string{
+var violationNames = map[int8]string{
 	ranTwice: "the job ran in both shards", cancelLost: "a cancel was lost by a move",
 	jobLost: "no shard has the job", oldOwnerPersisted: "an owner persisted after its successor had read",
 }
 
-// guards are the safeguards, each of which can be left out.
-type guards struct {
+// removedGuards selects the safeguards that are left out.
+type removedGuards struct {
 	jobsBeforeFence, pinAfterMark, noBump, noMark, noCancelCondition, noFenceCondition, noCaller, noStarts bool
 }
 
-func startModel() model {
-	m := model{ownerEpoch: 1, fenceEpoch: 1, workersEpoch: 1, readBy: 1, cancelLate: noWrite}
-	for k := range m.n {
-		m.n[k] = modelOwner{step: stepClaim, fenceLate: noWrite, markLate: noWrite, moveLate: noWrite, pinLate: noWrite}
+func initialState() systemState {
+	m := systemState{ownerEpoch: 1, fenceEpoch: 1, workersEpoch: 1, readerEpoch: 1, lateCancel: noWrite}
+	for k := range m.owners {
+		m.owners[k] = ownerState{step: stepClaim, lateFence: noWrite, lateMark: noWrite, lateMove: noWrite, latePin: noWrite}
 	}
-	m.n[0].step, m.n[0].knows = stepRun, true
+	m.owners[0].step, m.owners[0].hasJob = stepHoldJob, true
 	return m
 }
 
-// search plays all states that can be reached, and returns how many there are and the
-// promises that are broken in some of them. It ends early once one that it looks for is.
-func search(g guards, until int8) (states int, broken map[int8]bool) {
+// explore visits all reachable states, and returns their number and the violations found. It
+// ends early once the violation until is found.
+func explore(g removedGuards, until int8) (states int, broken map[int8]bool) {
 	broken = make(map[int8]bool)
-	first := startModel()
-	seen := map[model]bool{first: true}
-	open := []model{first}
-	for len(open) > 0 && (until == kept || !broken[until]) {
-		m := open[len(open)-1]
-		open = open[:len(open)-1]
+	initial := initialState()
+	seen := map[systemState]bool{initial: true}
+	stack := []systemState{initial}
+	for len(stack) > 0 && (until == noViolation || !broken[until]) {
+		m := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
 		for _, next := range m.next(g) {
-			if p := next.verdict(); p != kept {
+			if p := next.violation(); p != noViolation {
 				broken[p] = true
 				continue
 			}
-			next.forget(g)
+			next.canonicalize(g)
 			if !seen[next] {
 				seen[next] = true
-				open = append(open, next)
+				stack = append(stack, next)
 			}
 		}
 	}
 	return len(seen), broken
 }
 
-// forget drops what can make no difference any more: beliefs that the next steps don't
-// use, and late writes whose conditions can't hold again, since versions only rise.
-func (m *model) forget(g guards) {
-	for k := range m.n {
-		o := &m.n[k]
-		if o.step != stepFence {
+// canonicalize clears what can make no difference any more, which merges states: values that
+// the next steps don't use, and late writes whose conditions can't hold again, since versions
+// only rise.
+func (m *systemState) canonicalize(g removedGuards) {
+	for k := range m.owners {
+		o := &m.owners[k]
+		if o.step != stepWriteFence {
 			o.fence = 0
 		}
-		if o.step != stepMark && o.step != stepMove && o.step != stepBump {
+		if o.step != stepWriteMark && o.step != stepWriteMove && o.step != stepBumpPin {
 			o.pin = 0
 		}
 		if o.step == stepEnd {
 			o.progress, o.marked, o.begun = 0, false, false
 		}
-		if o.step >= stepRun {
+		if o.step >= stepHoldJob {
 			o.marked = false
 		}
 		fencedOff := m.fenceEpoch > int8(k+1) && !g.noFenceCondition
-		drop(&o.fenceLate, o.fenceLate != m.fenceEpoch)
-		drop(&o.markLate, o.markLate != m.progressVersion || fencedOff)
-		drop(&o.moveLate, o.moveLate != m.pinVersion)
-		drop(&o.pinLate, o.pinLate != m.pinVersion)
+		clearIf(&o.lateFence, o.lateFence != m.fenceEpoch)
+		clearIf(&o.lateMark, o.lateMark != m.progressVersion || fencedOff)
+		clearIf(&o.lateMove, o.lateMove != m.pinVersion)
+		clearIf(&o.latePin, o.latePin != m.pinVersion)
 	}
-	drop(&m.cancelLate, m.cancelLate != m.pinVersion)
-	if m.cancelLate == noWrite {
-		m.cancelLateAt = 0
+	clearIf(&m.lateCancel, m.lateCancel != m.pinVersion)
+	if m.lateCancel == noWrite {
+		m.lateCancelShard = 0
 	}
-	if m.canceller != cancelWrites {
-		m.cancelPin, m.cancelAt = 0, 0
+	if m.cancelStep != cancelWrites {
+		m.cancelPin, m.cancelShard = 0, 0
 	}
 }
 
-// drop empties a slot of late writes.
-func drop(slot *int8, dead bool) {
-	if dead {
+// clearIf empties a slot for a late write if the condition holds.
+func clearIf(slot *int8, condition bool) {
+	if condition {
 		*slot = noWrite
 	}
 }
 
-// verdict returns the promise that a state breaks.
-func (m *model) verdict() int8 {
+// violation returns the violation in a state, or noViolation.
+func (m *systemState) violation() int8 {
 	switch {
-	case m.broken != kept:
-		return m.broken
+	case m.violated != noViolation:
+		return m.violated
 	case m.started[shardA] && m.started[shardB]:
 		return ranTwice
-	case (m.cancel[shardA] || m.cancel[shardB]) && !m.cancel[m.pinAt]:
+	case (m.cancel[shardA] || m.cancel[shardB]) && !m.cancel[m.pinShard]:
 		return cancelLost
 	}
-	for k := range m.n {
+	for k := range m.owners {
 		last := int8(k+1) == m.ownerEpoch && m.ownerEpoch == m.fenceEpoch
-		if last && m.n[k].step == stepEnd && !m.n[k].knows && m.pinAt == shardA {
+		if last && m.owners[k].step == stepEnd && !m.owners[k].hasJob && m.pinShard == shardA {
 			return jobLost
 		}
 	}
-	return kept
+	return noViolation
 }
 
-// next returns all states that can follow.
-func (m *model) next(g guards) []model {
-	var list []model
-	for k := range m.n {
-		list = append(list, m.ownerSteps(g, k)...)
-		list = append(list, m.lateWrites(g, k)...)
+// next returns all successor states.
+func (m *systemState) next(g removedGuards) []systemState {
+	var states []systemState
+	for k := range m.owners {
+		states = append(states, m.ownerSteps(g, k)...)
+		states = append(states, m.lateWrites(g, k)...)
 	}
 	if !g.noCaller {
-		list = append(list, m.cancelSteps()...)
+		states = append(states, m.cancelSteps()...)
 	}
-	if !g.noStarts && m.pinAt == shardB && !m.cancel[shardB] && !m.started[shardB] {
+	if !g.noStarts && m.pinShard == shardB && !m.cancel[shardB] && !m.started[shardB] {
 		s := *m
 		s.started[shardB] = true
-		list = append(list, s)
+		states = append(states, s)
 	}
-	return list
+	return states
 }
 
-// write plays a write with its three outcomes: answered, done but unanswered, and late.
-// The functions do the write (false: its condition doesn't hold), and note the outcome.
-func (m *model) write(do func(*model) bool, answered func(s *model, done bool), unknown func(*model), late func(*model) bool) []model {
+// write models a write with its three outcomes: answered, done but unanswered, and late. The
+// functions do the write (false means that its condition doesn't hold) and record the outcome.
+func (m *systemState) write(do func(*systemState) bool, answered func(s *systemState, done bool), unknown func(*systemState), late func(*systemState) bool) []systemState {
 	now := *m
 	done := do(&now)
 	lost := now
 	answered(&now, done)
 	unknown(&lost)
-	list := []model{now, lost}
+	list := []systemState{now, lost}
 	later := *m
 	if late(&later) {
 		unknown(&later)
@@ -229,8 +230,8 @@
 	return list
 }
 
-// put sets an empty slot of late writes.
-func put(slot *int8, version int8) bool {
+// setIfEmpty sets an empty slot for a late write.
+func setIfEmpty(slot *int8, version int8) bool {
 	if *slot != noWrite {
 		return false
 	}
@@ -239,102 +240,103 @@
 }
 
 // ownerSteps returns the states after one step of an owner.
-func (m *model) ownerSteps(g guards, k int) []model {
+func (m *systemState) ownerSteps(g removedGuards, k int) []systemState {
 	s := *m
-	o := &s.n[k]
+	o := &s.owners[k]
 	epoch := int8(k + 1)
 	switch o.step {
 	case stepClaim:
 		if m.ownerEpoch != epoch-1 {
 			return nil
 		}
-		s.ownerEpoch, o.step = epoch, stepSeeFence
+		s.ownerEpoch, o.step = epoch, stepReadFence
 		if g.jobsBeforeFence {
-			o.step = stepJobs
+			o.step = stepReadJobs
 		}
-	case stepSeeFence:
-		o.fence, o.step = m.fenceEpoch, stepFence
+	case stepReadFence:
+		o.fence, o.step = m.fenceEpoch, stepWriteFence
 		if m.fenceEpoch >= epoch {
-			o.step = fenced(g, epoch == m.fenceEpoch)
+			o.step = stepAfterFence(g, epoch == m.fenceEpoch)
 		}
-	case stepFence:
+	case stepWriteFence:
 		return m.write(
-			func(s *model) bool { return s.takeFence(k, o.fence) },
-			func(s *model, done bool) {
-				s.n[k].step = stepSeeFence
+			func(s *systemState) bool { return s.takeFence(k, o.fence) },
+			func(s *systemState, done bool) {
+				s.owners[k].step = stepReadFence
 				if done {
-					s.n[k].step = fenced(g, true)
+					s.owners[k].step = stepAfterFence(g, true)
 				}
 			},
-			func(s *model) { s.n[k].step = stepSeeFence },
-			func(s *model) bool { return put(&s.n[k].fenceLate, o.fence) })
-	case stepJobs:
-		o.knows, o.step = m.pinAt == shardA, stepProgress
+			func(s *systemState) { s.owners[k].step = stepReadFence },
+			func(s *systemState) bool { return setIfEmpty(&s.owners[k].lateFence, o.fence) })
+	case stepReadJobs:
+		o.hasJob, o.step = m.pinShard == shardA, stepReadProgress
 		if g.jobsBeforeFence {
-			o.step = stepSeeFence
+			o.step = stepReadFence
 		}
-	case stepProgress:
+	case stepReadProgress:
 		o.marked, o.begun, o.progress = m.progress == progressMark, m.progress == progressBegun, m.progressVersion
-		s.readBy, o.step = max(s.readBy, epoch), stepWorkers
-	case stepWorkers:
+		s.readerEpoch, o.step = max(s.readerEpoch, epoch), stepContactWorkers
+	case stepContactWorkers:
 		s.workersEpoch = max(s.workersEpoch, epoch)
 		o.begun = o.begun || m.started[shardA]
 		switch {
-		case !o.knows:
+		case !o.hasJob:
 			o.step = stepEnd
 		case o.marked:
-			o.step = stepSettle
+			o.step = stepResolveMove
 		default:
-			o.step = stepRun
+			o.step = stepHoldJob
 		}
-	case stepRun:
-		return m.runSteps(g, k)
-	case stepMark:
+	case stepHoldJob:
+		return m.holdJobSteps(g, k)
+	case stepWriteMark:
 		return m.markSteps(g, k)
-	case stepSeePin, stepSettle:
+	case stepReadPin, stepResolveMove:
 		o.pin = m.pinVersion
 		switch {
-		case m.pinAt != shardA:
-			o.knows, o.step = false, stepUnmark
-		case o.step == stepSeePin && !g.noMark && !g.pinAfterMark:
-			o.step = stepMark
-		case o.step == stepSeePin:
-			o.step = stepMove
+		case m.pinShard != shardA:
+			o.hasJob, o.step = false, stepRemoveMark
+		case o.step == stepReadPin && !g.noMark && !g.pinAfterMark:
+			o.step = stepWriteMark
+		case o.step == stepReadPin:
+			o.step = stepWriteMove
 		case g.noBump:
-			o.step = stepRun
+			o.step = stepHoldJob
 		default:
-			o.step = stepBump
+			o.step = stepBumpPin
 		}
-	case stepMove:
+	case stepWriteMove:
 		return m.moveSteps(g, k)
-	case stepBump:
+	case stepBumpPin:
 		return m.bumpSteps(k)
-	case stepUnmark:
+	case stepRemoveMark:
 		if m.fenceEpoch == epoch && m.progressVersion == o.progress {
 			s.progress, s.progressVersion = progressNone, m.progressVersion+1
 		}
 		o.step = stepEnd
-	case stepBegun:
+	case stepWriteBegun:
 		return m.begunSteps(k)
 	default:
 		return nil
 	}
-	return []model{s}
+	return []systemState{s}
 }
 
-// fenced returns the step after the fence was taken, or lost to a higher epoch.
-func fenced(g guards, mine bool) int8 {
+// stepAfterFence returns the step after the fence was taken by this owner, or by one with a
+// higher epoch.
+func stepAfterFence(g removedGuards, taken bool) int8 {
 	switch {
-	case !mine:
+	case !taken:
 		return stepEnd
 	case g.jobsBeforeFence:
-		return stepProgress
+		return stepReadProgress
 	}
-	return stepJobs
+	return stepReadJobs
 }
 
 // takeFence writes the fence on condition of the epoch seen.
-func (m *model) takeFence(k int, seen int8) bool {
+func (m *systemState) takeFence(k int, seen int8) bool {
 	if m.fenceEpoch != seen {
 		return false
 	}
@@ -342,24 +344,24 @@
 	return true
 }
 
-// runSteps returns what an owner may do with a job of which nothing runs.
-func (m *model) runSteps(g guards, k int) []model {
-	var list []model
+// holdJobSteps returns what an owner may do with a job of which nothing runs.
+func (m *systemState) holdJobSteps(g removedGuards, k int) []systemState {
+	var list []systemState
 	if m.cancel[shardA] {
 		s := *m
-		s.n[k].step = stepEnd
+		s.owners[k].step = stepEnd
 		list = append(list, s)
 	}
 	if !g.noStarts && int8(k+1) >= m.workersEpoch {
 		s := *m
-		s.started[shardA], s.n[k].begun, s.n[k].step = true, true, stepBegun
+		s.started[shardA], s.owners[k].begun, s.owners[k].step = true, true, stepWriteBegun
 		list = append(list, s)
 	}
-	if !m.n[k].begun && m.pinVersion < mostPins && m.progressVersion < mostMarks {
+	if !m.owners[k].begun && m.pinVersion < maxPinWrites && m.progressVersion < maxMarkWrites {
 		s := *m
-		s.n[k].step = stepSeePin
+		s.owners[k].step = stepReadPin
 		if g.pinAfterMark {
-			s.n[k].step = stepMark
+			s.owners[k].step = stepWriteMark
 		}
 		list = append(list, s)
 	}
@@ -367,24 +369,24 @@
 }
 
 // setProgress writes progress under an owner's fence, on condition of its version.
-func (m *model) setProgress(g guards, k int, value, seen int8) bool {
+func (m *systemState) setProgress(g removedGuards, k int, value, seen int8) bool {
 	if (m.fenceEpoch != int8(k+1) && !g.noFenceCondition) || m.progressVersion != seen {
 		return false
 	}
-	if m.readBy > int8(k+1) {
-		m.broken = oldOwnerPersisted
+	if m.readerEpoch > int8(k+1) {
+		m.violated = oldOwnerPersisted
 	}
 	m.progress, m.progressVersion = value, seen+1
 	return true
 }
 
-// afterProgress notes the answer to a write of progress: done, fenced off, or at
-// another version.
-func (m *model) afterProgress(k int, done bool, then, again int8) {
-	o := &m.n[k]
+// progressAnswered records the answer to a write of progress: done, fenced off, or refused
+// because the version differs.
+func (m *systemState) progressAnswered(k int, done bool, next, again int8) {
+	o := &m.owners[k]
 	switch {
 	case done:
-		o.progress, o.step = m.progressVersion, then
+		o.progress, o.step = m.progressVersion, next
 	case m.fenceEpoch != int8(k+1):
 		o.step = stepEnd
 	default:
@@ -392,57 +394,57 @@
 	}
 }
 
-func (m *model) markSteps(g guards, k int) []model {
-	seen := m.n[k].progress
+func (m *systemState) markSteps(g removedGuards, k int) []systemState {
+	seen := m.owners[k].progress
 	return m.write(
-		func(s *model) bool { return s.setProgress(g, k, progressMark, seen) },
-		func(s *model, done bool) { s.afterProgress(k, done, afterMark(g), stepRun) },
-		func(s *model) { s.n[k].step = stepRun },
-		func(s *model) bool { return put(&s.n[k].markLate, seen) })
+		func(s *systemState) bool { return s.setProgress(g, k, progressMark, seen) },
+		func(s *systemState, done bool) { s.progressAnswered(k, done, stepAfterMark(g), stepHoldJob) },
+		func(s *systemState) { s.owners[k].step = stepHoldJob },
+		func(s *systemState) bool { return setIfEmpty(&s.owners[k].lateMark, seen) })
 }
 
-// afterMark returns the step after the mark.
-func afterMark(g guards) int8 {
+// stepAfterMark returns the step after the mark.
+func stepAfterMark(g removedGuards) int8 {
 	if g.pinAfterMark {
-		return stepSeePin
+		return stepReadPin
 	}
-	return stepMove
+	return stepWriteMove
 }
 
-func (m *model) begunSteps(k int) []model {
-	seen := m.n[k].progress
+func (m *systemState) begunSteps(k int) []systemState {
+	seen := m.owners[k].progress
 	return m.write(
-		func(s *model) bool { return s.setProgress(guards{}, k, progressBegun, seen) },
-		func(s *model, done bool) { s.afterProgress(k, done, stepEnd, stepBegun) },
-		func(s *model) { s.n[k].step = stepBegun },
-		func(*model) bool { return false })
+		func(s *systemState) bool { return s.setProgress(removedGuards{}, k, progressBegun, seen) },
+		func(s *systemState, done bool) { s.progressAnswered(k, done, stepEnd, stepWriteBegun) },
+		func(s *systemState) { s.owners[k].step = stepWriteBegun },
+		func(*systemState) bool { return false })
 }
 
-// repin moves the job's rows on condition of the pin and of no cancel.
-func (m *model) repin(g guards, seen int8) bool {
+// movePin moves the job to shard B, on condition of the pin and of no cancel.
+func (m *systemState) movePin(g removedGuards, seen int8) bool {
 	if m.pinVersion != seen || (m.cancel[shardA] && !g.noCancelCondition) {
 		return false
 	}
-	m.pinAt, m.pinVersion = shardB, seen+1
+	m.pinShard, m.pinVersion = shardB, seen+1
 	return true
 }
 
-func (m *model) moveSteps(g guards, k int) []model {
-	seen := m.n[k].pin
+func (m *systemState) moveSteps(g removedGuards, k int) []systemState {
+	seen := m.owners[k].pin
 	return m.write(
-		func(s *model) bool { return s.repin(g, seen) },
-		func(s *model, done bool) {
-			s.n[k].step = stepRun
+		func(s *systemState) bool { return s.movePin(g, seen) },
+		func(s *systemState, done bool) {
+			s.owners[k].step = stepHoldJob
 			if done {
-				s.n[k].knows, s.n[k].step = false, stepUnmark
+				s.owners[k].hasJob, s.owners[k].step = false, stepRemoveMark
 			}
 		},
-		func(s *model) { s.n[k].step = stepSettle },
-		func(s *model) bool { return put(&s.n[k].moveLate, seen) })
+		func(s *systemState) { s.owners[k].step = stepResolveMove },
+		func(s *systemState) bool { return setIfEmpty(&s.owners[k].lateMove, seen) })
 }
 
-// bump gives the pin a new version.
-func (m *model) bump(seen int8) bool {
+// bumpPin gives the pin a new version.
+func (m *systemState) bumpPin(seen int8) bool {
 	if m.pinVersion != seen {
 		return false
 	}
@@ -450,71 +452,71 @@
 	return true
 }
 
-func (m *model) bumpSteps(k int) []model {
-	if m.pinVersion > mostPins+1 {
+func (m *systemState) bumpSteps(k int) []systemState {
+	if m.pinVersion > maxPinWrites+1 {
 		return nil
 	}
-	seen := m.n[k].pin
+	seen := m.owners[k].pin
 	return m.write(
-		func(s *model) bool { return s.bump(seen) },
-		func(s *model, done bool) {
-			s.n[k].step = stepSettle
+		func(s *systemState) bool { return s.bumpPin(seen) },
+		func(s *systemState, done bool) {
+			s.owners[k].step = stepResolveMove
 			if done {
-				s.n[k].step = stepRun
+				s.owners[k].step = stepHoldJob
 			}
 		},
-		func(s *model) { s.n[k].step = stepSettle },
-		func(s *model) bool { return put(&s.n[k].pinLate, seen) })
+		func(s *systemState) { s.owners[k].step = stepResolveMove },
+		func(s *systemState) bool { return setIfEmpty(&s.owners[k].latePin, seen) })
 }
 
 // lateWrites returns the states after a late write of an owner takes effect.
-func (m *model) lateWrites(g guards, k int) []model {
-	var list []model
-	late := func(slot func(*modelOwner) *int8, do func(s *model, seen int8) bool) {
-		seen := *slot(&m.n[k])
+func (m *systemState) lateWrites(g removedGuards, k int) []systemState {
+	var list []systemState
+	late := func(slot func(*ownerState) *int8, do func(s *systemState, seen int8) bool) {
+		seen := *slot(&m.owners[k])
 		if seen == noWrite {
 			return
 		}
 		s := *m
-		*slot(&s.n[k]) = noWrite
+		*slot(&s.owners[k]) = noWrite
 		if do(&s, seen) {
 			list = append(list, s)
 		}
 	}
-	late(func(o *modelOwner) *int8 { return &o.fenceLate }, func(s *model, seen int8) bool { return s.takeFence(k, seen) })
-	late(func(o *modelOwner) *int8 { return &o.markLate }, func(s *model, seen int8) bool { return s.setProgress(g, k, progressMark, seen) })
-	late(func(o *modelOwner) *int8 { return &o.moveLate }, func(s *model, seen int8) bool { return s.repin(g, seen) })
-	late(func(o *modelOwner) *int8 { return &o.pinLate }, func(s *model, seen int8) bool { return s.bump(seen) })
+	late(func(o *ownerState) *int8 { return &o.lateFence }, func(s *systemState, seen int8) bool { return s.takeFence(k, seen) })
+	late(func(o *ownerState) *int8 { return &o.lateMark }, func(s *systemState, seen int8) bool { return s.setProgress(g, k, progressMark, seen) })
+	late(func(o *ownerState) *int8 { return &o.lateMove }, func(s *systemState, seen int8) bool { return s.movePin(g, seen) })
+	late(func(o *ownerState) *int8 { return &o.latePin }, func(s *systemState, seen int8) bool { return s.bumpPin(seen) })
 	return list
 }
 
 // cancelSteps returns the states after one step of the caller's cancel.
-func (m *model) cancelSteps() []model {
-	var list []model
-	switch m.canceller {
-	case cancelLooks:
+func (m *systemState) cancelSteps() []systemState {
+	var list []systemState
+	switch m.cancelStep {
+	case cancelReadsPin:
 		s := *m
-		s.cancelPin, s.cancelAt, s.canceller = m.pinVersion, m.pinAt, cancelWrites
+		s.cancelPin, s.cancelShard, s.cancelStep = m.pinVersion, m.pinShard, cancelWrites
 		list = append(list, s)
 	case cancelWrites:
 		list = m.write(
-			func(s *model) bool { return s.setCancel(m.cancelPin, m.cancelAt) },
-			func(s *model, done bool) {
-				s.canceller = cancelLooks
+			func(s *systemState) bool { return s.setCancel(m.cancelPin, m.cancelShard) },
+			func(s *systemState, done bool) {
+				s.cancelStep = cancelReadsPin
 				if done {
-					s.canceller = cancelAnswered
+					s.cancelStep = cancelAnswered
 				}
 			},
-			func(s *model) { s.canceller = cancelLooks },
-			func(s *model) bool {
-				s.cancelLateAt = m.cancelAt
-				return put(&s.cancelLate, m.cancelPin)
+			func(s *systemState) { s.cancelStep = cancelReadsPin },
+			func(s *systemState) bool {
+				s.lateCancelShard = m.cancelShard
+				return setIfEmpty(&s.lateCancel, m.cancelPin)
 			})
 	}
-	if m.cancelLate != noWrite {
+	if m.lateCancel != noWrite {
 		s := *m
-		s.cancelLate = noWrite
-		if s.setCancel(m.cancelLate, m.cancelLateAt) {
+		s.lateCancel = noWrite
+		if s.setCancel(m.lateCancel, m.lateCancelShard) {
 			list = append(list, s)
 		}
 	}
@@ -522,7 +524,7 @@
 }
 
 // setCancel writes the cancel on condition of the pin.
-func (m *model) setCancel(pin, at int8) bool {
+func (m *systemState) setCancel(pin, at int8) bool {
 	if m.pinVersion != pin {
 		return false
 	}
@@ -530,51 +532,52 @@
 	return true
 }
 
-// TestModelKeepsPromises checks the order of writes in all interleavings, with the
-// starts of the job and with the caller's cancel in turn. With both at once, which
-// MODEL=full plays, there are 11 million states.
-func TestModelKeepsPromises(t *testing.T) {
-	type play struct {
+// TestModelInvariants checks the order of writes in all interleavings, once with starts of the
+// job and once with the caller's cancel. MODEL=full adds both at once, which takes 11 million
+// states.
+func TestModelInvariants(t *testing.T) {
+	type scenario struct {
 		name string
-		g    guards
-		// least is how many states there are at least; fewer mean that the search ends early.
-		least int
+		g    removedGuards
+		// minStates is the least number of states: fewer mean that the exploration ended early.
+		minStates int
 	}
-	plays := []play{{"starts", guards{noCaller: true}, 500_000}, {"cancel", guards{noStarts: true}, 9_000}}
+	scenarios := []scenario{{"starts", removedGuards{noCaller: true}, 500_000}, {"cancel", removedGuards{noStarts: true}, 9_000}}
 	if os.Getenv("MODEL") == "full" {
-		plays = append(plays, play{"full", guards{}, 5_000_000})
+		scenarios = append(scenarios, scenario{"full", removedGuards{}, 5_000_000})
 	}
-	for _, c := range plays {
+	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
-			states, broken := search(c.g, kept)
+			states, broken := explore(c.g, noViolation)
 			t.Logf("%d states", states)
 			for p := range broken {
-				t.Errorf("broken: %s", promiseNames[p])
+				t.Errorf("invariant violated: %s", violationNames[p])
 			}
-			if states < c.least {
+			if states < c.minStates {
 				t.Errorf("only %d states were reached", states)
 			}
 		})
 	}
 }
 
-// TestModelCanFail checks that the model finds what each safeguard prevents.
-func TestModelCanFail(t *testing.T) {
+// TestModelDetectsRemovedGuards checks that the model finds the violation that each safeguard
+// prevents.
+func TestModelDetectsRemovedGuards(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		g    guards
+		g    removedGuards
 		want int8
 	}{
-		{"jobs read before the fence is taken", guards{jobsBeforeFence: true, noCaller: true}, ranTwice},
-		{"pin read after the mark", guards{pinAfterMark: true, noCaller: true}, ranTwice},
-		{"pin without a new version", guards{noBump: true, noCaller: true}, ranTwice},
-		{"no mark", guards{noMark: true, noCaller: true}, ranTwice},
-		{"move in spite of a cancel", guards{noCancelCondition: true, noStarts: true}, cancelLost},
-		{"progress without the fence", guards{noFenceCondition: true, noCaller: true}, oldOwnerPersisted},
+		{"jobs read before the fence is taken", removedGuards{jobsBeforeFence: true, noCaller: true}, ranTwice},
+		{"pin read after the mark", removedGuards{pinAfterMark: true, noCaller: true}, ranTwice},
+		{"pin without a new version", removedGuards{noBump: true, noCaller: true}, ranTwice},
+		{"no mark", removedGuards{noMark: true, noCaller: true}, ranTwice},
+		{"move in spite of a cancel", removedGuards{noCancelCondition: true, noStarts: true}, cancelLost},
+		{"progress without the fence", removedGuards{noFenceCondition: true, noCaller: true}, oldOwnerPersisted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, broken := search(c.g, c.want); !broken[c.want] {
-				t.Errorf("not found: %s", promiseNames[c.want])
+			if _, broken := explore(c.g, c.want); !broken[c.want] {
+				t.Errorf("violation not found: %s", violationNames[c.want])
 			}
 		})
 	}
