--- a/internal/owner/advice.go
+++ b/internal/owner/advice.go
@@ -47,8 +47,8 @@
 	backoffUntil time.Time
 }
 
-// addOpen adds n calls of the class of a to those in flight.
-func (l *adviserLoad) addOpen(a scheduler.RequestAdvice, n int) {
+// addInFlight adds n calls of the class of a to those in flight.
+func (l *adviserLoad) addInFlight(a scheduler.RequestAdvice, n int) {
 	if isLongCall(a) {
 		l.long += n
 	} else {
@@ -79,13 +79,13 @@
 // Add queues a call, which is sent as soon as a node can take it.
 func (q *AdviceQueue) Add(a scheduler.RequestAdvice) {
 	q.mu.Lock()
-	at, _ := slices.BinarySearchFunc(q.pending, a, func(x, y scheduler.RequestAdvice) int {
+	i, _ := slices.BinarySearchFunc(q.pending, a, func(x, y scheduler.RequestAdvice) int {
 		if x.Rank.Before(y.Rank) {
 			return -1
 		}
 		return 1
 	})
-	q.pending = slices.Insert(q.pending, at, a)
+	q.pending = slices.Insert(q.pending, i, a)
 	q.mu.Unlock()
 	q.Dispatch()
 }
@@ -109,7 +109,7 @@
 			}
 			continue
 		}
-		load.addOpen(a, 1)
+		load.addInFlight(a, 1)
 		go q.call(q.ctx, adviser, load, a)
 	}
 	q.pending = unsent
@@ -196,7 +196,7 @@
 	}
 	issuedAt := estimateIssuedAt(sent, a.ExpectedDuration)
 	q.mu.Lock()
-	load.addOpen(a, -1)
+	load.addInFlight(a, -1)
 	if err != nil {
 		issuedAt = time.Now()
 		load.backoffUntil = issuedAt.Add(adviserBackoff)
@@ -210,8 +210,8 @@
 // issued. What a call takes beyond its expected duration and the wait behind one other call is
 // time in transit, such as on a node that has stalled. Meanwhile the tickets expire, and starts
 // that use them later would be rejected.
-func estimateIssuedAt(sent time.Time, takes time.Duration) time.Time {
-	now, expected := time.Now(), sent.Add(takes+minLongCall)
+func estimateIssuedAt(sent time.Time, expectedDuration time.Duration) time.Time {
+	now, expected := time.Now(), sent.Add(expectedDuration+minLongCall)
 	if now.After(expected) {
 		return expected
 	}
--- a/internal/owner/deleteloop.go
+++ b/internal/owner/deleteloop.go
@@ -53,7 +53,7 @@
 	case err != nil:
 		o.deleteQueue.add(rows...)
 		if ctx.Err() == nil {
-			o.Log.Info("deleting rows of finished jobs failed", events.StoreFailed, zap.Int("rows", len(rows)), zap.Error(err))
+			o.Log.Info("deleting obsolete rows failed", events.StoreFailed, zap.Int("rows", len(rows)), zap.Error(err))
 		}
 	case res.Committed:
 		for _, r := range rows {
--- a/internal/owner/deletequeue.go
+++ b/internal/owner/deletequeue.go
@@ -46,17 +46,17 @@
 func rowIDOf(r tables.Row) rowID { return rowID{r.Table, r.Key} }
 
 // add queues rows, each once.
-func (l *deleteQueue) add(rows ...tables.Row) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.parts == nil {
-		l.parts = make(map[string]*queuedPart)
+func (q *deleteQueue) add(rows ...tables.Row) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.parts == nil {
+		q.parts = make(map[string]*queuedPart)
 	}
 	for _, r := range rows {
-		p := l.parts[r.Part]
+		p := q.parts[r.Part]
 		if p == nil {
 			p = &queuedPart{firstAt: time.Now(), queued: make(map[rowID]bool)}
-			l.parts[r.Part] = p
+			q.parts[r.Part] = p
 		}
 		if p.queued[rowIDOf(r)] {
 			continue
@@ -67,20 +67,20 @@
 }
 
 // observeWrite records how long a write of progress took.
-func (l *deleteQueue) observeWrite(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastWriteTime = d
+func (q *deleteQueue) observeWrite(d time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.lastWriteTime = d
 }
 
 // takeBatch removes and returns rows of one part, if any part has enough of them.
-func (l *deleteQueue) takeBatch() []tables.Row {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.lastWriteTime > maxWriteTimeForDelete {
+func (q *deleteQueue) takeBatch() []tables.Row {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.lastWriteTime > maxWriteTimeForDelete {
 		return nil
 	}
-	for part, p := range l.parts {
+	for part, p := range q.parts {
 		if !p.due() {
 			continue
 		}
@@ -90,7 +90,7 @@
 			delete(p.queued, rowIDOf(r))
 		}
 		if p.rows = p.rows[n:]; len(p.rows) == 0 {
-			delete(l.parts, part)
+			delete(q.parts, part)
 		}
 		return rows
 	}
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -49,8 +49,8 @@
 
 // directoryEntry is a decoded row of the directory.
 type directoryEntry struct {
-	key  string
-	gone bool
+	key     string
+	deleted bool
 	// worker is nil if the row names no valid worker of this shard.
 	worker *cluster.Worker
 }
@@ -67,7 +67,7 @@
 		s.DirectoryRead(now)
 		for _, e := range entries {
 			switch {
-			case e.gone:
+			case e.deleted:
 				s.WorkerUnlisted(now, e.key)
 			case e.worker == nil:
 				s.WorkerEntryInvalid(now, e.key)
@@ -94,7 +94,7 @@
 func (o *Owner) decodeEntry(r tables.Row) directoryEntry {
 	if r.Deleted {
 		o.refusedEntries.Remove(r.Key)
-		return directoryEntry{key: r.Key, gone: true}
+		return directoryEntry{key: r.Key, deleted: true}
 	}
 	w, err := o.Directory.Worker(r)
 	if err != nil {
@@ -122,7 +122,7 @@
 		return
 	}
 	o.refusedEntries.Add(key, reported)
-	o.Log.Warn("worker row skipped", events.RowSkipped, zap.String("table", o.Directory.Table()), zap.String("key", key),
+	o.Log.Warn("invalid worker row skipped", events.RowSkipped, zap.String("table", o.Directory.Table()), zap.String("key", key),
 		zap.String("reason", string(reason)), zap.String("field", field), zap.Error(err))
 	o.CountRefusedEntry(reason)
 }
--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -32,67 +32,67 @@
 // fallback tracks the fallback rows and whether they are in use.
 type fallback struct {
 	mu sync.Mutex
-	// since is when the part of the progress stopped answering; zero means that it answers.
-	since time.Time
+	// outageStart is when the part of the progress stopped answering; zero means that it answers.
+	outageStart time.Time
 	// rows maps a job ID to the keys of its fallback rows.
 	rows map[string][]tables.Row
 }
 
 // active reports whether progress goes to fallback rows.
-func (s *fallback) active() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.since.IsZero()
+func (f *fallback) active() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return !f.outageStart.IsZero()
 }
 
 // activate notes that the part of the progress doesn't answer; false means that this was known.
-func (s *fallback) activate() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.since.IsZero() {
+func (f *fallback) activate() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !f.outageStart.IsZero() {
 		return false
 	}
-	s.since = time.Now()
+	f.outageStart = time.Now()
 	return true
 }
 
 // deactivate notes that the part answers again, and returns for how long it did not.
-func (s *fallback) deactivate() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	outage := time.Since(s.since)
-	s.since = time.Time{}
+func (f *fallback) deactivate() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	outage := time.Since(f.outageStart)
+	f.outageStart = time.Time{}
 	return outage
 }
 
 // addRow notes the key of a fallback row of a job, once.
-func (s *fallback) addRow(job string, row tables.Row) {
+func (f *fallback) addRow(job string, row tables.Row) {
 	key := tables.Row{Table: row.Table, Part: row.Part, Key: row.Key}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.rows == nil {
-		s.rows = make(map[string][]tables.Row)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.rows == nil {
+		f.rows = make(map[string][]tables.Row)
 	}
-	if !slices.ContainsFunc(s.rows[job], func(r tables.Row) bool { return r.Key == key.Key }) {
-		s.rows[job] = append(s.rows[job], key)
+	if !slices.ContainsFunc(f.rows[job], func(r tables.Row) bool { return r.Key == key.Key }) {
+		f.rows[job] = append(f.rows[job], key)
 	}
 }
 
 // removeRows forgets the fallback rows of a job and returns their keys.
-func (s *fallback) removeRows(job string) []tables.Row {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	rows := s.rows[job]
-	delete(s.rows, job)
+func (f *fallback) removeRows(job string) []tables.Row {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	rows := f.rows[job]
+	delete(f.rows, job)
 	return rows
 }
 
 // jobs returns the jobs that have fallback rows.
-func (s *fallback) jobs() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	ids := make([]string, 0, len(s.rows))
-	for id := range s.rows {
+func (f *fallback) jobs() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	ids := make([]string, 0, len(f.rows))
+	for id := range f.rows {
 		ids = append(ids, id)
 	}
 	return ids
--- a/internal/owner/gang.go
+++ b/internal/owner/gang.go
@@ -23,9 +23,9 @@
 	// gangCallTimeout bounds one call to another owner, which stalls for 0.1 s when it has used
 	// up its CPU quota.
 	gangCallTimeout = 300 * time.Millisecond
-	// remoteJobPollInterval is how often the shard that leads a job is asked whether the job
+	// participantPollInterval is how often the shard that leads a job is asked whether the job
 	// has ended.
-	remoteJobPollInterval = time.Second
+	participantPollInterval = time.Second
 )
 
 // gangLoop polls the other shards about the gangs that this owner leads and starts those that
@@ -34,10 +34,10 @@
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, gangPollInterval)
 		o.mu.Lock()
-		rounds := o.shard.GangPolls(time.Now())
+		polls := o.shard.GangPolls(time.Now())
 		o.mu.Unlock()
 		var wg sync.WaitGroup
-		for _, r := range rounds {
+		for _, r := range polls {
 			wg.Go(func() { o.pollGang(ctx, r) })
 		}
 		wg.Wait()
@@ -48,7 +48,7 @@
 // pollGang asks all other shards about one gang and starts it if all are ready.
 func (o *Owner) pollGang(ctx context.Context, r scheduler.GangPoll) {
 	answers := make([]*scheduler.GangState, len(r.Queries))
-	forEachPart(r.Queries, func(i int, p scheduler.ShardMessage[scheduler.GangQuery]) {
+	forEachMessage(r.Queries, func(i int, p scheduler.ShardMessage[scheduler.GangQuery]) {
 		c, cancel := context.WithTimeout(ctx, gangCallTimeout)
 		defer cancel()
 		if state, err := o.Shards.QueryGang(c, p.Shard, p.Body); err == nil {
@@ -59,7 +59,7 @@
 	})
 	var starts []scheduler.ShardMessage[scheduler.GangStart]
 	o.updateShard(func(s *scheduler.Shard, now time.Time) { starts = s.GangStatesReceived(now, r.Step, answers) })
-	forEachPart(starts, func(_ int, p scheduler.ShardMessage[scheduler.GangStart]) {
+	forEachMessage(starts, func(_ int, p scheduler.ShardMessage[scheduler.GangStart]) {
 		c, cancel := context.WithTimeout(ctx, gangCallTimeout)
 		defer cancel()
 		if err := o.Shards.StartGang(c, p.Shard, p.Body); err != nil && ctx.Err() == nil {
@@ -69,20 +69,20 @@
 	})
 }
 
-// forEachPart calls fn for all parts concurrently and waits.
-func forEachPart[T any](parts []scheduler.ShardMessage[T], fn func(int, scheduler.ShardMessage[T])) {
-	var all sync.WaitGroup
-	for i, p := range parts {
-		all.Go(func() { fn(i, p) })
+// forEachMessage calls fn for all messages concurrently and waits.
+func forEachMessage[T any](messages []scheduler.ShardMessage[T], fn func(int, scheduler.ShardMessage[T])) {
+	var wg sync.WaitGroup
+	for i, p := range messages {
+		wg.Go(func() { fn(i, p) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // HandleGangQuery answers another shard's owner about a gang.
-func (o *Owner) HandleGangQuery(ask scheduler.GangQuery) (state scheduler.GangState, ok bool) {
+func (o *Owner) HandleGangQuery(query scheduler.GangQuery) (state scheduler.GangState, ok bool) {
 	o.updateShard(func(s *scheduler.Shard, now time.Time) {
 		if o.loaded {
-			state, ok = s.AnswerGangQuery(now, ask)
+			state, ok = s.AnswerGangQuery(now, query)
 		}
 	})
 	return state, ok
@@ -98,25 +98,25 @@
 	return nil
 }
 
-// remoteJobLoop ends jobs of which this shard runs gang members for another shard, once they
+// participantLoop ends jobs of which this shard runs gang members for another shard, once they
 // have ended. Cancels also reach this shard, but only the shard that leads the job knows
 // whether a gang has succeeded: members here may have been lost with their workers just then.
-func (o *Owner) remoteJobLoop(ctx context.Context) error {
+func (o *Owner) participantLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tables.Sleep(ctx, remoteJobPollInterval)
+		tables.Sleep(ctx, participantPollInterval)
 		o.mu.Lock()
 		jobIDs := o.shard.ParticipantJobs()
 		o.mu.Unlock()
 		for _, id := range jobIDs {
-			o.endRemoteJob(ctx, id)
+			o.endParticipantJob(ctx, id)
 		}
 	}
 	return nil
 }
 
-// endRemoteJob ends such a job if it has ended in the shard that leads it.
-func (o *Owner) endRemoteJob(ctx context.Context, id string) {
-	c, cancel := context.WithTimeout(ctx, remoteJobPollInterval)
+// endParticipantJob ends such a job if it has ended in the shard that leads it.
+func (o *Owner) endParticipantJob(ctx context.Context, id string) {
+	c, cancel := context.WithTimeout(ctx, participantPollInterval)
 	defer cancel()
 	state, found, err := o.Shards.JobState(c, o.cfg.Shard.Service, id)
 	switch {
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -33,7 +33,7 @@
 	version int64
 }
 
-// loadedRows are the rows of a shard as load has read them.
+// loadedRows are the rows of a shard as loadShard has read them.
 type loadedRows struct {
 	jobs []tables.Row
 	// progress maps job IDs to the rows of their progress.
@@ -47,11 +47,11 @@
 	missingParts map[string]bool
 }
 
-// load takes the fence and then reads the jobs, their progress and the worker list. The fence
+// loadShard takes the fence and then reads the jobs, their progress and the worker list. The fence
 // comes first, since until then the previous owner may still move jobs and persist progress.
 // Job parts that don't answer in time are loaded later, so that they don't hold up the
 // takeover.
-func (o *Owner) load(ctx context.Context) error {
+func (o *Owner) loadShard(ctx context.Context) error {
 	if err := o.takeFence(ctx); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 // how many answers arrive at once. A read that takes long gives up its slot, since a part of
 // the store may be unavailable and must not block the others.
 func (o *Owner) readJobParts(ctx context.Context) <-chan jobPartRows {
-	read := make(chan jobPartRows, NumJobParts)
+	partsRead := make(chan jobPartRows, NumJobParts)
 	o.group.Go(func() error {
 		g, ctx := errgroup.WithContext(ctx)
 		readSlots := make(chan struct{}, o.cfg.MaxParallelReads)
@@ -91,7 +91,7 @@
 				defer acquireReadSlot(ctx, readSlots)()
 				rows, version, err := o.listWithRetry(ctx, tables.ListRequest{Table: TableJobs(o.cfg.Shard), Part: part})
 				if err == nil {
-					read <- jobPartRows{part, rows, version}
+					partsRead <- jobPartRows{part, rows, version}
 				}
 				return err
 			})
@@ -99,10 +99,10 @@
 		if err := g.Wait(); err != nil {
 			return &Error{"read jobs", KindLoad, err}
 		}
-		close(read)
+		close(partsRead)
 		return nil
 	})
-	return read
+	return partsRead
 }
 
 // maxReadSlotTime is the longest time that a read keeps its slot; an answer usually takes 4 ms.
@@ -196,7 +196,7 @@
 		if err == nil {
 			return rows, version, nil
 		}
-		o.Log.Warn("list not read", events.StoreFailed, zap.String("table", req.Table), zap.String("part", req.Part), zap.Error(err))
+		o.Log.Warn("listing rows failed", events.StoreFailed, zap.String("table", req.Table), zap.String("part", req.Part), zap.Error(err))
 		tables.Sleep(ctx, listRetryDelay)
 		if ctx.Err() != nil {
 			return nil, 0, ctx.Err()
--- a/internal/owner/machines.go
+++ b/internal/owner/machines.go
@@ -87,8 +87,8 @@
 	missingCount map[string]int
 }
 
-// apply evaluates a listing requested at the given time. The listing says nothing about lives
-// that have become known since.
+// apply evaluates a listing requested at the given time. The listing says nothing about
+// incarnations that have become known since.
 func (w *machineWatcher) apply(list []cluster.Machine, requestedAt time.Time) {
 	machines := make(map[string]cluster.Machine, len(list))
 	running := make(map[string]bool, len(list))
@@ -117,7 +117,7 @@
 	})
 }
 
-// endEvidence returns the evidence that a worker's life is over, or "".
+// endEvidence returns the evidence that a worker has ended, or "".
 func (w *machineWatcher) endEvidence(s *scheduler.Shard, id string, machines map[string]cluster.Machine, running map[string]bool) string {
 	if running[id] {
 		delete(w.missingCount, id)
@@ -134,7 +134,7 @@
 	// ended before this owner's first listing.
 	w.missingCount[id]++
 	if w.missingCount[id] >= minMissingLists && s.Silent(id) {
-		return "no machine has it"
+		return "no machine is listed with it"
 	}
 	return ""
 }
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -35,7 +35,7 @@
 	JobState(ctx context.Context, service, id string) (state cluster.State, found bool, err error)
 	// QueryGang asks another shard's owner about the state of a gang there, and StartGang makes
 	// it start members of one.
-	QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error)
+	QueryGang(ctx context.Context, shard cluster.ShardID, query scheduler.GangQuery) (scheduler.GangState, error)
 	StartGang(ctx context.Context, shard cluster.ShardID, start scheduler.GangStart) error
 }
 
@@ -274,13 +274,13 @@
 		return
 	}
 	o.forgetMovedJob(id)
-	o.reloadJoinedJob(ctx, id)
+	o.reloadJointJob(ctx, id)
 }
 
-// reloadJoinedJob adds a job again that has left this shard as a job of one shard, but only to
+// reloadJointJob adds a job again that has left this shard as a job of one shard, but only to
 // be run by all shards together: the feed may have shown its new row while the old job was
 // still known here.
-func (o *Owner) reloadJoinedJob(ctx context.Context, id string) {
+func (o *Owner) reloadJointJob(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		row, found, err := tables.Get(ctx, o.Tables, TableJobs(o.cfg.Shard), JobPart(o.cfg.Shard.Service, id), id)
 		switch {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -22,6 +22,7 @@
 	schedulePauseFactor = 4
 )
 
+// scheduleLoop runs the scheduler in rounds and executes its commands.
 func (o *Owner) scheduleLoop(ctx context.Context) error {
 	tick := time.NewTicker(maxSchedulePause)
 	defer tick.Stop()
@@ -65,14 +66,14 @@
 				s.PaceReplied(now, c.Worker, c.Task, c.Run, r)
 			})
 	case scheduler.Poll:
-		go o.queryWorker(ctx, c.Worker)
+		go o.pollWorker(ctx, c.Worker)
 	case scheduler.RequestAdvice:
 		o.advice.Add(c)
 	}
 }
 
-// queryWorker asks a worker what it runs, independently of a hold that may be open there.
-func (o *Owner) queryWorker(ctx context.Context, id string) {
+// pollWorker asks a worker what it runs, independently of a hold that may be open there.
+func (o *Owner) pollWorker(ctx context.Context, id string) {
 	o.mu.Lock()
 	seq, order, lastSeen, ok := o.shard.HoldSent(time.Now(), id)
 	o.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// isOutdatedOrder reports whether an order was meant for an earlier life of its worker; the
+// isOutdatedOrder reports whether an order was meant for an earlier incarnation of its worker; the
 // current one refuses it.
 func (o *Owner) isOutdatedOrder(order cluster.Order) bool {
 	o.mu.Lock()
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -148,7 +148,7 @@
 	}
 	o.group, o.ctx = errgroup.WithContext(ctx)
 	o.advice = NewAdviceQueue(o.ctx, func() []Adviser { return o.Advisers.Advisers(o.cfg.Shard) }, o.adviceReceived)
-	if err := o.load(o.ctx); err != nil {
+	if err := o.loadShard(o.ctx); err != nil {
 		return err
 	}
 	o.group.Go(func() error { return o.scheduleLoop(o.ctx) })
@@ -162,7 +162,7 @@
 	if o.cfg.Layout.Shards > 1 {
 		o.group.Go(func() error { return o.moveLoop(o.ctx) })
 		o.group.Go(func() error { return o.gangLoop(o.ctx) })
-		o.group.Go(func() error { return o.remoteJobLoop(o.ctx) })
+		o.group.Go(func() error { return o.participantLoop(o.ctx) })
 	}
 	for _, id := range o.knownWorkers() {
 		o.startHoldLoop(o.ctx, id)
@@ -200,6 +200,7 @@
 	})
 }
 
+// notify wakes the receiver of c, unless a wake-up is already pending.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -34,8 +34,8 @@
 		case <-o.wakePersist:
 		}
 		pause := minPersistPause
-		if retry := o.persistBatch(ctx); retry > 0 {
-			pause = retry
+		if retryDelay := o.persistBatch(ctx); retryDelay > 0 {
+			pause = retryDelay
 			notify(o.wakePersist)
 		}
 		tables.Sleep(ctx, pause)
@@ -44,7 +44,7 @@
 
 // persistBatch writes one batch and returns the pause before the next attempt, or 0 if the
 // write succeeded.
-func (o *Owner) persistBatch(ctx context.Context) (retry time.Duration) {
+func (o *Owner) persistBatch(ctx context.Context) (retryDelay time.Duration) {
 	o.mu.Lock()
 	batch := o.shard.NextBatch(maxBatchJobs, o.cfg.MaxWriteBytes)
 	o.mu.Unlock()
--- a/internal/owner/workerlist.go
+++ b/internal/owner/workerlist.go
@@ -25,7 +25,7 @@
 	Workers []workerListEntry `json:"workers"`
 }
 
-// workerListEntry is one life of a worker. Its capacity and labels are read from the directory.
+// workerListEntry is one incarnation of a worker. Its capacity and labels are read from the directory.
 type workerListEntry struct {
 	cluster.Incarnation
 	Address string `json:"a"`
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// writeWorkerList writes the worker list, on condition of the fence.
 func (o *Owner) writeWorkerList(ctx context.Context, workers []cluster.Worker) error {
 	var list workerList
 	for _, w := range workers {
@@ -77,12 +78,12 @@
 // applyWorkerList makes the workers of the previous owner known. Those that have ended
 // meanwhile are found with the list of machines.
 func (o *Owner) applyWorkerList(s *scheduler.Shard, now time.Time, row tables.Row) {
-	var r workerList
-	if err := json.Unmarshal(row.Value, &r); err != nil {
+	var list workerList
+	if err := json.Unmarshal(row.Value, &list); err != nil {
 		o.Log.Warn("unreadable worker list skipped", events.RowSkipped, zap.Error(err))
 		return
 	}
-	for _, e := range r.Workers {
+	for _, e := range list.Workers {
 		s.UpsertWorker(now, cluster.Worker{ID: e.ID, Started: e.Started, Address: e.Address, Service: o.cfg.Shard.Service})
 		s.WorkerUnlisted(now, e.ID)
 	}
