--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -113,17 +113,17 @@
 
 // explore visits all reachable states, and returns their number and the violations found. It
 // ends early once the violation until is found.
-func explore(g removedGuards, until int8) (states int, broken map[int8]bool) {
-	broken = make(map[int8]bool)
+func explore(g removedGuards, until int8) (states int, violations map[int8]bool) {
+	violations = make(map[int8]bool)
 	initial := initialState()
 	seen := map[systemState]bool{initial: true}
 	stack := []systemState{initial}
-	for len(stack) > 0 && (until == noViolation || !broken[until]) {
+	for len(stack) > 0 && (until == noViolation || !violations[until]) {
 		m := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		for _, next := range m.next(g) {
-			if p := next.violation(); p != noViolation {
-				broken[p] = true
+			if v := next.violation(); v != noViolation {
+				violations[v] = true
 				continue
 			}
 			next.canonicalize(g)
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	return len(seen), broken
+	return len(seen), violations
 }
 
 // canonicalize clears what can make no difference any more, which merges states: values that
@@ -221,13 +221,13 @@
 	lost := now
 	answered(&now, done)
 	unknown(&lost)
-	list := []systemState{now, lost}
+	states := []systemState{now, lost}
 	later := *m
 	if late(&later) {
 		unknown(&later)
-		list = append(list, later)
+		states = append(states, later)
 	}
-	return list
+	return states
 }
 
 // setIfEmpty sets an empty slot for a late write.
@@ -346,16 +346,16 @@
 
 // holdJobSteps returns what an owner may do with a job of which nothing runs.
 func (m *systemState) holdJobSteps(g removedGuards, k int) []systemState {
-	var list []systemState
+	var states []systemState
 	if m.cancel[shardA] {
 		s := *m
 		s.owners[k].step = stepEnd
-		list = append(list, s)
+		states = append(states, s)
 	}
 	if !g.noStarts && int8(k+1) >= m.workersEpoch {
 		s := *m
 		s.started[shardA], s.owners[k].begun, s.owners[k].step = true, true, stepWriteBegun
-		list = append(list, s)
+		states = append(states, s)
 	}
 	if !m.owners[k].begun && m.pinVersion < maxPinWrites && m.progressVersion < maxMarkWrites {
 		s := *m
@@ -363,9 +363,9 @@
 		if g.pinAfterMark {
 			s.owners[k].step = stepWriteMark
 		}
-		list = append(list, s)
+		states = append(states, s)
 	}
-	return list
+	return states
 }
 
 // setProgress writes progress under an owner's fence, on condition of its version.
@@ -471,7 +471,7 @@
 
 // lateWrites returns the states after a late write of an owner takes effect.
 func (m *systemState) lateWrites(g removedGuards, k int) []systemState {
-	var list []systemState
+	var states []systemState
 	late := func(slot func(*ownerState) *int8, do func(s *systemState, seen int8) bool) {
 		seen := *slot(&m.owners[k])
 		if seen == noWrite {
@@ -480,26 +480,26 @@
 		s := *m
 		*slot(&s.owners[k]) = noWrite
 		if do(&s, seen) {
-			list = append(list, s)
+			states = append(states, s)
 		}
 	}
 	late(func(o *ownerState) *int8 { return &o.lateFence }, func(s *systemState, seen int8) bool { return s.takeFence(k, seen) })
 	late(func(o *ownerState) *int8 { return &o.lateMark }, func(s *systemState, seen int8) bool { return s.setProgress(g, k, progressMark, seen) })
 	late(func(o *ownerState) *int8 { return &o.lateMove }, func(s *systemState, seen int8) bool { return s.movePin(g, seen) })
 	late(func(o *ownerState) *int8 { return &o.latePin }, func(s *systemState, seen int8) bool { return s.bumpPin(seen) })
-	return list
+	return states
 }
 
 // cancelSteps returns the states after one step of the caller's cancel.
 func (m *systemState) cancelSteps() []systemState {
-	var list []systemState
+	var states []systemState
 	switch m.cancelStep {
 	case cancelReadsPin:
 		s := *m
 		s.cancelPin, s.cancelShard, s.cancelStep = m.pinVersion, m.pinShard, cancelWrites
-		list = append(list, s)
+		states = append(states, s)
 	case cancelWrites:
-		list = m.write(
+		states = m.write(
 			func(s *systemState) bool { return s.setCancel(m.cancelPin, m.cancelShard) },
 			func(s *systemState, done bool) {
 				s.cancelStep = cancelReadsPin
@@ -517,10 +517,10 @@
 		s := *m
 		s.lateCancel = noWrite
 		if s.setCancel(m.lateCancel, m.lateCancelShard) {
-			list = append(list, s)
+			states = append(states, s)
 		}
 	}
-	return list
+	return states
 }
 
 // setCancel writes the cancel on condition of the pin.
@@ -548,9 +548,9 @@
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
-			states, broken := explore(c.g, noViolation)
+			states, violations := explore(c.g, noViolation)
 			t.Logf("%d states", states)
-			for p := range broken {
+			for p := range violations {
 				t.Errorf("invariant violated: %s", violationNames[p])
 			}
 			if states < c.minStates {
@@ -576,7 +576,7 @@
 		{"progress without the fence", removedGuards{noFenceCondition: true, noCaller: true}, oldOwnerPersisted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, broken := explore(c.g, c.want); !broken[c.want] {
+			if _, violations := explore(c.g, c.want); !violations[c.want] {
 				t.Errorf("violation not found: %s", violationNames[c.want])
 			}
 		})
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -42,19 +42,19 @@
 		want       int
 		ok         bool
 	}{
-		{"packing fills the fuller", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packing, 1, true},
-		{"waiting takes the emptier", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waiting, 1, true},
+		{"packing prefers the fuller worker", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packing, 1, true},
+		{"waiting prefers the emptier worker", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waiting, 1, true},
 		{"no room", amount(5000, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, packing, -1, false},
-		{"closed", amount(500, 500, 0), []policy.Candidate{unschedulable}, policy.Constraints{}, packing, -1, false},
+		{"unschedulable worker", amount(500, 500, 0), []policy.Candidate{unschedulable}, policy.Constraints{}, packing, -1, false},
 		{"accelerators are kept free", amount(500, 500, 0), []policy.Candidate{withAccelerators, empty}, policy.Constraints{}, packing, 1, true},
-		{"accelerators where asked", amount(500, 500, 1), []policy.Candidate{empty, withAccelerators}, policy.Constraints{}, packing, 1, true},
+		{"accelerators where requested", amount(500, 500, 1), []policy.Candidate{empty, withAccelerators}, policy.Constraints{}, packing, 1, true},
 		{"another rack", amount(500, 500, 0), []policy.Candidate{sameRack, full}, policy.Constraints{Spread: true}, waiting, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got, ok := policy.Place(tt.size, tt.candidates, tt.shape, tt.weights)
 			if got != tt.want || ok != tt.ok {
-				t.Errorf("have %d, %t", got, ok)
+				t.Errorf("got %d, %t", got, ok)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 	// The urgent job; team c has the lowest share for its weight; then b by slack, then a.
 	want := []int{2, 5, 3, 4, 1, 0}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("have %v, want %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	got := policy.Order(now, jobs, []policy.Team{{Name: "a", Weight: 1}}, amount(100_000, 100_000, 0))
 	if want := "[2 1 0 3 4]"; fmt.Sprint(got) != want {
-		t.Errorf("have %v, want %s", got, want)
+		t.Errorf("got %v, want %s", got, want)
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 	jobs := []policy.WaitingJob{{TeamIndex: 0, Demand: amount(1000, 1000, 0)}, {TeamIndex: 1, Demand: amount(1000, 1000, 0)}}
 	if got := policy.Order(time.Time{}, jobs, teams, total); got[0] != 1 {
-		t.Errorf("have %v: the team within its quota must go first", got)
+		t.Errorf("got %v: the team within its quota must go first", got)
 	}
 }
 
--- a/internal/policy/preempt_test.go
+++ b/internal/policy/preempt_test.go
@@ -28,21 +28,21 @@
 		want     string
 		ok       bool
 	}{
-		{"the least urgent goes", 9, []policy.RunningTask{mid, low}, "[1]", true},
-		{"not one as urgent", 5, []policy.RunningTask{mid, nonPreemptible}, "[]", false},
-		{"not one that may not", 9, []policy.RunningTask{nonPreemptible}, "[]", false},
-		{"not one over and over", 9, []policy.RunningTask{preemptedOften}, "[]", false},
-		{"none that is not needed", 9, []policy.RunningTask{low, large}, "[1]", true},
+		{"lowest priority is preempted", 9, []policy.RunningTask{mid, low}, "[1]", true},
+		{"equal priority is kept", 5, []policy.RunningTask{mid, nonPreemptible}, "[]", false},
+		{"non-preemptible task is kept", 9, []policy.RunningTask{nonPreemptible}, "[]", false},
+		{"often preempted task is kept", 9, []policy.RunningTask{preemptedOften}, "[]", false},
+		{"unneeded task is kept", 9, []policy.RunningTask{low, large}, "[1]", true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			need := int64(1000)
-			if tt.name == "none that is not needed" {
+			if tt.name == "unneeded task is kept" {
 				need = 3000
 			}
 			got, ok := policy.Victims(amount(need, need, 0), amount(0, 0, 0), tt.priority, tt.tasks)
 			if fmt.Sprint(got) != tt.want || ok != tt.ok {
-				t.Errorf("have %v, %t; want %s, %t", got, ok, tt.want, tt.ok)
+				t.Errorf("got %v, %t; want %s, %t", got, ok, tt.want, tt.ok)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 // TestVictimsAreSufficientAndMinimal checks random workers.
 func TestVictimsAreSufficientAndMinimal(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(13))
-	props.Property("enough, and none to spare", prop.ForAll(func(seed int64) bool {
+	props.Property("victims are sufficient and minimal", prop.ForAll(func(seed int64) bool {
 		r := rand.New(rand.NewPCG(uint64(seed), 2))
 		tasks := make([]policy.RunningTask, r.IntN(12))
 		for i := range tasks {
--- a/internal/tables/quiettable_test.go
+++ b/internal/tables/quiettable_test.go
@@ -97,9 +97,9 @@
 		{"no change", time.Hour, 0, 1},
 		{"a change", 47 * time.Second, 0, 1},
 		{"a change at once", 300 * time.Millisecond, 0, 1},
-		{"a change while the feed is deaf", 47 * time.Second, time.Second, 2},
-		{"one just before a call ends", 47*time.Second - tick, time.Second, 2},
-		{"one while the feed is deaf for longer", 61 * time.Second, 3 * time.Second, 2},
+		{"a change during an outage of the feed", 47 * time.Second, time.Second, 2},
+		{"a change during an outage, just before a call ends", 47*time.Second - tick, time.Second, 2},
+		{"a change during a longer outage", 61 * time.Second, 3 * time.Second, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/tables/relay_test.go
+++ b/internal/tables/relay_test.go
@@ -87,7 +87,7 @@
 		r := tables.NewRelay(direct, peerList{peer}, healthCheck)
 		go r.Probe(ctx)
 		if res, err := r.Commit(ctx, tables.Txn{}); err != nil || !res.Committed {
-			t.Fatalf("%+v, %v", res, err)
+			t.Fatalf("commit of a refused call: %+v, %v; want it committed through the peer", res, err)
 		}
 		direct.set(true, false)
 		start := time.Now()
@@ -212,7 +212,7 @@
 		r := tables.NewRelay(svc, peerList{}, healthCheck)
 		res, err := r.Commit(t.Context(), tables.Txn{Put: []tables.Row{{Table: "t", Key: "k", Value: make([]byte, 700_000)}}})
 		if err != nil || !res.Committed {
-			t.Errorf("%+v, %v", res, err)
+			t.Errorf("commit of a large write: %+v, %v", res, err)
 		}
 		// A small write whose answer is lost is cancelled as soon as before.
 		svc.set(true, false)
