--- a/internal/scheduler/search_test.go
+++ b/internal/scheduler/search_test.go
@@ -28,38 +28,40 @@
 var errNoAdvice = errors.New("no advice")
 
 const (
-	// restartWithinWhenFull is runsAgain where the workers are full of work that is less urgent.
+	// restartWithinWhenFull is restartWithin for workers that are full of less urgent work.
 	restartWithinWhenFull = 12 * time.Second
-	// fullSeeds are played with MODEL=full, and fewPlays by default.
+	// fullSeeds is the number of seeds with MODEL=full; defaultSeeds is that without.
 	fullSeeds = 40_000
-	// failuresTime is how long nothing fails but tasks that last, by themselves; then they
-	// don't either.
+	// failuresTime is the time after the end of the injected faults in which long-running
+	// tasks still fail by themselves.
 	failuresTime = 25 * time.Second
-	// finishTime is by when all that workers could run has ended once nothing fails, beside
-	// twice the time that it takes one job after the other.
+	// finishTime is the time within which all jobs that fit end after the last failure, in
+	// addition to twice the time that they take one after the other.
 	finishTime = 30 * time.Second
-	// maxBacklog is up to which backlog more jobs are handed in.
+	// maxBacklog is the backlog up to which more jobs are submitted.
 	maxBacklog = 8 * time.Second
-	// recoveryTime is by when no worker is set aside any more once sound tasks run on each.
+	// recoveryTime is the time within which no worker is set aside any more once tasks succeed
+	// on all of them.
 	recoveryTime = 40 * time.Second
 )
 
-// simulation is a seeded simulation of a shard with workers and jobs to which things happen.
+// simulation is a shard with workers, jobs and injected faults, all derived from a seed.
 type simulation struct {
 	*rig
 	seed  uint64
 	rng   *rand.Rand
 	start time.Time
-	// faultsEndAt and failuresEndAt are when the calm times begin: that in which only tasks that
-	// last fail, and that in which nothing does.
+	// From faultsEndAt on only long-running tasks fail, by themselves, and from failuresEndAt
+	// on nothing does.
 	faultsEndAt, failuresEndAt time.Time
-	// noOwnerUntil is until when the shard has no owner, and ownerLossAt when it loses its first one.
+	// The shard loses its first owner at ownerLossAt, if set, and has none until noOwnerUntil.
 	noOwnerUntil, ownerLossAt time.Time
 
 	joined, racks int
 	cores         int64
-	// faultKinds are what befalls workers, troubled how likely it is in a tick, and
-	// rejecting how likely a start or a call goes failure.
+	// faultKinds are the faults that occur, faultRate is the probability of one per worker and
+	// tick, rejectRate that a start or an advice call fails, and submitRate that a batch job is
+	// submitted in a tick.
 	faultKinds            []fault
 	faultRate, rejectRate float64
 	submitRate            float64
@@ -70,43 +72,36 @@
 	rows         map[string]scheduler.Record
 	calls        []adviceCall
 	runs         map[runKey]*simRun
-	// runningOn is the worker on which each task runs.
+	// runningOn holds the worker on which each task runs.
 	runningOn map[cluster.TaskID]string
-	// roomForTwoSince is since when a task that lasts is away and has room, and roomForOneSince since
-	// when it would have if others made way.
+	// These hold since when a long-running task does not run although an allowed worker could
+	// hold two such tasks, or one, beside its long-running tasks.
 	roomForTwoSince, roomForOneSince map[cluster.TaskID]time.Time
 
-	// restarts draws which workers start again under their IDs; nil: none does.
+	// restarts draws which workers restart under their IDs; nil: none does.
 	restarts *rand.Rand
 
 	failure string
 	trace   *bytes.Buffer
 }
 
-// TestSearchTasksStart searches, in plays drawn by their seeds, for tasks whose turn has
-// come and that don't start though there is room. Workers fail what they start, let nothing
-// come on, crawl, are silent, drain or die; starts and advice are rejected; the owner is
-// replaced. Then comes a calm time in which only tasks that last fail, by themselves.
+// TestSearchTasksStart searches seeded simulations for tasks that are due and don't start
+// although there is capacity. Workers fail runs, stall, are slow or silent, drain or die; starts
+// and advice calls are rejected; the owner is replaced. After these faults, only long-running
+// tasks fail for a while, by themselves, and then nothing does.
 //
-// Where only workers that were set aside came back, 56 of the first 3000 plays failed, and
-// 257 of the first 400 where they didn't. A place that came free went to the first of the
-// step's waiting tasks by its number, so that the last ones stayed away (seed 138):
+// It guards against these failures of long-running tasks:
+//   - workers that were set aside don't become usable again;
+//   - a free place goes to the waiting task of a step with the lowest index, so that the last
+//     tasks of the step never run (seed 138);
+//   - no capacity is reserved for a step while it asks for advice, or less urgent work is not
+//     preempted for it for up to 4 s, which is longer than tickets are valid (seed 91).
 //
-//	34.9 run ended task=j3.0.0.1 worker=w3 outcome=failed
-//	35.6 run ended task=j3.0.0.0 worker=w1 outcome=failed
-//	36.6 starting run task=j3.0.0.0 worker=w3
-//	39.9 starting run task=j3.0.0.0 worker=w0
-//	41.0 j3.0.0.1 has been away for 6.1s
-//
-// And while a step asked for advice no room was set aside for it; where room was, none was
-// made by stopping less urgent work for up to 4 s, which is longer than tickets hold
-// (91, once tasks of a step go by how long they have waited).
-//
-// SEARCH_SEED=n plays one seed and prints its trace, SEARCH_PLAYS=n the first n of them,
-// and MODEL=full many.
+// SEARCH_SEED=n runs one seed and prints its trace, SEARCH_PLAYS=n runs the first n seeds, and
+// MODEL=full runs 40,000.
 func TestSearchTasksStart(t *testing.T) {
-	if one := os.Getenv("SEARCH_SEED"); one != "" {
-		seed, err := strconv.ParseUint(one, 10, 64)
+	if value := os.Getenv("SEARCH_SEED"); value != "" {
+		seed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,42 +132,42 @@
 			t.Log(lastLines(trace))
 		}
 	}
-	t.Logf("%d of %d plays failed", failed, seeds)
+	t.Logf("%d of %d seeds failed", failed, seeds)
 }
 
-// TestSearchSeedsThatFailed plays the seeds again that failed once, each by a task that
-// lasts and was away for over 6 s beside room for it.
+// TestSearchSeedsThatFailed runs the seeds that failed once, each with a long-running task that
+// did not run for over 6 s although there was capacity for it.
 func TestSearchSeedsThatFailed(t *testing.T) {
 	for seed, cause := range map[uint64]string{
-		138: "a place that came free went to the first of the waiting tasks by its number",
-		91:  "no room was set aside while the step asked for advice",
-		667: "a step that found no room was not looked at for half a second, and a gang took what came free",
-		878: "as 667",
-		// Not traced to its end; it passes since room is looked for in each round.
-		24019: "twelve tasks share six workers, and places stay empty while advice is asked anew",
+		138: "a free place went to the waiting task with the lowest index",
+		91:  "no capacity was reserved while the step asked for advice",
+		667: "a step that found no capacity was skipped for half a second, and a gang took what became free",
+		878: "as seed 667",
+		// The cause is not certain; it passes since capacity is searched for in each round.
+		24019: "twelve tasks share six workers, and places stay free while advice is asked again",
 	} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			if failure, trace := simulateSeed(t, seed, true); failure != "" {
-				t.Errorf("%s\n%s; last time: %s", lastLines(trace), failure, cause)
+				t.Errorf("%s\n%s; the earlier cause: %s", lastLines(trace), failure, cause)
 			}
 		})
 	}
 }
 
-// simulateSeeds plays as many seeds, and returns what was failure with each.
+// simulateSeeds runs the first seeds in parallel and returns the failure of each, or "".
 func simulateSeeds(t *testing.T, seeds int) []string {
-	failure := make([]string, seeds)
+	failures := make([]string, seeds)
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for n := int(next.Add(1)) - 1; n < seeds; n = int(next.Add(1)) - 1 {
-				failure[n], _ = simulateSeed(t, uint64(n), false)
+				failures[n], _ = simulateSeed(t, uint64(n), false)
 			}
 		})
 	}
 	wg.Wait()
-	return failure
+	return failures
 }
 
 // lastLines returns the end of a trace.
@@ -182,12 +177,12 @@
 	return strings.Join(lines[max(0, len(lines)-most):], "\n")
 }
 
-// simulateSeed plays a seed, and returns what was failure, or "", and its trace if it is traced.
+// simulateSeed runs a seed and returns its failure, or "", and its trace if traced is set.
 func simulateSeed(t *testing.T, seed uint64, traced bool) (failure, trace string) {
 	return newSimulation(t, seed, traced).run()
 }
 
-// run plays to the end.
+// run runs the simulation to its end.
 func (s *simulation) run() (failure, trace string) {
 	for s.failure == "" && !s.failuresEnded() {
 		s.runTick()
@@ -205,11 +200,11 @@
 	return s.failure, trace
 }
 
-// newSimulation draws a play.
+// newSimulation derives a simulation from a seed.
 func newSimulation(t *testing.T, seed uint64, traced bool) *simulation {
 	s := &simulation{
 		rig:  &rig{t: t, now: time.Unix(1_000, 0), workers: make(map[string]*fakeWorker), longRunning: make(map[string]bool), log: zap.NewNop()},
-		seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), //nolint:gosec // Each play must repeat.
+		seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), //nolint:gosec // Each seed must be reproducible.
 		workerStates: make(map[string]*workerState), byID: make(map[string]*simJob), rows: make(map[string]scheduler.Record),
 		runs: make(map[runKey]*simRun), runningOn: make(map[cluster.TaskID]string),
 		roomForTwoSince: make(map[cluster.TaskID]time.Time), roomForOneSince: make(map[cluster.TaskID]time.Time),
@@ -243,7 +238,7 @@
 	return s
 }
 
-// traceWriter puts the shard's log into a play's trace, with the time.
+// traceWriter adds the log of the shard to the trace.
 type traceWriter struct{ s *simulation }
 
 func (w traceWriter) Write(line []byte) (int, error) {
@@ -251,18 +246,18 @@
 	return len(line), nil
 }
 
-// tracef notes what happens in a play.
+// tracef adds a line with the time to the trace.
 func (s *simulation) tracef(format string, args ...any) {
 	if s.trace != nil {
 		fmt.Fprintf(s.trace, "%6.1f %s\n", s.now.Sub(s.start).Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
-// fail notes what is failure first.
+// fail records the first failure.
 func (s *simulation) fail(format string, args ...any) {
 	if s.failure == "" {
-		s.failure = fmt.Sprintf("at %.1f s (calm from %.1f s): ", s.now.Sub(s.start).Seconds(), s.faultsEndAt.Sub(s.start).Seconds()) + fmt.Sprintf(format, args...)
-		s.tracef("WRONG: %s", s.failure)
+		s.failure = fmt.Sprintf("at %.1f s (faults until %.1f s): ", s.now.Sub(s.start).Seconds(), s.faultsEndAt.Sub(s.start).Seconds()) + fmt.Sprintf(format, args...)
+		s.tracef("FAILED: %s", s.failure)
 	}
 }
 
@@ -272,7 +267,7 @@
 // hasOwner reports whether the shard has an owner.
 func (s *simulation) hasOwner() bool { return !s.now.Before(s.noOwnerUntil) }
 
-// runTick plays a tick.
+// runTick simulates one tick.
 func (s *simulation) runTick() {
 	wasOwned := s.hasOwner()
 	s.now = s.now.Add(tick)
@@ -286,7 +281,7 @@
 			s.faultsEndAt, s.failuresEndAt = s.noOwnerUntil, s.noOwnerUntil.Add(failuresTime)
 		}
 		s.calls = nil
-		s.tracef("the owner is gone")
+		s.tracef("the owner is lost")
 	}
 	s.updateFaults()
 	s.restartWorkers()
@@ -300,7 +295,7 @@
 	}
 }
 
-// runOwner lets the owner take a round of decisions.
+// runOwner runs one scheduling round of the owner.
 func (s *simulation) runOwner() {
 	s.answerAdviceCalls()
 	s.pollWorkers()
@@ -309,9 +304,9 @@
 	s.recordEnded()
 }
 
-// startNextOwner begins with another owner, which reads the jobs and what was persisted of them.
+// startNextOwner starts the next owner, which reads the jobs and their persisted progress.
 func (s *simulation) startNextOwner() {
-	s.tracef("another owner begins")
+	s.tracef("the next owner starts")
 	s.takeOver()
 	for _, id := range s.workerIDs() {
 		s.readEntry(id)
@@ -331,7 +326,7 @@
 	}
 }
 
-// submitJobs hands jobs in, and those that came while there was no owner.
+// submitJobs draws new jobs and hands all pending ones to the owner, if there is one.
 func (s *simulation) submitJobs() {
 	if !s.failuresEnded() && s.now.Sub(s.faultsEndAt) < failuresTime*2/3 && s.chance(s.submitRate) && s.backlog() < maxBacklog {
 		s.submitBatch()
@@ -347,7 +342,7 @@
 	}
 }
 
-// addJob notes a job that is handed in.
+// addJob completes the specification of a job and queues it for the owner.
 func (s *simulation) addJob(j *simJob) {
 	j.spec.ID = fmt.Sprintf("j%d", len(s.jobs))
 	j.spec.Queue, j.spec.Service, j.spec.Epoch = fmt.Sprintf("q%d", s.rng.IntN(3)), "svc", s.epoch
@@ -359,16 +354,16 @@
 	s.jobs = append(s.jobs, j)
 	s.byID[j.spec.ID] = j
 	st := j.step()
-	s.tracef("%s comes: %+v, takes %s, share %.2f, fails %t", j.spec.ID, *st, j.duration, j.adviceShare, j.fails)
+	s.tracef("%s is submitted: %+v, duration %s, advice share %.2f, fails %t", j.spec.ID, *st, j.duration, j.adviceShare, j.fails)
 }
 
-// submitLongRunning hands in the jobs whose tasks last; together they take up to 45% of the room.
+// submitLongRunning draws the long-running jobs, which take up to 45% of the capacity.
 func (s *simulation) submitLongRunning() {
-	room := int64(len(s.workers)) * s.cores * 45 / 100
+	capacity := int64(len(s.workers)) * s.cores * 45 / 100
 	for range 1 + s.rng.IntN(5) {
 		cpu := 250 * (1 + s.rng.Int64N(6))
 		n := int64(1 + s.rng.IntN(max(1, len(s.workers))))
-		if room -= n * cpu; room < 0 {
+		if capacity -= n * cpu; capacity < 0 {
 			return
 		}
 		st := cluster.Step{Count: int(n), Need: resource.Amount{CPUMilli: cpu, MemoryMB: 100}, LongRunning: true}
@@ -379,12 +374,12 @@
 	}
 }
 
-// submitBatch hands in a job that ends, some of them gangs.
+// submitBatch draws a batch job, in some cases a gang.
 func (s *simulation) submitBatch() {
 	n := 1 + s.rng.IntN(2*len(s.workers)+1)
 	st := cluster.Step{Count: n, Need: resource.Amount{CPUMilli: min(250*(1+s.rng.Int64N(16)), s.cores), MemoryMB: 100}}
-	takes := s.randomDuration(200*time.Millisecond, 6*time.Second)
-	st.EstimateMS = int64(float64(takes.Milliseconds()) * (0.5 + s.rng.Float64()))
+	duration := s.randomDuration(200*time.Millisecond, 6*time.Second)
+	st.EstimateMS = int64(float64(duration.Milliseconds()) * (0.5 + s.rng.Float64()))
 	if s.chance(0.25) {
 		st.Gang, st.OneRack = true, s.chance(0.3)
 	}
@@ -393,54 +388,56 @@
 	}
 	s.addJob(&simJob{
 		spec:     cluster.Job{Policy: cluster.Policy{Priority: s.rng.IntN(3), MaxAttempts: 2 + s.rng.IntN(3), Stretch: 1.5 + s.rng.Float64(), TargetMS: 1000}, Steps: []cluster.Step{st}},
-		duration: takes, fails: s.chance(0.05),
+		duration: duration, fails: s.chance(0.05),
 	})
 }
 
-// checkLongRunning checks that tasks that last and are away run again in time.
+// checkLongRunning checks that long-running tasks restart in time.
 func (s *simulation) checkLongRunning() {
 	for _, j := range s.jobs {
 		if !j.step().LongRunning {
 			continue
 		}
-		for x := range j.step().Count {
-			task := cluster.TaskID{Job: j.spec.ID, Index: x}
-			twice := s.pendingFor(s.roomForTwoSince, task, j, 2)
-			once := s.pendingFor(s.roomForOneSince, task, j, 1)
+		for i := range j.step().Count {
+			task := cluster.TaskID{Job: j.spec.ID, Index: i}
+			forTwo := s.pendingFor(s.roomForTwoSince, task, j, 2)
+			forOne := s.pendingFor(s.roomForOneSince, task, j, 1)
 			if s.now.Sub(s.faultsEndAt) < testLease {
 				continue
 			}
-			if twice > restartWithin {
-				s.fail("%v has been away for %s with room for it twice over beside what lasts", task, twice)
+			if forTwo > restartWithin {
+				s.fail("%v has not run for %s although a worker could hold two of it beside its long-running tasks", task, forTwo)
 			}
-			if once > restartWithinWhenFull {
-				s.fail("%v has been away for %s with room for it beside what lasts", task, once)
+			if forOne > restartWithinWhenFull {
+				s.fail("%v has not run for %s although a worker could hold it beside its long-running tasks", task, forOne)
 			}
 		}
 	}
 }
 
-// pendingFor returns for how long a task has been away while there was room for it so often
-// on a worker beside what lasts.
-func (s *simulation) pendingFor(from map[cluster.TaskID]time.Time, task cluster.TaskID, j *simJob, times int64) time.Duration {
+// pendingFor returns for how long a task has not run although an allowed worker could hold the
+// given number of such tasks beside its long-running ones.
+func (s *simulation) pendingFor(since map[cluster.TaskID]time.Time, task cluster.TaskID, j *simJob, times int64) time.Duration {
 	_, runs := s.runningOn[task]
 	if runs || !s.hasCapacity(j, times) {
-		delete(from, task)
+		delete(since, task)
 		return 0
 	}
-	if _, ok := from[task]; !ok {
-		from[task] = s.now
+	if _, ok := since[task]; !ok {
+		since[task] = s.now
 	}
-	return s.now.Sub(from[task])
+	return s.now.Sub(since[task])
 }
 
-// hasCapacity reports whether some worker that a job may use has room for a task of it so often
-// beside what lasts.
+// hasCapacity reports whether an allowed worker could hold the given number of tasks of a job
+// beside its long-running ones.
 func (s *simulation) hasCapacity(j *simJob, times int64) bool {
 	return slices.ContainsFunc(s.workerIDs(), func(id string) bool { return s.tasksThatFit(id, j, true) >= times })
 }
 
-// tasksThatFit returns how many tasks of a job a worker that it may use would hold.
+// tasksThatFit returns how many tasks of a job a worker can hold beside its long-running ones;
+// none if it is faulty or not allowed. If spread is set, a worker that has the step's maximum
+// per worker holds no more.
 func (s *simulation) tasksThatFit(id string, j *simJob, spread bool) int64 {
 	m, st := s.workerStates[id], j.step()
 	if m.fault != noFault || !m.drainedAt.IsZero() || !s.adviceAllows(j, id) {
@@ -463,7 +460,7 @@
 	return n
 }
 
-// unfinishedJob returns a job that has not ended though the workers could run it, or nil.
+// unfinishedJob returns a batch job that has not ended although the workers can run it, or nil.
 func (s *simulation) unfinishedJob() *simJob {
 	for _, j := range s.jobs {
 		if !j.step().LongRunning && !j.ended && s.canRun(j) {
@@ -473,19 +470,19 @@
 	return nil
 }
 
-// finishTimeout returns by when what is open ends at the latest.
+// finishTimeout returns the time within which all batch jobs must end.
 func (s *simulation) finishTimeout() time.Duration {
 	sum := finishTime
 	for _, j := range s.jobs {
-		if room := s.capacityFor(j); !j.step().LongRunning && !j.ended && s.canRun(j) {
-			waves := 1 + (int64(j.step().Count)-1)/room
+		if capacity := s.capacityFor(j); !j.step().LongRunning && !j.ended && s.canRun(j) {
+			waves := 1 + (int64(j.step().Count)-1)/capacity
 			sum += 2 * time.Duration(waves*int64(j.spec.Policy.MaxAttempts)) * j.duration
 		}
 	}
 	return sum
 }
 
-// backlog returns for how long what is open would keep all workers busy.
+// backlog returns for how long the unfinished batch jobs would occupy all workers.
 func (s *simulation) backlog() time.Duration {
 	sum := time.Duration(0)
 	for _, j := range s.jobs {
@@ -496,7 +493,7 @@
 	return sum / time.Duration(int64(len(s.workers))*s.cores)
 }
 
-// recordEnded notes which jobs have ended, and that none was lost.
+// recordEnded records the jobs that have ended and checks that none was lost.
 func (s *simulation) recordEnded() {
 	for _, j := range s.jobs {
 		if j.ended || !j.added {
@@ -509,7 +506,7 @@
 	}
 }
 
-// canRun reports whether the workers could run a job if only what lasts were there.
+// canRun reports whether the workers can run a job beside the long-running tasks.
 func (s *simulation) canRun(j *simJob) bool {
 	if st := j.step(); st.Gang {
 		return s.capacityFor(j) >= int64(st.Count)
@@ -517,19 +514,19 @@
 	return s.capacityFor(j) > 0
 }
 
-// capacityFor returns how many tasks of a job the workers hold if only what lasts is there.
-func (s *simulation) capacityFor(j *simJob) (room int64) {
+// capacityFor returns how many tasks of a job the workers can hold beside the long-running ones.
+func (s *simulation) capacityFor(j *simJob) (total int64) {
 	for _, id := range s.workerIDs() {
 		n := s.tasksThatFit(id, j, false)
 		if limit := int64(j.step().MaxPerWorker); limit > 0 {
 			n = min(n, limit)
 		}
-		room += n
+		total += n
 	}
-	return room
+	return total
 }
 
-// describe says of a job that it is open.
+// describe describes an unfinished job.
 func (s *simulation) describe(j *simJob) string {
 	state, ok := s.shard.Job(j.spec.ID)
 	n := 0
@@ -541,25 +538,26 @@
 	return fmt.Sprintf("%s is %q (known: %t), %d of %d tasks run, %+v", j.spec.ID, state, ok, n, j.step().Count, *j.step())
 }
 
-// checkWorkersRecover lets sound tasks run on each worker, and checks that none is set aside any more.
+// checkWorkersRecover runs short tasks on all workers and checks that none stays set aside.
 func (s *simulation) checkWorkersRecover() {
-	const every = 4 * time.Second
+	const interval = 4 * time.Second
 	probe := resource.Amount{CPUMilli: 50, MemoryMB: 1}
 	for end := s.now.Add(recoveryTime); s.failure == "" && s.shard.SetAsideWorkers() > s.fullWorkers(probe); {
 		if s.now.After(end) {
-			s.fail("%d workers are set aside, of which %d are full", s.shard.SetAsideWorkers(), s.fullWorkers(probe))
+			s.fail("%d workers are set aside, want only full ones, of which there are %d", s.shard.SetAsideWorkers(), s.fullWorkers(probe))
 			return
 		}
 		st := cluster.Step{Count: len(s.workers), Need: probe, EstimateMS: 1000, MaxPerWorker: 1}
 		s.addJob(&simJob{spec: cluster.Job{Policy: cluster.Policy{MaxAttempts: 3, Stretch: 2}, Steps: []cluster.Step{st}}, duration: time.Second})
 		s.jobs[len(s.jobs)-1].spec.Policy.Advice = nil
-		for next := s.now.Add(every); s.now.Before(next); {
+		for next := s.now.Add(interval); s.now.Before(next); {
 			s.runTick()
 		}
 	}
 }
 
-// fullWorkers returns how many workers have no room for some more beside what lasts.
+// fullWorkers returns the number of workers without the given capacity beside their long-running
+// tasks.
 func (s *simulation) fullWorkers(need resource.Amount) int {
 	n := 0
 	for _, id := range s.workerIDs() {
--- a/internal/scheduler/searchrestart_test.go
+++ b/internal/scheduler/searchrestart_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// firstStartMS is the start of the first lives of a play.
+	// firstStartMS is the start time of the workers, as they report it first.
 	firstStartMS = 1_764_742_000_000
-	// restartChance is how likely a worker starts again in a tick.
+	// restartChance is the probability that a worker restarts in a tick.
 	restartChance = 0.02
-	// maxEntryDelay is by when the entry of a new life is read.
+	// maxEntryDelay is the longest time until the directory entry of a restarted worker is read.
 	maxEntryDelay = 1500 * time.Millisecond
-	// fullRestartSeeds are the plays with MODEL=full.
+	// fullRestartSeeds is the number of seeds with MODEL=full.
 	fullRestartSeeds = 4000
 )
 
-// TestSearchWorkersStartAgain plays the searches of TestSearchTasksStart with workers that
-// start again under their IDs, their hosts' clocks set back or ahead, before the calm time:
-// whichever of entry, list and order comes first, no task runs twice, and all that has room
-// runs at the end.
+// TestSearchWorkersStartAgain runs the simulations of TestSearchTasksStart with workers that
+// restart under their IDs, with their hosts' clocks set back or ahead, until the faults end. No
+// task may run twice, and all tasks with capacity must run at the end, whichever of a restarted
+// worker's entry, its list of runs and an order comes first.
 //
-// SEARCH_SEED=n plays one seed and prints its trace, MODEL=full 4,000.
+// SEARCH_SEED=n runs one seed and prints its trace, and MODEL=full runs 4,000.
 func TestSearchWorkersStartAgain(t *testing.T) {
-	if one := os.Getenv("SEARCH_SEED"); one != "" {
-		seed, err := strconv.ParseUint(one, 10, 64)
+	if value := os.Getenv("SEARCH_SEED"); value != "" {
+		seed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,17 +61,17 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%d of %d plays failed", failed.Load(), seeds)
+	t.Logf("%d of %d seeds failed", failed.Load(), seeds)
 }
 
-// newRestartSimulation draws a play in which workers start again.
+// newRestartSimulation derives a simulation in which workers restart from a seed.
 func newRestartSimulation(t *testing.T, seed uint64, traced bool) *simulation {
 	s := newSimulation(t, seed, traced)
-	s.restarts = rand.New(rand.NewPCG(seed, 2)) //nolint:gosec // Each play must repeat.
+	s.restarts = rand.New(rand.NewPCG(seed, 2)) //nolint:gosec // Each seed must be reproducible.
 	return s
 }
 
-// restartWorkers lets some workers start again under their IDs.
+// restartWorkers restarts some workers and reads the entries of restarted ones.
 func (s *simulation) restartWorkers() {
 	if s.restarts == nil {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// restartWorker begins another life of a worker under its ID.
+// restartWorker restarts a worker under its ID.
 func (s *simulation) restartWorker(id string) {
 	m, f := s.workerStates[id], s.workers[id]
 	for _, e := range f.running {
@@ -101,7 +101,7 @@
 	m.info.Started += s.restarts.Int64N(7_000) - 3_000
 	m.lastEndedRun = make(map[cluster.TaskID]int64)
 	m.deadline, m.clockZero = 0, s.now
-	s.tracef("%s starts again, started %d", id, m.info.Started)
+	s.tracef("%s restarts, started %d", id, m.info.Started)
 	if s.restarts.IntN(2) == 0 {
 		s.readEntry(id)
 		return
--- a/internal/scheduler/searchseeds_test.go
+++ b/internal/scheduler/searchseeds_test.go
@@ -4,5 +4,5 @@
 
 package scheduler_test
 
-// defaultSeeds take some seconds.
+// defaultSeeds is the number of seeds of a search by default; they take some seconds.
 const defaultSeeds = 400
--- a/internal/scheduler/searchseedsrace_test.go
+++ b/internal/scheduler/searchseedsrace_test.go
@@ -4,6 +4,6 @@
 
 package scheduler_test
 
-// defaultSeeds are fewer under the race detector: each takes ten times as long, and is one
-// goroutine's, in which there are no races to find.
+// defaultSeeds is lower under the race detector: each seed takes ten times as long there and
+// runs in one goroutine, in which there are no races to find.
 const defaultSeeds = 40
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -15,10 +15,10 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// tick is how often the workers of a play report and decisions are taken.
+// tick is the interval of reports and scheduling rounds in a simulation.
 const tick = 100 * time.Millisecond
 
-// fault is what befalls a worker for some seconds.
+// fault is what is wrong with a worker for some seconds.
 type fault uint8
 
 const (
@@ -35,25 +35,25 @@
 )
 
 var faultNames = [faultCount]string{
-	"is sound", "fails what it starts", "lets nothing come on", "crawls", "is silent", "is busy", "has an invalid entry", "drains", "dies",
+	"is sound", "fails its runs", "stalls", "is slow", "is silent", "is busy", "has an invalid entry", "drains", "dies",
 }
 
-// workerState is a worker's life in a play, beside its own view, which the rig has.
+// workerState is the part of a worker's state that fakeWorker does not hold.
 type workerState struct {
 	info       cluster.Worker
 	fault      fault
 	faultUntil time.Time
 	deadline   int64
-	// lastEndedRun is the highest run of a task that ended or was stopped here.
+	// lastEndedRun holds the highest run of each task that ended or was stopped here.
 	lastEndedRun map[cluster.TaskID]int64
-	// drainedAt is when a draining worker's life ends; zero: it doesn't drain.
+	// drainedAt is when a draining worker ends; zero: it does not drain.
 	drainedAt time.Time
-	// clockZero is the zero of the worker's clock, and entryReadAt when its directory entry is
-	// read next; zero: it has been.
+	// clockZero is the origin of the worker's clock, and entryReadAt when its directory entry is
+	// read next; zero: it is up to date.
 	clockZero, entryReadAt time.Time
 }
 
-// clock is the reading of a worker's steady clock.
+// clock returns the reading of a worker's monotonic clock in milliseconds.
 func (s *simulation) clock(m *workerState) int64 {
 	if m.clockZero.IsZero() {
 		return s.now.UnixMilli()
@@ -61,31 +61,32 @@
 	return s.now.Sub(m.clockZero).Milliseconds()
 }
 
-// simRun is a run that a worker has taken.
+// simRun is a run that a worker has accepted.
 type simRun struct {
 	startedAt time.Time
 	progress  float64
-	// failsAt is when it fails; zero: it doesn't.
+	// failsAt is when the run fails; zero: it does not.
 	failsAt time.Time
-	// failsAtProgress is the share of its work after which it fails; 0: it doesn't.
+	// failsAtProgress is the progress, out of 1, at which the run fails; 0: it does not.
 	failsAtProgress float64
 }
 
-// simJob is a job of a play, of one step.
+// simJob is a job of one step.
 type simJob struct {
 	spec     cluster.Job
 	duration time.Duration
-	// adviceShare is the adviceShare of the workers that advice allows.
+	// adviceShare is the fraction of workers that advice allows.
 	adviceShare float64
-	// fails is set if a task that lasts fails by itself, or if a batch can't be done.
+	// fails is set if the long-running tasks fail by themselves, or if the batch tasks always
+	// fail.
 	fails bool
-	// added is set once the owner has it, and ended once it has ended.
+	// added is set once the owner has the job, and ended once the job has ended.
 	added, ended bool
 }
 
 func (j *simJob) step() *cluster.Step { return &j.spec.Steps[0] }
 
-// adviceCall is a adviceCall for advice that is open.
+// adviceCall is an open advice call.
 type adviceCall struct {
 	scheduler.RequestAdvice
 	answerAt time.Time
@@ -96,7 +97,7 @@
 	run  int64
 }
 
-// adviceAllows reports whether advice adviceAllows a worker to a job.
+// adviceAllows reports whether advice allows a job on a worker.
 func (s *simulation) adviceAllows(j *simJob, worker string) bool {
 	if j.spec.Policy.Advice == nil {
 		return true
@@ -104,20 +105,20 @@
 	h := fnv.New64a()
 	_, err := fmt.Fprintf(h, "%d %s %s", s.seed, j.spec.ID, worker)
 	if err != nil {
-		panic("a hash takes all bytes: " + err.Error())
+		panic("write to hash: " + err.Error())
 	}
 	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() < j.adviceShare //nolint:gosec // Each play must repeat.
 }
 
-// randomDuration draws a time.
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Float64()*float64(most-least))
+// randomDuration draws a duration between two bounds.
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rng.Float64()*float64(high-low))
 }
 
-// chance is true once in so many times as 1/x.
-func (s *simulation) chance(x float64) bool { return s.rng.Float64() < x }
+// chance returns true with the given probability.
+func (s *simulation) chance(probability float64) bool { return s.rng.Float64() < probability }
 
-// addWorker begins a worker's life.
+// addWorker adds a worker.
 func (s *simulation) addWorker() {
 	id := fmt.Sprintf("w%d", s.joined)
 	s.joined++
@@ -129,7 +130,7 @@
 	s.readEntry(id)
 }
 
-// replaceWorker ends a worker's life, and begins another one.
+// replaceWorker ends a worker and adds another one.
 func (s *simulation) replaceWorker(id string) {
 	for _, e := range slices.Clone(s.workers[id].running) {
 		s.endRun(id, e.Task, e.Run, cluster.OutcomeStopped)
@@ -143,7 +144,7 @@
 	s.addWorker()
 }
 
-// readEntry lets the owner read a worker's entry.
+// readEntry lets the owner, if there is one, read a worker's directory entry.
 func (s *simulation) readEntry(id string) {
 	if !s.hasOwner() {
 		return
@@ -160,7 +161,7 @@
 	}
 }
 
-// updateFaults begins and ends troubles.
+// updateFaults starts and ends faults.
 func (s *simulation) updateFaults() {
 	for _, id := range s.workerIDs() {
 		m := s.workerStates[id]
@@ -181,35 +182,35 @@
 	}
 }
 
-// setFault lets a trouble begin or end.
-func (s *simulation) setFault(id string, to fault) {
+// setFault starts a fault of a worker, or ends it with noFault.
+func (s *simulation) setFault(id string, next fault) {
 	m := s.workerStates[id]
-	if to == faultDrains && m.drainedAt.IsZero() {
+	if next == faultDrains && m.drainedAt.IsZero() {
 		m.drainedAt = s.now.Add(5 * time.Second)
 		s.tracef("%s drains", id)
 		s.readEntry(id)
 		return
 	}
-	s.tracef("%s %s", id, faultNames[to])
-	was := m.fault
-	m.fault = to
-	s.workers[id].silent = to == faultSilent || to == faultDies
-	if was == faultInvalidEntry || to == faultInvalidEntry {
+	s.tracef("%s %s", id, faultNames[next])
+	previous := m.fault
+	m.fault = next
+	s.workers[id].silent = next == faultSilent || next == faultDies
+	if previous == faultInvalidEntry || next == faultInvalidEntry {
 		s.readEntry(id)
 	}
 }
 
-// used returns the room that is in use on a worker: by what lasts, or by all.
-func (s *simulation) used(id string, lastsOnly bool) (sum resource.Amount) {
+// used returns the resources in use on a worker, by all runs or only by long-running tasks.
+func (s *simulation) used(id string, longRunningOnly bool) (sum resource.Amount) {
 	for _, e := range s.workers[id].running {
-		if st := s.byID[e.Task.Job].step(); st.LongRunning || !lastsOnly {
+		if st := s.byID[e.Task.Job].step(); st.LongRunning || !longRunningOnly {
 			sum = sum.Add(st.Allocation())
 		}
 	}
 	return sum
 }
 
-// pollWorkers lets every worker answer its hold.
+// pollWorkers delivers a report of every worker that is not silent.
 func (s *simulation) pollWorkers() {
 	for _, id := range s.workerIDs() {
 		f, m := s.workers[id], s.workerStates[id]
@@ -222,7 +223,7 @@
 			continue
 		}
 		if order.Started == m.info.Started {
-			// Neither reaches another life.
+			// A worker that has restarted since receives neither.
 			m.deadline = max(m.deadline, order.DeadlineMS)
 			f.confirmedEnd = max(f.confirmedEnd, seen)
 		}
@@ -233,7 +234,7 @@
 	}
 }
 
-// execute carries out what a round of decisions has given.
+// execute executes the commands of a scheduling round.
 func (s *simulation) execute(commands []scheduler.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
@@ -247,7 +248,7 @@
 	}
 }
 
-// startRun lets a worker take a start or not.
+// startRun returns a worker's reply to a start, and starts the run unless it is rejected.
 func (s *simulation) startRun(c scheduler.Start) cluster.Reply {
 	m, f := s.workerStates[c.Worker], s.workers[c.Worker]
 	switch {
@@ -263,14 +264,14 @@
 	m.deadline = max(m.deadline, c.DeadlineMS)
 	j := s.byID[c.Task.Job]
 	st := j.step()
-	if j.spec.Policy.Advice != nil && (!s.ticketHolds(c.Ticket) || s.rejects()) {
+	if j.spec.Policy.Advice != nil && (!s.ticketValid(c.Ticket) || s.rejects()) {
 		return cluster.ReplyTicketInvalid
 	}
 	if !m.info.Capacity.Sub(s.used(c.Worker, false)).Fits(st.Allocation()) || s.rejects() {
 		return cluster.ReplyNoRoom
 	}
 	if on, ok := s.runningOn[c.Task]; ok {
-		s.fail("%v starts on %s and runs on %s", c.Task, c.Worker, on)
+		s.fail("%v starts on %s while it runs on %s", c.Task, c.Worker, on)
 	}
 	f.running = append(f.running, cluster.RunStatus{Task: c.Task, Run: c.Run})
 	s.runningOn[c.Task] = c.Worker
@@ -284,33 +285,33 @@
 	return cluster.ReplyOK
 }
 
-// newRun draws what becomes of a run.
+// newRun draws whether and when a run fails.
 func (s *simulation) newRun(j *simJob, m *workerState) *simRun {
 	r := &simRun{startedAt: s.now}
-	lasts := j.step().LongRunning
+	longRunning := j.step().LongRunning
 	switch {
 	case m.fault == faultFailsRuns:
 		r.failsAt = s.now.Add(s.randomDuration(50*time.Millisecond, 400*time.Millisecond))
-	case lasts && j.fails && !s.failuresEnded():
+	case longRunning && j.fails && !s.failuresEnded():
 		r.failsAt = s.now.Add(s.randomDuration(200*time.Millisecond, 10*time.Second))
-	case !lasts && j.fails:
+	case !longRunning && j.fails:
 		r.failsAtProgress = 0.5
-	case !lasts && !s.faultsEnded() && s.chance(0.05):
+	case !longRunning && !s.faultsEnded() && s.chance(0.05):
 		r.failsAtProgress = 0.1 + 0.8*s.rng.Float64()
 	}
 	return r
 }
 
-// rejects draws whether something goes failure with a start.
+// rejects draws whether a start or an advice call fails.
 func (s *simulation) rejects() bool { return !s.faultsEnded() && s.chance(s.rejectRate) }
 
-// ticketHolds reports whether a ticket, whose value is its end, is valid.
-func (s *simulation) ticketHolds(value string) bool {
+// ticketValid reports whether a ticket, whose value is its expiry time, is valid.
+func (s *simulation) ticketValid(value string) bool {
 	ms, err := strconv.ParseInt(value, 10, 64)
 	return err == nil && s.now.UnixMilli() <= ms
 }
 
-// stopRun lets a worker stopRun a run.
+// stopRun stops a run on a worker and returns the worker's reply.
 func (s *simulation) stopRun(c scheduler.Stop) cluster.Reply {
 	m, f := s.workerStates[c.Worker], s.workers[c.Worker]
 	switch {
@@ -324,7 +325,7 @@
 	return cluster.ReplyOK
 }
 
-// endSimRun ends a run on a worker, if it is there.
+// endSimRun ends a run on a worker, if it runs there.
 func (s *simulation) endSimRun(id string, task cluster.TaskID, run int64, how cluster.Outcome) {
 	if !slices.ContainsFunc(s.workers[id].running, func(e cluster.RunStatus) bool { return e.Task == task && e.Run == run }) {
 		return
@@ -333,14 +334,14 @@
 	s.endRun(id, task, run, how)
 	s.clearRunning(task)
 	if s.byID[task.Job].step().LongRunning {
-		s.tracef("%v run %d on %s ends %s", task, run, id, how)
+		s.tracef("%v run %d on %s ended with %s", task, run, id, how)
 	}
 }
 
-// clearRunning notes that a task runs no more.
+// clearRunning records that a task does not run any more.
 func (s *simulation) clearRunning(task cluster.TaskID) { delete(s.runningOn, task) }
 
-// advanceRuns lets all that runs come on, and ends what is due.
+// advanceRuns advances all runs by a tick and ends those that are due.
 func (s *simulation) advanceRuns() {
 	members := make(map[runKey]int)
 	for _, id := range s.workerIDs() {
@@ -352,15 +353,15 @@
 	}
 	for _, id := range s.workerIDs() {
 		m := s.workerStates[id]
-		lapsed := s.clock(m) > m.deadline
+		leaseExpired := s.clock(m) > m.deadline
 		for _, e := range slices.Clone(s.workers[id].running) {
 			r := s.runs[runKey{e.Task, e.Run}]
-			if lapsed {
+			if leaseExpired {
 				s.endSimRun(id, e.Task, e.Run, cluster.OutcomeLeaseExpired)
 				continue
 			}
-			whole := members[runKey{cluster.TaskID{Job: e.Task.Job}, e.Run}] == s.byID[e.Task.Job].step().Count
-			if how := s.advanceRun(id, e, r, whole); how != "" {
+			complete := members[runKey{cluster.TaskID{Job: e.Task.Job}, e.Run}] == s.byID[e.Task.Job].step().Count
+			if how := s.advanceRun(id, e, r, complete); how != "" {
 				s.endSimRun(id, e.Task, e.Run, how)
 				continue
 			}
@@ -369,7 +370,7 @@
 	}
 }
 
-// reportPercent lets a worker list how far a run has come.
+// reportPercent sets the progress that a worker reports for a run.
 func (s *simulation) reportPercent(id string, e cluster.RunStatus, r *simRun) {
 	for i := range s.workers[id].running {
 		if o := &s.workers[id].running[i]; o.Task == e.Task && o.Run == e.Run {
@@ -378,42 +379,42 @@
 	}
 }
 
-// speed is how fast tasks come on at a worker.
+// speed returns the speed of runs on a worker relative to a sound one.
 func (s *simulation) speed(id string) float64 {
-	const crawl = 0.15
+	const slow = 0.15
 	switch s.workerStates[id].fault {
 	case faultStalls:
 		return 0
 	case faultSlow:
-		return crawl
+		return slow
 	}
 	return 1
 }
 
-// advanceRun lets a run come on for a tick, and returns how it ends, or "". The members of a
-// gang come on together.
-func (s *simulation) advanceRun(id string, e cluster.RunStatus, r *simRun, whole bool) cluster.Outcome {
+// advanceRun advances a run by a tick and returns its outcome, or "". Members of a gang advance
+// together, once the gang is complete.
+func (s *simulation) advanceRun(id string, e cluster.RunStatus, r *simRun, complete bool) cluster.Outcome {
 	const (
-		startsIn    = 400 * time.Millisecond
-		aloneFor    = 3 * time.Second
-		gangCrawled = 0.15
+		startTime    = 400 * time.Millisecond
+		aloneTimeout = 3 * time.Second
+		slowGang     = 0.15
 	)
 	j := s.byID[e.Task.Job]
-	st, takes, speed := j.step(), j.duration, s.speed(id)
+	st, duration, speed := j.step(), j.duration, s.speed(id)
 	if st.LongRunning {
-		takes = startsIn
+		duration = startTime
 	}
 	if st.Gang {
 		switch {
-		case !whole && s.now.Sub(r.startedAt) > aloneFor && r.progress == 0:
+		case !complete && s.now.Sub(r.startedAt) > aloneTimeout && r.progress == 0:
 			return cluster.OutcomeGangIncomplete
-		case !whole:
+		case !complete:
 			speed = 0
 		case s.gangIsSlow(e):
-			speed = gangCrawled
+			speed = slowGang
 		}
 	}
-	r.progress += speed * tick.Seconds() / takes.Seconds()
+	r.progress += speed * tick.Seconds() / duration.Seconds()
 	switch {
 	case !r.failsAt.IsZero() && !s.now.Before(r.failsAt) && (!st.LongRunning || !s.failuresEnded()):
 		return cluster.OutcomeFailed
@@ -427,17 +428,17 @@
 	return ""
 }
 
-// gangIsSlow reports whether a member of a gang's run is on a worker that crawls.
+// gangIsSlow reports whether any member of a gang's run is on a slow worker.
 func (s *simulation) gangIsSlow(e cluster.RunStatus) bool {
-	for x := range s.byID[e.Task.Job].step().Count {
-		if m := s.workerStates[s.runningOn[cluster.TaskID{Job: e.Task.Job, Index: x}]]; m != nil && m.fault == faultSlow {
+	for i := range s.byID[e.Task.Job].step().Count {
+		if m := s.workerStates[s.runningOn[cluster.TaskID{Job: e.Task.Job, Index: i}]]; m != nil && m.fault == faultSlow {
 			return true
 		}
 	}
 	return false
 }
 
-// answerAdviceCalls answers the calls for advice that are due.
+// answerAdviceCalls answers the advice calls that are due.
 func (s *simulation) answerAdviceCalls() {
 	open := s.calls
 	s.calls = nil
