--- a/internal/owner/applyloaded.go
+++ b/internal/owner/applyloaded.go
@@ -105,7 +105,7 @@
 		err = &Error{"decode job", KindLoad, &cluster.Error{Op: "decode", Kind: cluster.KindInvalid, Field: "id"}}
 	}
 	if err != nil {
-		o.Log.Warn("unreadable job row skipped", events.RowSkipped, zap.String("table", r.Table), zap.String("key", r.Key), zap.Error(err))
+		o.Log.Warn("invalid job row skipped", events.RowSkipped, zap.String("table", r.Table), zap.String("key", r.Key), zap.Error(err))
 		return cluster.Job{}, false
 	}
 	return job, true
--- a/internal/owner/deletequeue.go
+++ b/internal/owner/deletequeue.go
@@ -17,9 +17,10 @@
 	maxDeleteRows = (tables.MaxTxnRows - 1) / 2
 	minDeleteRows = 10
 	maxDeleteWait = 10 * time.Second
-	// maxWriteTimeForDelete suspends deletions while the store is slow: a write usually takes 4
-	// ms, and 0.24 to 0.4 s in a slow store. On a busy link of 2 Mbit/s a write takes up to 0.1
-	// s, and deletions go on there, since undeleted rows slow down a takeover over that link.
+	// maxWriteTimeForDelete suspends deletions while the store is slow: a write usually takes
+	// 4 ms, and 0.24 to 0.4 s in a slow store. On a busy link of 2 Mbit/s a write takes up to
+	// 0.1 s, and deletions go on there, since undeleted rows slow down a takeover over that
+	// link.
 	maxWriteTimeForDelete = 150 * time.Millisecond
 )
 
--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -24,15 +24,16 @@
 const (
 	// fallbackProbeInterval is how often the part is probed while it doesn't answer.
 	fallbackProbeInterval = 300 * time.Millisecond
-	// fallbackProbeTimeout is how long a part may take to answer a probe. It usually takes 4
-	// ms; a part that is taken for unavailable in error costs a second write of the batch.
+	// fallbackProbeTimeout is how long a part may take to answer a probe. It usually takes
+	// 4 ms; a part that is taken for unavailable in error costs a second write of the batch.
 	fallbackProbeTimeout = 200 * time.Millisecond
 )
 
 // fallback tracks the fallback rows and whether they are in use.
 type fallback struct {
 	mu sync.Mutex
-	// outageStart is when the part of the progress stopped answering; zero means that it answers.
+	// outageStart is when the part of the progress stopped answering; zero means that it
+	// answers.
 	outageStart time.Time
 	// rows maps a job ID to the keys of its fallback rows.
 	rows map[string][]tables.Row
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -43,7 +43,8 @@
 	})
 }
 
-// holdLoop renews one worker's lease and takes its reports until that incarnation of the worker has ended.
+// holdLoop renews one worker's lease and takes its reports until that incarnation of the worker
+// has ended.
 func (o *Owner) holdLoop(ctx context.Context, id string) {
 	wait, failures := time.Duration(0), 0
 	for ctx.Err() == nil {
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -47,10 +47,10 @@
 	missingParts map[string]bool
 }
 
-// loadShard takes the fence and then reads the jobs, their progress and the worker list. The fence
-// comes first, since until then the previous owner may still move jobs and persist progress.
-// Job parts that don't answer in time are loaded later, so that they don't hold up the
-// takeover.
+// loadShard takes the fence and then reads the jobs, their progress and the worker list. The
+// fence comes first, since until then the previous owner may still move jobs and persist
+// progress. Job parts that don't answer in time are loaded later, so that they don't hold up
+// the takeover.
 func (o *Owner) loadShard(ctx context.Context) error {
 	if err := o.takeFence(ctx); err != nil {
 		return err
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// isOutdatedOrder reports whether an order was meant for an earlier incarnation of its worker; the
-// current one refuses it.
+// isOutdatedOrder reports whether an order was meant for an earlier incarnation of its worker;
+// the current one refuses it.
 func (o *Owner) isOutdatedOrder(order cluster.Order) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/workerlist.go
+++ b/internal/owner/workerlist.go
@@ -25,7 +25,8 @@
 	Workers []workerListEntry `json:"workers"`
 }
 
-// workerListEntry is one incarnation of a worker. Its capacity and labels are read from the directory.
+// workerListEntry is one incarnation of a worker. Its capacity and labels are read from the
+// directory.
 type workerListEntry struct {
 	cluster.Incarnation
 	Address string `json:"a"`
--- a/internal/tables/follow.go
+++ b/internal/tables/follow.go
@@ -42,8 +42,8 @@
 }
 
 // followRetryDelay is the pause after a failed call: short compared with the time within which
-// configuration has to arrive (2 s), and long compared with the response time of the service (4
-// ms).
+// configuration has to arrive (2 s), and long compared with the response time of the service
+// (4 ms).
 const followRetryDelay = 100 * time.Millisecond
 
 // fullFeedRows is the number of rows from which an answer of the feed counts as full, so that
