--- a/internal/cell/advisers.go
+++ b/internal/cell/advisers.go
@@ -24,7 +24,7 @@
 	list := []owner.Adviser{localAdviser{p.n}}
 	now := time.Now()
 	for _, q := range p.sorted {
-		if p.up(q, now) && !q.reply.Draining {
+		if p.isUp(q, now) && !q.reply.Draining {
 			list = append(list, peerAdviser{p, q.member})
 		}
 	}
--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -28,7 +28,7 @@
 // followConfig keeps the operators' configuration current.
 func (n *Node) followConfig(ctx context.Context) {
 	f := tables.Follower{
-		Service: ownStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: configFeedWait,
+		Service: directStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: configFeedWait,
 		Apply: func(rows []tables.Row, whole bool) {
 			for _, r := range rows {
 				n.applyConfigRow(r, whole)
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -77,7 +77,7 @@
 	}
 	here := n.asCandidate()
 	here.owns--
-	best, ok := n.peers.first(here, shard.String())
+	best, ok := n.peers.bestCandidate(here, shard.String())
 	if ok && best.room() >= minRoomRatio*here.room() {
 		n.handOverTo(ctx, shard, o, best.member)
 	}
@@ -90,7 +90,7 @@
 // releaseShard leaves the shard without an owner, for whichever node comes first.
 func (n *Node) releaseShard(ctx context.Context, shard cluster.ShardID) {
 	rec, version := n.owner(shard)
-	seen, row := replacing(shard, version, ownerRecord{Epoch: rec.Epoch})
+	seen, row := replaceOwnerRow(shard, version, ownerRecord{Epoch: rec.Epoch})
 	if _, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}}); err != nil {
 		n.Log.Warn("shard not released", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
 	}
--- a/internal/cell/layout.go
+++ b/internal/cell/layout.go
@@ -118,7 +118,7 @@
 	if n.cfg.WorkersPerShard > 0 {
 		return n.cfg.WorkersPerShard
 	}
-	hosts := append(n.peers.processors(), n.me.CPUMilli)
+	hosts := append(n.peers.cpuCapacities(), n.me.CPUMilli)
 	slices.Sort(hosts)
 	typical := float64(hosts[(len(hosts)-1)/2])
 	return min(max(minShardWorkers, int(typical*ownerCPUShare/settings.MilliOwned)), settings.MostWorkersPerShard)
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -120,7 +120,7 @@
 	// which a write that takes them is on its way.
 	claimed, taking map[cluster.ShardID]bool
 	// owners are the owners by their rows.
-	owners map[cluster.ShardID]ownerSeen
+	owners map[cluster.ShardID]ownerState
 	// layouts say how the services are divided into shards.
 	layouts map[string]cluster.Layout
 	// pins are the shards of the parts of jobs that this node has accepted or looked up.
@@ -138,7 +138,7 @@
 // New returns a node that has not been started.
 func New(cfg settings.Settings, deps Deps) *Node {
 	if deps.Dial == nil {
-		deps.Dial = (&net.Dialer{Timeout: dialPeer}).DialContext
+		deps.Dial = (&net.Dialer{Timeout: peerDialTimeout}).DialContext
 	}
 	if deps.Listen == nil {
 		deps.Listen = (&net.ListenConfig{}).Listen
@@ -148,9 +148,9 @@
 	}
 	n := &Node{
 		cfg: cfg, Deps: deps, metrics: metrics.NewSet(),
-		me:    member{Name: cfg.Node, Address: cfg.Listen.PeersAt, Incarnation: newLife(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
+		me:    member{Name: cfg.Node, Address: cfg.Listen.PeersAt, Incarnation: newIncarnation(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
 		owned: make(map[cluster.ShardID]*owner.Owner), claimed: make(map[cluster.ShardID]bool),
-		taking: make(map[cluster.ShardID]bool), owners: make(map[cluster.ShardID]ownerSeen),
+		taking: make(map[cluster.ShardID]bool), owners: make(map[cluster.ShardID]ownerState),
 		layouts: make(map[string]cluster.Layout), watched: make(map[string]bool), pins: newPins(),
 	}
 	n.helperServer = fanout.NewServer(deps.Workers, deps.Log)
@@ -161,7 +161,7 @@
 	return n
 }
 
-func newLife() string {
+func newIncarnation() string {
 	var b [6]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic("cell: no randomness: " + err.Error())
@@ -176,11 +176,11 @@
 func (n *Node) Draining() bool { return n.draining.Load() }
 
 const (
-	// drainServe is how long a stopping node still takes new connections: the
+	// drainAcceptTime is how long a stopping node still takes new connections: the
 	// balancer asks each second and needs two misses.
-	drainServe = 2500 * time.Millisecond
-	// stopMargin is left of the grace period for the process to end.
-	stopMargin = 700 * time.Millisecond
+	drainAcceptTime = 2500 * time.Millisecond
+	// shutdownMargin is left of the grace period for the process to end.
+	shutdownMargin = 700 * time.Millisecond
 )
 
 // Run serves until ctx ends; then it hands over what it owns and stops.
@@ -219,8 +219,8 @@
 	n.handOverAll()
 	n.helperServer.Close()
 	grace := time.Duration(n.cfg.Bounds.GraceMS) * time.Millisecond
-	tables.Sleep(n.ctx, min(drainServe, grace/2)-time.Since(began))
-	c, cancel := context.WithTimeout(n.ctx, grace-stopMargin-time.Since(began))
+	tables.Sleep(n.ctx, min(drainAcceptTime, grace/2)-time.Since(began))
+	c, cancel := context.WithTimeout(n.ctx, grace-shutdownMargin-time.Since(began))
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(c); err != nil {
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -27,30 +27,30 @@
 )
 
 const (
-	// lease is how long workers run on without their owner: long enough for an
+	// workerLease is how long workers run on without their owner: long enough for an
 	// owner that is lost while the store is away for some seconds, short enough
 	// that the work of an unreachable worker is not kept waiting for ever.
-	lease = 8 * time.Second
-	// selfStop is how long a replaced owner may go on before a worker's answer
+	workerLease = 8 * time.Second
+	// replacedOwnerTime is how long a replaced owner may go on before a worker's answer
 	// stops it.
-	selfStop = 1500 * time.Millisecond
-	// fenceWithin bounds the reading of a fence beside the write of its owner's row: a read
+	replacedOwnerTime = 1500 * time.Millisecond
+	// fenceReadTimeout bounds the reading of a fence beside the write of its owner's row: a read
 	// takes 0.4 s while the store is 60 to 100 times slower.
-	fenceWithin = 600 * time.Millisecond
+	fenceReadTimeout = 600 * time.Millisecond
 )
 
 // followCell keeps the members' and the owners' rows current.
 func (n *Node) followCell(ctx context.Context) {
 	f := tables.Follower{
 		Service: n.store, Table: TableCell, Parts: []string{""}, FeedWait: cellFeedWait, Pause: cellFeedPause,
-		Apply:   func(rows []tables.Row, _ bool) { n.applyCell(rows) },
+		Apply:   func(rows []tables.Row, _ bool) { n.applyCellRows(rows) },
 		OnError: n.logReadFailure(TableCell),
 	}
 	f.Run(ctx)
 }
 
-// applyCell takes in rows of TableCell.
-func (n *Node) applyCell(rows []tables.Row) {
+// applyCellRows takes in rows of TableCell.
+func (n *Node) applyCellRows(rows []tables.Row) {
 	for _, r := range rows {
 		switch {
 		case r.Deleted:
@@ -60,46 +60,46 @@
 				n.Log.Warn("member row skipped", events.RowSkipped, zap.String("key", r.Key), zap.Error(err))
 				continue
 			}
-			n.peers.learn(m)
+			n.peers.addMember(m)
 		case strings.HasPrefix(r.Key, ownerPrefix):
-			n.ownerRowSeen(r)
+			n.applyOwnerRow(r)
 		case strings.HasPrefix(r.Key, layoutPrefix):
 			n.applyLayout(r)
 		}
 	}
 }
 
-// ownerRowSeen takes in a row that names an owner.
-func (n *Node) ownerRowSeen(r tables.Row) {
+// applyOwnerRow takes in a row that names an owner.
+func (n *Node) applyOwnerRow(r tables.Row) {
 	shard, err := cluster.ParseShardID(strings.TrimPrefix(r.Key, ownerPrefix))
 	if err != nil {
 		n.Log.Warn("owner row skipped", events.RowSkipped, zap.String("key", r.Key), zap.Error(err))
 		return
 	}
-	n.noteOwner(shard, r)
+	n.updateOwner(shard, r)
 }
 
-// ownerSeen is an owner's record and the version of its row.
-type ownerSeen struct {
+// ownerState is an owner's record and the version of its row.
+type ownerState struct {
 	ownerRecord
 	version int64
 	// changes are when this node saw the last few owners come.
 	changes []time.Time
 }
 
-// changesKept is how many changes of a shard's owner are remembered.
-const changesKept = 4
+// maxOwnerChanges is how many changes of a shard's owner are remembered.
+const maxOwnerChanges = 4
 
-// seeOwner notes an owner's row. The caller holds mu.
-func (n *Node) seeOwner(shard cluster.ShardID, rec ownerRecord, version int64) {
-	seen := ownerSeen{rec, version, n.owners[shard].changes}
+// setOwner notes an owner's row. The caller holds mu.
+func (n *Node) setOwner(shard cluster.ShardID, rec ownerRecord, version int64) {
+	seen := ownerState{rec, version, n.owners[shard].changes}
 	seen.changes = append(seen.changes, time.Now())
-	seen.changes = seen.changes[max(0, len(seen.changes)-changesKept):]
+	seen.changes = seen.changes[max(0, len(seen.changes)-maxOwnerChanges):]
 	n.owners[shard] = seen
 }
 
-// noteOwner notes an owner's row, and ends an ownership of this node that it replaces.
-func (n *Node) noteOwner(shard cluster.ShardID, r tables.Row) {
+// updateOwner notes an owner's row, and ends an ownership of this node that it replaces.
+func (n *Node) updateOwner(shard cluster.ShardID, r tables.Row) {
 	if r.Version == 0 {
 		// There is no row: nobody has owned the shard yet.
 		return
@@ -115,7 +115,7 @@
 		rec = ownerRecord{Epoch: n.owners[shard].Epoch}
 		n.Log.Warn("owner row names none", events.RowSkipped, zap.String("key", r.Key), zap.Int64("epoch", rec.Epoch), zap.Error(err))
 	}
-	n.seeOwner(shard, rec, r.Version)
+	n.setOwner(shard, rec, r.Version)
 	o := n.owned[shard]
 	n.mu.Unlock()
 	n.Log.Info("owner changed", events.OwnerChanged, zap.Stringer("shard", shard), zap.String("owner", rec.Owner.Name),
@@ -143,13 +143,13 @@
 	return tables.Row{Table: TableCell, Key: ownerPrefix + shard.String(), Value: value}
 }
 
-// replacing returns the row that names a shard's next owner, and as the condition of
+// replaceOwnerRow returns the row that names a shard's next owner, and as the condition of
 // its write the row of that version.
-func replacing(shard cluster.ShardID, version int64, next ownerRecord) (seen, row tables.Row) {
+func replaceOwnerRow(shard cluster.ShardID, version int64, next ownerRecord) (condition, row tables.Row) {
 	row = ownerRow(shard, next)
-	seen = row
-	seen.Version = version
-	return seen, row
+	condition = row
+	condition.Version = version
+	return condition, row
 }
 
 // owner returns the owner of a shard, and the version of its row.
@@ -160,8 +160,8 @@
 	return o.ownerRecord, o.version
 }
 
-// ownedBy returns how many shards each life of a node owns, by the owners' rows.
-func (n *Node) ownedBy() map[string]int {
+// shardCounts returns how many shards each life of a node owns, by the owners' rows.
+func (n *Node) shardCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	owned := make(map[string]int, len(n.owners))
@@ -195,34 +195,34 @@
 	}
 }
 
-// take makes this node the owner, by a write on condition of the owner's row of that
+// takeShard makes this node the owner, by a write on condition of the owner's row of that
 // version, to which the cause applies. It reports whether the node has the shard.
-func (n *Node) take(ctx context.Context, shard cluster.ShardID, version int64, cause string) bool {
+func (n *Node) takeShard(ctx context.Context, shard cluster.ShardID, version int64, cause string) bool {
 	rec, current := n.owner(shard)
 	if current != version || !n.beginTake(shard) {
 		return n.local(shard) != nil
 	}
 	defer n.endTake(shard)
 	next := ownerRecord{Owner: n.me, Epoch: rec.Epoch + 1}
-	seen, row := replacing(shard, version, next)
+	seen, row := replaceOwnerRow(shard, version, next)
 	fence := n.readFence(ctx, shard)
 	res, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}})
 	if err != nil {
 		n.Log.Warn("shard not taken", events.StoreFailed, zap.Stringer("shard", shard), zap.String("cause", cause), zap.Error(err))
-		n.rereadOwner(ctx, shard)
+		n.reconcileOwner(ctx, shard)
 		tables.Sleep(ctx, tables.RetryPause(err, 0))
 		return n.local(shard) != nil
 	}
 	if !res.Committed {
 		for _, r := range res.Current {
-			n.noteOwner(shard, r)
+			n.updateOwner(shard, r)
 		}
 		return false
 	}
 	row.Version = res.Version
 	n.Log.Info("shard taken", events.OwnershipTaken, zap.Stringer("shard", shard), zap.Int64("epoch", next.Epoch),
 		zap.String("from", rec.Owner.Name), zap.String("cause", cause))
-	n.own(shard, row, next, <-fence)
+	n.startOwner(shard, row, next, <-fence)
 	return true
 }
 
@@ -231,7 +231,7 @@
 func (n *Node) readFence(ctx context.Context, shard cluster.ShardID) <-chan tables.Row {
 	read := make(chan tables.Row, 1)
 	go func() {
-		c, cancel := context.WithTimeout(ctx, fenceWithin)
+		c, cancel := context.WithTimeout(ctx, fenceReadTimeout)
 		defer cancel()
 		row, err := owner.ReadFence(c, n.store, shard)
 		if err != nil {
@@ -264,8 +264,8 @@
 	delete(n.taking, shard)
 }
 
-// rereadOwner settles a write whose reply was lost.
-func (n *Node) rereadOwner(ctx context.Context, shard cluster.ShardID) {
+// reconcileOwner settles a write whose reply was lost.
+func (n *Node) reconcileOwner(ctx context.Context, shard cluster.ShardID) {
 	r, ok, err := tables.Get(ctx, n.store, TableCell, "", ownerPrefix+shard.String())
 	if err != nil {
 		// The feed shows the row, or the next look after the owner takes the shard again.
@@ -277,23 +277,23 @@
 	}
 	rec, err := decodeOwner(r)
 	if err == nil && rec.Owner.Incarnation == n.me.Incarnation && n.local(shard) == nil {
-		n.own(shard, r, rec, tables.Row{})
+		n.startOwner(shard, r, rec, tables.Row{})
 		return
 	}
-	n.noteOwner(shard, r)
+	n.updateOwner(shard, r)
 }
 
-// own runs a shard that this node has taken, with its fence as it was read meanwhile.
-func (n *Node) own(shard cluster.ShardID, row tables.Row, rec ownerRecord, fence tables.Row) {
+// startOwner runs a shard that this node has taken, with its fence as it was read meanwhile.
+func (n *Node) startOwner(shard cluster.ShardID, row tables.Row, rec ownerRecord, fence tables.Row) {
 	layout, _ := n.layout(shard.Service)
 	workers := n.newFanout(shard, &layout)
 	o := owner.New(owner.Config{
-		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.parallelReads(), MaxWriteBytes: n.writeBytes(), Params: n.params(rec.Epoch),
+		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.parallelReads(), MaxWriteBytes: n.writeBytes(), Params: n.schedulerParams(rec.Epoch),
 	}, owner.Deps{
 		Tables: ownersStore{n.store, n}, Workers: workers, Advisers: n.peers, Machines: readMachines{n, shard.Service}, Directory: n.Directory, Shards: otherShards{n},
 		CountRefusedEntry: n.countRejectedEntry, Log: n.Log,
 	})
-	if !n.noteOwned(shard, o, rec, row.Version) {
+	if !n.registerOwner(shard, o, rec, row.Version) {
 		workers.Close()
 		return
 	}
@@ -308,8 +308,8 @@
 	})
 }
 
-// noteOwned notes that a shard runs on this node; false: it does already.
-func (n *Node) noteOwned(shard cluster.ShardID, o *owner.Owner, rec ownerRecord, version int64) bool {
+// registerOwner notes that a shard runs on this node; false: it does already.
+func (n *Node) registerOwner(shard cluster.ShardID, o *owner.Owner, rec ownerRecord, version int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.owned[shard] != nil {
@@ -317,17 +317,17 @@
 	}
 	n.owned[shard] = o
 	if version > n.owners[shard].version {
-		n.seeOwner(shard, rec, version)
+		n.setOwner(shard, rec, version)
 	}
 	return true
 }
 
-// params returns what the scheduler of a shard has to know of this node's bounds.
-func (n *Node) params(epoch int64) scheduler.Params {
+// schedulerParams returns what the scheduler of a shard has to know of this node's bounds.
+func (n *Node) schedulerParams(epoch int64) scheduler.Params {
 	most := time.Duration(n.cfg.Bounds.LeaseMostMS) * time.Millisecond
 	return scheduler.Params{
-		Epoch: epoch, Lease: min(lease, most), MaxLease: most, StopTime: time.Duration(n.cfg.Bounds.StopMS) * time.Millisecond,
-		UncertainFor:      time.Duration(float64(min(lease, most))*scheduler.ClockSlack) + selfStop,
+		Epoch: epoch, Lease: min(workerLease, most), MaxLease: most, StopTime: time.Duration(n.cfg.Bounds.StopMS) * time.Millisecond,
+		UncertainFor:      time.Duration(float64(min(workerLease, most))*scheduler.ClockSlack) + replacedOwnerTime,
 		FinishedRetention: time.Duration(n.cfg.Bounds.KeepStateMS) * time.Millisecond,
 	}
 }
--- a/internal/cell/ownstore.go
+++ b/internal/cell/ownstore.go
@@ -8,21 +8,21 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// ownStore is the store as it answers this node itself, without a way through peers. A
+// directStore is the store as it answers this node itself, without a way through peers. A
 // configuration that came through one would pass that peer's link twice, while peers
 // have it already and hand it on packed. A failure says nothing of the store as others
 // reach it, and is not noted.
-type ownStore struct {
+type directStore struct {
 	*watchedStore
 	relay *tables.Relay
 }
 
 // List reads rows.
-func (s ownStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
+func (s directStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
 	return readNoted(ctx, s.watchedStore, "list", req, s.relay.ListDirect)
 }
 
 // Feed waits for changes.
-func (s ownStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
+func (s directStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	return readNoted(ctx, s.watchedStore, "feed", req, s.relay.FeedDirect)
 }
--- a/internal/cell/peerapi.go
+++ b/internal/cell/peerapi.go
@@ -55,7 +55,7 @@
 }
 
 func (n *Node) handlePing(ctx context.Context, req pingRequest) (pingReply, error) {
-	n.peers.heardFrom(req.From)
+	n.peers.recordContact(req.From)
 	reply := pingReply{
 		Me: n.me, Draining: n.Draining(), StoreGood: n.relay.DirectAvailable() && !n.store.down(),
 		ConfigVersion: versionOf(n.Config()),
@@ -66,7 +66,7 @@
 	for shard, o := range owned {
 		reply.Owns = append(reply.Owns, ownedShard{shard, o.Load()})
 	}
-	reply.Members = n.peers.told(req)
+	reply.Members = n.peers.membersFor(req)
 	if req.About != "" {
 		if q, ok := n.peers.get(req.About); ok {
 			c, cancel := context.WithTimeout(ctx, watchPing)
@@ -137,9 +137,9 @@
 		return empty{}, errNotOwner()
 	}
 	if _, version := n.owner(req.Shard); version < req.Version {
-		n.rereadOwner(ctx, req.Shard)
+		n.reconcileOwner(ctx, req.Shard)
 	}
-	if _, ok := n.layout(req.Shard.Service); !ok || !n.take(n.ctx, req.Shard, req.Version, "handed over") {
+	if _, ok := n.layout(req.Shard.Service); !ok || !n.takeShard(n.ctx, req.Shard, req.Version, "handed over") {
 		return empty{}, errNotOwner()
 	}
 	return empty{}, nil
--- a/internal/cell/peerrelay.go
+++ b/internal/cell/peerrelay.go
@@ -19,52 +19,52 @@
 	now := time.Now()
 	var good, other []tables.Service
 	for _, q := range p.sorted {
-		if !p.up(q, now) {
+		if !p.isUp(q, now) {
 			continue
 		}
 		if q.reply.StoreGood {
-			good = append(good, relayVia{p, q.Address})
+			good = append(good, peerRelay{p, q.Address})
 		} else {
-			other = append(other, relayVia{p, q.Address})
+			other = append(other, peerRelay{p, q.Address})
 		}
 	}
 	if len(good) > 0 {
-		p.relayNext++
-		k := p.relayNext % len(good)
+		p.relayCursor++
+		k := p.relayCursor % len(good)
 		good = append(good[k:], good[:k]...)
 	}
 	if len(p.list) == 0 {
 		for _, s := range p.seeds() {
-			other = append(other, relayVia{p, s})
+			other = append(other, peerRelay{p, s})
 		}
 	}
 	return append(good, other...)
 }
 
-// relayVia is the table service behind a peer.
-type relayVia struct {
+// peerRelay is the table service behind a peer.
+type peerRelay struct {
 	p       *peers
 	address string
 }
 
 // Commit commits through the peer.
-func (v relayVia) Commit(ctx context.Context, txn tables.Txn) (tables.TxnResult, error) {
-	return viaPeer[tables.Txn, tables.TxnResult](ctx, v, pathCommit, txn)
+func (v peerRelay) Commit(ctx context.Context, txn tables.Txn) (tables.TxnResult, error) {
+	return callRelay[tables.Txn, tables.TxnResult](ctx, v, pathCommit, txn)
 }
 
 // List lists through the peer.
-func (v relayVia) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	return viaPeer[tables.ListRequest, tables.ListResult](ctx, v, pathList, req)
+func (v peerRelay) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
+	return callRelay[tables.ListRequest, tables.ListResult](ctx, v, pathList, req)
 }
 
 // Feed waits through the peer.
-func (v relayVia) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return viaPeer[tables.FeedRequest, tables.FeedResult](ctx, v, pathFeed, req)
+func (v peerRelay) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
+	return callRelay[tables.FeedRequest, tables.FeedResult](ctx, v, pathFeed, req)
 }
 
-// viaPeer makes a call of the table service through the peer; one that never left
+// callRelay makes a call of the table service through the peer; one that never left
 // this node had no effect for sure.
-func viaPeer[Req, Resp any](ctx context.Context, v relayVia, path string, req Req) (Resp, error) {
+func callRelay[Req, Resp any](ctx context.Context, v peerRelay, path string, req Req) (Resp, error) {
 	reply, err := httpx.Call[Req, storeReply[Resp]](ctx, v.p.client, "http://"+v.address+path, req)
 	if err != nil {
 		kind := tables.KindUnknown
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -20,10 +20,10 @@
 const (
 	// peerUpFor is how long an answer counts as a sign of life, beside the time that
 	// the rounds of pings take to come around.
-	peerUpFor = 3 * time.Second
-	dialPeer  = 250 * time.Millisecond
-	// idlePerPeer keeps enough connections for feeds and calls at once.
-	idlePerPeer = 8
+	peerUpFor       = 3 * time.Second
+	peerDialTimeout = 250 * time.Millisecond
+	// idleConnsPerPeer keeps enough connections for feeds and calls at once.
+	idleConnsPerPeer = 8
 )
 
 // peers are the other nodes, as far as they are known.
@@ -35,12 +35,12 @@
 	list map[string]*peer
 	// sorted are the nodes of list in the order of their names.
 	sorted []*peer
-	// next turns the order in which peers are pinged, and asked about an owner.
-	next int
+	// pingCursor turns the order in which peers are pinged, and asked about an owner.
+	pingCursor int
 	// pinging are the pings that are open for those who wait for a load, by life.
 	pinging map[string]chan struct{}
-	// relayNext turns the order in which relays are tried.
-	relayNext int
+	// relayCursor turns the order in which relays are tried.
+	relayCursor int
 }
 
 // peer is another node and how it has answered.
@@ -49,27 +49,27 @@
 	// hash is that of its name.
 	hash   uint64
 	lastOK time.Time
-	// firstFail is the first failure since the last answer; zero: none.
-	firstFail time.Time
-	// retriedAt is when it was last pinged out of turn since then, and retryIn after what
+	// failingSince is the first failure since the last answer; zero: none.
+	failingSince time.Time
+	// lastRetry is when it was last pinged out of turn since then, and retryIn after what
 	// time it is again.
-	retriedAt time.Time
-	retryIn   time.Duration
+	lastRetry     time.Time
+	retryInterval time.Duration
 	// reply is its last answer.
 	reply pingReply
 }
 
 // untried reports whether the node has neither answered nor failed to. The caller
 // holds the mu of the peers.
-func (q *peer) untried() bool { return q.lastOK.IsZero() && q.firstFail.IsZero() }
+func (q *peer) untried() bool { return q.lastOK.IsZero() && q.failingSince.IsZero() }
 
 func newPeers(n *Node) *peers {
-	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Compressed: true, Usage: n.Usage}, idlePerPeer, idleTimeout)
+	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Compressed: true, Usage: n.Usage}, idleConnsPerPeer, idleTimeout)
 	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), pinging: make(map[string]chan struct{})}
 }
 
-// learn notes a node that another source has named.
-func (p *peers) learn(m member) {
+// addMember notes a node that another source has named.
+func (p *peers) addMember(m member) {
 	if m.Name == "" || m.Name == p.n.me.Name || m.Address == "" {
 		return
 	}
@@ -84,15 +84,15 @@
 		return
 	}
 	if old.Incarnation != m.Incarnation {
-		old.member, old.firstFail = m, time.Time{}
+		old.member, old.failingSince = m, time.Time{}
 	}
 }
 
-// up reports whether a peer answered lately, and has not failed to since. The
+// isUp reports whether a peer answered lately, and has not failed to since. The
 // caller holds mu.
-func (p *peers) up(q *peer, now time.Time) bool {
-	around := time.Duration(len(p.list)/pingAtOnce) * pingEvery
-	return now.Sub(q.lastOK) < peerUpFor+around && q.firstFail.IsZero()
+func (p *peers) isUp(q *peer, now time.Time) bool {
+	around := time.Duration(len(p.list)/peersPerRound) * pingInterval
+	return now.Sub(q.lastOK) < peerUpFor+around && q.failingSince.IsZero()
 }
 
 // countUp returns how many peers are up.
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, q := range p.list {
-		if p.up(q, now) {
+		if p.isUp(q, now) {
 			up++
 		}
 	}
@@ -115,10 +115,10 @@
 	return list
 }
 
-// heardFrom notes a node that has called. One that has not been tried yet counts as up,
+// recordContact notes a node that has called. One that has not been tried yet counts as up,
 // which saves half of the pings when all nodes start.
-func (p *peers) heardFrom(m member) {
-	p.learn(m)
+func (p *peers) recordContact(m member) {
+	p.addMember(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if q := p.list[m.Name]; q != nil && q.Incarnation == m.Incarnation && q.untried() {
@@ -128,7 +128,7 @@
 
 // eachCandidate calls fn for the other nodes that may own shards. fn must not call peers.
 func (p *peers) eachCandidate(here candidate, fn func(c candidate)) {
-	owned := p.n.ownedBy()
+	owned := p.n.shardCounts()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -141,15 +141,15 @@
 		}
 		// A node must not take everything before one with more room can.
 		roomier := q.untried() && c.room() > here.room()
-		if (roomier || p.up(q, now)) && !q.reply.Draining {
+		if (roomier || p.isUp(q, now)) && !q.reply.Draining {
 			fn(c)
 		}
 	}
 }
 
-// first returns the first of the other nodes in the order of successors under a key, such
+// bestCandidate returns the bestCandidate of the other nodes in the order of successors under a key, such
 // as a shard's name; ok is false if there is none.
-func (p *peers) first(here candidate, key string) (best candidate, ok bool) {
+func (p *peers) bestCandidate(here candidate, key string) (best candidate, ok bool) {
 	hash := xxhash.Sum64String(key)
 	p.eachCandidate(here, func(c candidate) {
 		if !ok || c.compareFor(hash, best) < 0 {
@@ -165,23 +165,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.sorted
-	p.next++
+	p.pingCursor++
 	for i := range list {
-		q := list[(p.next+i)%len(list)]
+		q := list[(p.pingCursor+i)%len(list)]
 		if q.Name == about {
 			continue
 		}
 		others = true
-		if p.up(q, time.Now()) && len(asked) < secondOpinions {
+		if p.isUp(q, time.Now()) && len(asked) < maxWitnesses {
 			asked = append(asked, q.member)
 		}
 	}
 	return asked, others
 }
 
-// told returns a few nodes that answer, for a node that knows fewer than this one. The
+// membersFor returns a few nodes that answer, for a node that knows fewer than this one. The
 // store names all to nodes that it serves.
-func (p *peers) told(to pingRequest) []member {
+func (p *peers) membersFor(to pingRequest) []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if to.Knows >= len(p.sorted) {
@@ -192,16 +192,16 @@
 	for i := range p.sorted {
 		// Each asker is told of other ones, and of all after some rounds.
 		q := p.sorted[(to.Knows+i)%len(p.sorted)]
-		if p.up(q, now) && len(list) < maxMembersInReply {
+		if p.isUp(q, now) && len(list) < maxMembersInReply {
 			list = append(list, q.member)
 		}
 	}
 	return list
 }
 
-// processors returns what the other nodes that have told it may use of a processor, in
+// cpuCapacities returns what the other nodes that have told it may use of a processor, in
 // thousandths of a core.
-func (p *peers) processors() (list []int64) {
+func (p *peers) cpuCapacities() (list []int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, q := range p.sorted {
@@ -212,8 +212,8 @@
 	return list
 }
 
-// known returns how many other nodes are known.
-func (p *peers) known() int {
+// count returns how many other nodes are count.
+func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.sorted)
@@ -224,7 +224,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.list[owner]
-	if q == nil || time.Since(q.lastOK) > loadMaxAge || !q.firstFail.IsZero() {
+	if q == nil || time.Since(q.lastOK) > loadMaxAge || !q.failingSince.IsZero() {
 		return 0, false
 	}
 	for _, s := range q.reply.Owns {
@@ -241,7 +241,7 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, q := range p.list {
-		if p.up(q, now) {
+		if p.isUp(q, now) {
 			return true
 		}
 	}
@@ -262,7 +262,7 @@
 // isDown reports whether a node is known not to answer.
 func (p *peers) isDown(name string) bool {
 	q, ok := p.get(name)
-	return ok && !q.firstFail.IsZero()
+	return ok && !q.failingSince.IsZero()
 }
 
 // call sends a message to a peer, whose answer has to begin to arrive within begin.
--- a/internal/cell/ping.go
+++ b/internal/cell/ping.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// pingEvery is the pause between two rounds of pings, and pingAtOnce how many
+	// pingInterval is the pause between two rounds of pings, and pingAtOnce how many
 	// peers a round reaches, so that the cost does not grow with the cell.
-	pingEvery  = 700 * time.Millisecond
-	pingAtOnce = 3
-	// pingSoon is the pause while there are nodes that have not been pinged yet, and
+	pingInterval  = 700 * time.Millisecond
+	peersPerRound = 3
+	// duePingInterval is the pause while there are nodes that have not been pinged yet, and
 	// pingUntried how many of them a round reaches: a new owner calls the advice service
 	// from all nodes that it knows to be up, and all may have started just now.
-	pingSoon    = 100 * time.Millisecond
-	pingUntried = 64
-	// retryFirst is how soon a node that failed to answer is pinged again, and then after
+	duePingInterval = 100 * time.Millisecond
+	maxDuePings     = 64
+	// minRetryInterval is how soon a node that failed to answer is pinged again, and then after
 	// twice that, and so on up to retryMost: that it did not answer may tell of this node,
 	// which would else take it for down until its turn comes in the rounds. It goes on for
 	// good: two nodes that were cut off from each other for long have no other way back.
 	// Nodes that are gone for good cost one call a minute each.
-	retryFirst = 500 * time.Millisecond
-	retryMost  = time.Minute
+	minRetryInterval = 500 * time.Millisecond
+	maxRetryInterval = time.Minute
 	// forgetAfter is when a peer that never answers is left out of the rounds.
 	forgetAfter = 20 * time.Second
 )
@@ -38,10 +38,10 @@
 // pingLoop keeps in touch with the other nodes, a few in each round.
 func (p *peers) pingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.pingAll(ctx, p.round())
-		for end := time.Now().Add(pingEvery); time.Now().Before(end) && ctx.Err() == nil; {
-			tables.Sleep(ctx, pingSoon)
-			p.pingAll(ctx, p.soon())
+		p.pingAll(ctx, p.nextRound())
+		for end := time.Now().Add(pingInterval); time.Now().Before(end) && ctx.Err() == nil; {
+			tables.Sleep(ctx, duePingInterval)
+			p.pingAll(ctx, p.duePeers())
 		}
 	}
 }
@@ -53,48 +53,48 @@
 	}
 }
 
-// soon returns nodes that are pinged out of turn: those that have neither answered nor
+// duePeers returns nodes that are pinged out of turn: those that have neither answered nor
 // failed to, and those that failed a short while ago.
-func (p *peers) soon() []member {
+func (p *peers) duePeers() []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	var list []member
 	for _, q := range p.sorted {
-		if len(list) == pingUntried {
+		if len(list) == maxDuePings {
 			break
 		}
-		if q.untried() || q.isRetried(now) {
+		if q.untried() || q.startRetry(now) {
 			list = append(list, q.member)
 		}
 	}
 	return list
 }
 
-// isRetried reports whether it is time to ping a node again that failed to answer, and
+// startRetry reports whether it is time to ping a node again that failed to answer, and
 // notes that this is done. The caller holds the mu of the peers.
-func (q *peer) isRetried(now time.Time) bool {
-	if q.firstFail.IsZero() || now.Sub(q.retriedAt) < q.retryIn {
+func (q *peer) startRetry(now time.Time) bool {
+	if q.failingSince.IsZero() || now.Sub(q.lastRetry) < q.retryInterval {
 		return false
 	}
-	q.retriedAt, q.retryIn = now, min(2*q.retryIn, retryMost)
+	q.lastRetry, q.retryInterval = now, min(2*q.retryInterval, maxRetryInterval)
 	return true
 }
 
-// round returns the next peers to ping, in turn; the seeds while no peer is known.
-func (p *peers) round() []member {
+// nextRound returns the next peers to ping, in turn; the seeds while no peer is known.
+func (p *peers) nextRound() []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var round []member
 	list := p.sorted
 	now := time.Now()
 	for range list {
-		q := list[p.next%len(list)]
-		p.next++
-		if !q.firstFail.IsZero() && now.Sub(q.firstFail) > forgetAfter {
+		q := list[p.pingCursor%len(list)]
+		p.pingCursor++
+		if !q.failingSince.IsZero() && now.Sub(q.failingSince) > forgetAfter {
 			continue
 		}
-		if round = append(round, q.member); len(round) == pingAtOnce {
+		if round = append(round, q.member); len(round) == peersPerRound {
 			break
 		}
 	}
@@ -119,21 +119,21 @@
 
 // ping asks a node for a sign of life and notes what it says.
 func (p *peers) ping(ctx context.Context, m member) (pingReply, error) {
-	reply, err := call[pingRequest, pingReply](ctx, p, m.Address, pathPing, pingRequest{From: p.n.me, Knows: p.known()}, peerTimeout)
+	reply, err := call[pingRequest, pingReply](ctx, p, m.Address, pathPing, pingRequest{From: p.n.me, Knows: p.count()}, peerTimeout)
 	if err != nil {
-		p.failed(m, err)
+		p.recordFailure(m, err)
 		return reply, err
 	}
-	p.learn(reply.Me)
+	p.addMember(reply.Me)
 	for _, o := range reply.Members {
-		p.learnUnknown(o)
+		p.addIfUnknown(o)
 	}
 	p.mu.Lock()
 	q := p.list[reply.Me.Name]
 	var wasDown bool
 	if q != nil {
-		wasDown = !q.firstFail.IsZero()
-		q.lastOK, q.firstFail, q.reply = time.Now(), time.Time{}, reply
+		wasDown = !q.failingSince.IsZero()
+		q.lastOK, q.failingSince, q.reply = time.Now(), time.Time{}, reply
 	}
 	p.mu.Unlock()
 	if wasDown {
@@ -143,26 +143,26 @@
 	return reply, nil
 }
 
-// learnUnknown notes a node that a peer has named, unless it is known already:
+// addIfUnknown notes a node that a peer has named, unless it is known already:
 // what peers repeat may be older than what is known here.
-func (p *peers) learnUnknown(m member) {
+func (p *peers) addIfUnknown(m member) {
 	p.mu.Lock()
 	_, known := p.list[m.Name]
 	p.mu.Unlock()
 	if !known {
-		p.learn(m)
+		p.addMember(m)
 	}
 }
 
-// failed notes that a call of a node failed, and logs the first failure.
-func (p *peers) failed(m member, err error) {
+// recordFailure notes that a call of a node recordFailure, and logs the first failure.
+func (p *peers) recordFailure(m member, err error) {
 	p.mu.Lock()
 	q := p.list[m.Name]
 	var first bool
 	if q != nil && q.Incarnation == m.Incarnation {
-		if first = q.firstFail.IsZero(); first {
-			q.firstFail = time.Now()
-			q.retriedAt, q.retryIn = q.firstFail, retryFirst
+		if first = q.failingSince.IsZero(); first {
+			q.failingSince = time.Now()
+			q.lastRetry, q.retryInterval = q.failingSince, minRetryInterval
 		}
 	}
 	p.mu.Unlock()
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pinsKept is how many jobs' shards a node remembers, at some 100 bytes each:
+	// pinCacheSize is how many jobs' shards a node remembers, at some 100 bytes each:
 	// those of two minutes on the users' largest site.
-	pinsKept = 5000
-	// nearUntil is the load up to which a job goes to the shard of its data's rack,
+	pinCacheSize = 5000
+	// maxRackShardLoad is the load up to which a job goes to the shard of its data's rack,
 	// rather than to the less loaded one of its two choices.
-	nearUntil = 0.9
+	maxRackShardLoad = 0.9
 )
 
 func newPins() *lru.Cache[string, []cluster.ShardID] {
-	c, err := lru.New[string, []cluster.ShardID](pinsKept)
+	c, err := lru.New[string, []cluster.ShardID](pinCacheSize)
 	if err != nil {
 		panic("cell: the cache of pins has no size: " + err.Error())
 	}
@@ -40,14 +40,14 @@
 		return nil, false
 	}
 	if layout.Shards > 1 && job.Splittable() {
-		return n.epochsOf(job.Split(layout.CandidateShards(job.ID)[0], &layout)), true
+		return n.setEpochs(job.Split(layout.CandidateShards(job.ID)[0], &layout)), true
 	}
-	job.Shard = n.choose(ctx, &layout, &job).Index
-	return n.epochsOf([]cluster.Job{job}), true
+	job.Shard = n.chooseShard(ctx, &layout, &job).Index
+	return n.setEpochs([]cluster.Job{job}), true
 }
 
-// epochsOf notes in the parts of a job which owner each is accepted for.
-func (n *Node) epochsOf(parts []cluster.Job) []cluster.Job {
+// setEpochs notes in the parts of a job which owner each is accepted for.
+func (n *Node) setEpochs(parts []cluster.Job) []cluster.Job {
 	for i := range parts {
 		rec, _ := n.owner(parts[i].ShardID())
 		parts[i].Epoch = rec.Epoch
@@ -55,30 +55,30 @@
 	return parts
 }
 
-// choose returns the shard that a job should run on: that of its data's rack
+// chooseShard returns the shard that a job should run on: that of its data's rack
 // unless it is full, else the less loaded of two that depend on its ID. Loads may
 // be some tenths of a second old; two choices keep the nodes from all choosing the same one.
-func (n *Node) choose(ctx context.Context, layout *cluster.Layout, job *cluster.Job) cluster.ShardID {
+func (n *Node) chooseShard(ctx context.Context, layout *cluster.Layout, job *cluster.Job) cluster.ShardID {
 	ids := layout.IDs()
 	var asked []cluster.ShardID
 	for _, i := range layout.CandidateShards(job.ID) {
 		asked = append(asked, ids[i])
 	}
 	rack := job.DataRack()
-	near := ids[layout.ShardOf(rack)]
+	rackShard := ids[layout.ShardOf(rack)]
 	if rack != "" {
-		asked = append(asked, near)
+		asked = append(asked, rackShard)
 	}
 	n.refreshLoads(ctx, asked)
-	if rack != "" && n.shardLoad(near) < nearUntil {
-		return near
+	if rack != "" && n.shardLoad(rackShard) < maxRackShardLoad {
+		return rackShard
 	}
-	return n.choices(layout, job.ID)[0]
+	return n.candidatesByLoad(layout, job.ID)[0]
 }
 
-// choices returns the shards among which a job is placed by their load, the less
+// candidatesByLoad returns the shards among which a job is placed by their load, the less
 // loaded one first.
-func (n *Node) choices(layout *cluster.Layout, id string) []cluster.ShardID {
+func (n *Node) candidatesByLoad(layout *cluster.Layout, id string) []cluster.ShardID {
 	ids := layout.IDs()
 	var list []cluster.ShardID
 	for _, i := range layout.CandidateShards(id) {
@@ -90,8 +90,8 @@
 	return list
 }
 
-// lessLoadedBy is how much lower another shard's load must be for a job to move there.
-const lessLoadedBy = 0.15
+// minLoadGain is how much lower another shard's load must be for a job to move there.
+const minLoadGain = 0.15
 
 // BetterShard returns the least loaded other shard, if it is less loaded by so much that
 // a waiting job should move there; a job that can't run where it is goes on in turn.
@@ -105,7 +105,7 @@
 	if m.Unfit {
 		return ids[(from.Index+1)%len(ids)], true
 	}
-	best, least := from, load-lessLoadedBy
+	best, least := from, load-minLoadGain
 	for _, id := range ids {
 		if l := n.shardLoad(id); id != from && l < least {
 			best, least = id, l
@@ -136,7 +136,7 @@
 		return nil
 	}
 	// The less loaded one is more likely to have the job.
-	return n.choices(&layout, id)
+	return n.candidatesByLoad(&layout, id)
 }
 
 // lookUpPin reads the shards of a job's parts, and the row that names them, from the store.
--- a/internal/cell/reader.go
+++ b/internal/cell/reader.go
@@ -62,7 +62,7 @@
 	if n.cfg.Limits.LinkMbps <= 0 || n.cfg.Limits.LinkMbps >= readerBelow {
 		return m, false
 	}
-	best, ok := n.peers.first(n.asCandidate(), key)
+	best, ok := n.peers.bestCandidate(n.asCandidate(), key)
 	return best.member, ok && best.owns == 0
 }
 
@@ -109,7 +109,7 @@
 	}
 	c, cancel := conns.WithStallTimeout(ctx, wait+readWithin)
 	defer cancel()
-	res, err := read(relayVia{s.n.peers, m.Address}, c, req)
+	res, err := read(peerRelay{s.n.peers, m.Address}, c, req)
 	if err == nil || tables.IsFinal(err) || ctx.Err() != nil {
 		return res, err
 	}
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -135,7 +135,7 @@
 	if cause == "" || !n.claim(ctx, shard, version) {
 		return
 	}
-	n.take(ctx, shard, version, cause)
+	n.takeShard(ctx, shard, version, cause)
 	n.releaseClaim(shard)
 	*suspect = suspicion{}
 }
@@ -191,13 +191,13 @@
 	if s.silentSince.IsZero() {
 		s.silentSince = time.Now()
 	}
-	opinion := n.askAbout(ctx, owner)
-	if opinion.answers != "" {
-		n.Log.Info("owner answers others", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", opinion.answers))
+	opinion := n.askWitnesses(ctx, owner)
+	if opinion.reachedBy != "" {
+		n.Log.Info("owner answers others", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", opinion.reachedBy))
 		s.aloneSince, s.silentSince = time.Time{}, time.Time{}
 		return ""
 	}
-	if !opinion.alone {
+	if !opinion.isolated {
 		if time.Since(s.silentSince) < n.silentPatience(shard) {
 			return ""
 		}
@@ -207,7 +207,7 @@
 		s.aloneSince = time.Now()
 		n.Log.Info("no node answers here", events.OwnerSuspected, zap.String("owner", owner.Name))
 	}
-	if time.Since(s.aloneSince) < aloneDelay {
+	if time.Since(s.aloneSince) < isolationDelay {
 		return ""
 	}
 	return "all other nodes are silent"
