--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -52,7 +52,7 @@
 	route(mux, peer.PathReserve, n.pools.Reserve)
 	route(mux, peer.PathConfirm, n.pools.Confirm)
 	route(mux, peer.PathStop, n.pools.Stop)
-	route(mux, peer.PathLetGo, n.pools.LetGo)
+	route(mux, peer.PathLetGo, n.pools.CancelReservations)
 	route(mux, peer.PathEvents, n.takeEvents)
 	route(mux, peer.PathKeyBegin, n.jobs.KeyBegin)
 	route(mux, peer.PathKeyFinish, n.jobs.KeyFinish)
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -150,7 +150,7 @@
 
 // LetGo gives reservations up.
 func (r poolRouter) LetGo(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	return toPool(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.LetGo)
+	return toPool(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
 }
 
 // eventSink takes events to the owners of job shards.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -90,8 +90,9 @@
 	Service string
 	Address string
 	Slots   int
-	// Held reports whether this node certainly owns the instance now.
-	Held func() bool
+	// Usable reports whether requests may go to the instance: while this node owns it, and for the
+	// grace after the node has lost its lease.
+	Usable func() bool
 }
 
 // Deps are the dependencies of a Set.
@@ -113,8 +114,8 @@
 	Grace time.Duration
 	// Reservation is how long room is kept for a task that is not confirmed.
 	Reservation time.Duration
-	// Every is the time between reads of the host list.
-	Every time.Duration
+	// HostInterval is the time between two reads of the host list.
+	HostInterval time.Duration
 	// SetAside is how long a worker is set aside that fails unlike jobs, at first.
 	SetAside time.Duration
 	// IgnoreLeaving goes on using workers that leave, to show that tests see it.
@@ -411,7 +412,7 @@
 	t.event = peer.Event{Kind: peer.EventStarted, Attempt: t.spec.Attempt, Worker: t.worker, Address: address}
 	if t.spec.Service != "" && address != "" {
 		p.deps.Instances.Add(Instance{
-			Attempt: t.spec.Attempt, Service: t.spec.Service, Address: address, Slots: t.spec.Slots, Held: p.usable,
+			Attempt: t.spec.Attempt, Service: t.spec.Service, Address: address, Slots: t.spec.Slots, Usable: p.usable,
 		})
 		if w, ok := p.workers[t.worker]; ok {
 			p.deps.Instances.SetOpen(t.spec.Attempt, w.takesRequests())
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -126,7 +126,7 @@
 		Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
 	}, pool.Options{
 		Lease: 6 * time.Second, Margin: time.Second, Grace: 20 * time.Second, Reservation: 5 * time.Second,
-		Every: time.Second, SetAside: 10 * time.Second,
+		HostInterval: time.Second, SetAside: 10 * time.Second,
 	}, zap.NewNop())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = b.s.Run(ctx) }()
@@ -389,7 +389,7 @@
 	defer stop()
 	s := pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
 		Hosts: f, Workers: f, Events: f, Instances: f, Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
-	}, pool.Options{Lease: time.Hour, Margin: time.Second, Reservation: time.Hour, Every: time.Hour}, zap.NewNop())
+	}, pool.Options{Lease: time.Hour, Margin: time.Second, Reservation: time.Hour, HostInterval: time.Hour}, zap.NewNop())
 	err := s.Acquire(ctx, shard.Grant{Owner: "n", Key: key, Epoch: 1, Held: func() bool { return true }, LapsedFor: func() time.Duration { return 0 }})
 	if err != nil {
 		b.Fatal(err)
@@ -406,7 +406,7 @@
 			specs[i] = worker.Spec{Attempt: worker.Attempt{Job: "j", Task: i, N: n}, Size: size}
 		}
 		reply, _ := s.Reserve(ctx, peer.ReserveRequest{Shard: string(key), Specs: specs})
-		_, _ = s.LetGo(ctx, peer.StopRequest{Shard: string(key), Placements: reply.Placements})
+		_, _ = s.CancelReservations(ctx, peer.StopRequest{Shard: string(key), Placements: reply.Placements})
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*batch), "ns/decision")
 }
--- a/internal/pool/set.go
+++ b/internal/pool/set.go
@@ -46,7 +46,7 @@
 
 // Run reads the host list until ctx ends.
 func (s *Set) Run(ctx context.Context) error {
-	t := time.NewTicker(s.opts.Every)
+	t := time.NewTicker(s.opts.HostInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -179,8 +179,8 @@
 	return s.each("stop", req.Shard, req.Placements, (*Pool).stopTask)
 }
 
-// LetGo gives up reservations that will not be confirmed.
-func (s *Set) LetGo(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
+// CancelReservations gives up reservations that will not be confirmed.
+func (s *Set) CancelReservations(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	p, err := s.owned("let go", req.Shard)
 	if err != nil {
 		return peer.ConfirmReply{}, err
--- a/internal/requests/balancer.go
+++ b/internal/requests/balancer.go
@@ -234,7 +234,7 @@
 	now := time.Now()
 	var best *instance
 	for _, i := range s.instances {
-		if !i.open || (i.busy >= i.Slots && !b.overcommit) || !i.Held() {
+		if !i.open || (i.busy >= i.Slots && !b.overcommit) || !i.Usable() {
 			continue
 		}
 		if best == nil || less(i, best, now) {
@@ -404,7 +404,7 @@
 			sum.Queued = s.queue.Len()
 		}
 		for _, i := range s.instances {
-			if i.open && i.Held() {
+			if i.open && i.Usable() {
 				sum.Instances++
 				sum.Free += max(0, i.Slots-i.busy)
 			}
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -39,7 +39,7 @@
 func instance(n, slots int, address string) pool.Instance {
 	return pool.Instance{
 		Attempt: worker.Attempt{Job: "j", Task: n, N: 1}, Service: svc, Slots: slots, Address: address,
-		Held: func() bool { return true },
+		Usable: func() bool { return true },
 	}
 }
 
