--- a/internal/queue/fair.go
+++ b/internal/queue/fair.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package queue holds a bounded, weighted fair queue.
+// Package queue provides a bounded, weighted fair queue.
 //
-// Each team has a queue of its own; the teams take turns by virtual finish
-// time, so that a team's rush makes only that team wait. Push and Pop cost
+// Each team has a queue of its own. Teams are served in order of virtual finish
+// time, so that a burst of one team delays only that team. Push and Pop take
 // O(log teams).
 //
 // # Usage
@@ -18,20 +18,20 @@
 	"fmt"
 )
 
-// Limits bound a queue.
+// Limits are the maximum numbers of waiting items.
 type Limits struct {
 	PerTeam int
 	Total   int
 }
 
-// Kind tells apart the errors of this package.
+// Kind is the kind of an Error.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindTeamFull is a push beyond the team's limit.
+	// KindTeamFull means that the team has reached its limit.
 	KindTeamFull Kind = "team_queue_full"
-	// KindFull is a push beyond the limit of all teams together.
+	// KindFull means that all teams together have reached the limit.
 	KindFull Kind = "queue_full"
 )
 
@@ -45,26 +45,30 @@
 // Error returns the operation, kind and team.
 func (e *Error) Error() string { return fmt.Sprintf("queue: %s: %s: team %s", e.Op, e.Kind, e.Team) }
 
-// Fair is the queue; it is not safe for use by several goroutines at once.
+// Fair is a weighted fair queue. It is not safe for concurrent use.
 type Fair[T any] struct {
 	limits Limits
 	teams  map[string]*team[T]
+	// active holds the teams with waiting items, the next one first.
 	active teamHeap[T]
-	now    float64
-	n      int
+	// virtualTime is the finish time of the last item that was removed by Pop.
+	virtualTime float64
+	length      int
 }
 
 type team[T any] struct {
 	name string
-	// finish is the virtual time at which the team's first item is due.
+	// finish is the virtual finish time of the team's first item.
 	finish float64
 	items  []item[T]
-	index  int
+	// index is the position in the heap of active teams.
+	index int
 }
 
 type item[T any] struct {
 	value T
-	cost  float64
+	// cost is the virtual time that the item takes: the inverse of the weight.
+	cost float64
 }
 
 // NewFair returns an empty queue.
@@ -72,13 +76,13 @@
 	return &Fair[T]{limits: limits, teams: make(map[string]*team[T])}
 }
 
-// SetLimits changes the limits; what waits already stays.
+// SetLimits changes the limits. Items that already wait stay.
 func (q *Fair[T]) SetLimits(l Limits) { q.limits = l }
 
-// Len returns how many items wait.
-func (q *Fair[T]) Len() int { return q.n }
+// Len returns the number of waiting items.
+func (q *Fair[T]) Len() int { return q.length }
 
-// TeamLen returns how many items of a team wait.
+// TeamLen returns the number of waiting items of a team.
 func (q *Fair[T]) TeamLen(name string) int {
 	if t, ok := q.teams[name]; ok {
 		return len(t.items)
@@ -86,9 +90,10 @@
 	return 0
 }
 
-// Push adds v to a team's queue; a larger weight gives the team more turns.
+// Push adds v to the queue of the team with that name. Teams are served in proportion to their
+// weights.
 func (q *Fair[T]) Push(name string, weight float64, v T) error {
-	if q.n >= q.limits.Total {
+	if q.length >= q.limits.Total {
 		return &Error{"push", KindFull, name}
 	}
 	if q.TeamLen(name) >= q.limits.PerTeam {
@@ -101,15 +106,15 @@
 		q.teams[name] = t
 	}
 	t.items = append(t.items, item[T]{v, cost})
-	q.n++
+	q.length++
 	if len(t.items) == 1 {
-		t.finish = max(q.now, t.finish) + cost
+		t.finish = max(q.virtualTime, t.finish) + cost
 		heap.Push(&q.active, t)
 	}
 	return nil
 }
 
-// Pop takes the next item.
+// Pop removes and returns the next item; it returns false if the queue is empty.
 func (q *Fair[T]) Pop() (T, bool) {
 	var zero T
 	if len(q.active) == 0 {
@@ -119,25 +124,25 @@
 	v := t.items[0].value
 	t.items[0].value = zero
 	t.items = t.items[1:]
-	q.now = t.finish
-	q.n--
-	q.requeue(t)
+	q.virtualTime = t.finish
+	q.length--
+	q.updateTeam(t)
 	return v, true
 }
 
-// requeue puts a team whose first item has left back in its place.
-func (q *Fair[T]) requeue(t *team[T]) {
+// updateTeam updates the position of a team whose first item was removed.
+func (q *Fair[T]) updateTeam(t *team[T]) {
 	if len(t.items) == 0 {
 		heap.Remove(&q.active, t.index)
 		t.items = nil
-		q.forget()
+		q.removeIdleTeams()
 		return
 	}
 	t.finish += t.items[0].cost
 	heap.Fix(&q.active, t.index)
 }
 
-// Remove takes out the items of a team that match.
+// Remove removes the matching items of a team.
 func (q *Fair[T]) Remove(name string, match func(T) bool) {
 	t, ok := q.teams[name]
 	if !ok || len(t.items) == 0 {
@@ -149,23 +154,24 @@
 			kept = append(kept, it)
 		}
 	}
-	q.n -= len(t.items) - len(kept)
+	q.length -= len(t.items) - len(kept)
 	clear(t.items[len(kept):])
 	t.items = kept
 	if len(kept) == 0 {
 		heap.Remove(&q.active, t.index)
-		q.forget()
+		q.removeIdleTeams()
 	}
 }
 
-// forget drops the idle teams whose turn lies in the past, so that names do not gather.
-func (q *Fair[T]) forget() {
-	const idleKept = 256
-	if len(q.teams) < idleKept+len(q.active) {
+// removeIdleTeams removes idle teams whose finish time has passed, so that the map does not grow
+// without bound. Others are kept, since their finish time still delays their next item.
+func (q *Fair[T]) removeIdleTeams() {
+	const maxIdleTeams = 256
+	if len(q.teams) < maxIdleTeams+len(q.active) {
 		return
 	}
 	for name, t := range q.teams {
-		if len(t.items) == 0 && t.finish <= q.now {
+		if len(t.items) == 0 && t.finish <= q.virtualTime {
 			delete(q.teams, name)
 		}
 	}
--- a/internal/queue/fair_test.go
+++ b/internal/queue/fair_test.go
@@ -27,17 +27,17 @@
 			kind = qe.Kind
 		}
 		if kind != want.kind {
-			t.Errorf("push %d: %v, want kind %q", i, err, want.kind)
+			t.Errorf("push %d returned %v, want kind %q", i, err, want.kind)
 		}
 	}
 }
 
-// TestRushMakesOnlyItselfWait has one team push a thousand items before another
-// pushes one: it is served at its next turn.
-func TestRushMakesOnlyItselfWait(t *testing.T) {
+// TestBurstDelaysOnlyItsTeam pushes a thousand items of one team and then one item of another,
+// which must be served at its next turn.
+func TestBurstDelaysOnlyItsTeam(t *testing.T) {
 	q := queue.NewFair[string](queue.Limits{PerTeam: 1000, Total: 2000})
 	for range 1000 {
-		if err := q.Push("rush", 1, "rush"); err != nil {
+		if err := q.Push("burst", 1, "burst"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -51,7 +51,7 @@
 		if v, _ := q.Pop(); v == "counter" {
 			return
 		} else if i == 2 {
-			t.Error("the counter's item waits behind the rush")
+			t.Error("the counter's item waits behind the burst")
 		}
 	}
 }
@@ -69,16 +69,16 @@
 		}
 	}
 	if heavy < 198 || heavy > 202 {
-		t.Errorf("the heavy team had %d of 300 turns, want 200", heavy)
+		t.Errorf("the heavy team was served %d of 300 times, want 198 to 202", heavy)
 	}
 }
 
-// TestQueueKeepsEverything pushes, pops and removes at random: nothing is lost
-// or doubled, and each team's items stay in order.
-func TestQueueKeepsEverything(t *testing.T) {
+// TestItemsAreNeitherLostNorDuplicated pushes, pops and removes items at random and checks that
+// each comes out once and that those of a team stay in order.
+func TestItemsAreNeitherLostNorDuplicated(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	props := gopter.NewProperties(params)
-	props.Property("what goes in comes out once, in order", prop.ForAll(func(ops []int) bool {
+	props.Property("each item comes out once, in order", prop.ForAll(func(ops []int) bool {
 		q := queue.NewFair[int](queue.Limits{PerTeam: 1 << 20, Total: 1 << 20})
 		next, n := 0, 0
 		last := make(map[int]int)
