--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -131,7 +131,7 @@
 	reserved taskState = iota
 	starting
 	running
-	over
+	ended
 )
 
 type task struct {
@@ -140,10 +140,10 @@
 	reservation string
 	state       taskState
 	stopping    bool
-	// why is the reason that the task was told to stop, where the pool decided so.
-	why string
-	// afterRoom is set while the task waits for preempted tasks to end.
-	afterRoom bool
+	// stopReason is the reason that the task was told to stop, where the pool decided so.
+	stopReason string
+	// awaitsPreemption is set while the task waits for preempted tasks to end.
+	awaitsPreemption bool
 	// used is what the task was last seen to use; it lags.
 	used    resource.Amount
 	address string
@@ -152,53 +152,53 @@
 	event peer.Event
 }
 
-// room is what the task takes: the larger of what it declared and what it was seen to use.
-func (t *task) room() resource.Amount { return t.spec.Size.Max(t.used) }
+// allocation is what the task takes: the larger of what it declared and what it was seen to use.
+func (t *task) allocation() resource.Amount { return t.spec.Size.Max(t.used) }
 
-// usesRoom reports whether the task takes room on its worker.
-func (t *task) usesRoom() bool { return t.state != over }
+// holdsResources reports whether the task takes room on its worker.
+func (t *task) holdsResources() bool { return t.state != ended }
 
 // Pool is one worker shard under one epoch.
 type Pool struct {
-	grant shard.Grant
-	deps  Deps
-	opts  Options
-	log   *zap.Logger
-	taken time.Time
-	ctx   context.Context
-	stop  context.CancelFunc
-	tell  chan struct{}
-	done  sync.WaitGroup
+	grant        shard.Grant
+	deps         Deps
+	opts         Options
+	log          *zap.Logger
+	acquiredAt   time.Time
+	ctx          context.Context
+	stop         context.CancelFunc
+	wakeDelivery chan struct{}
+	loops        sync.WaitGroup
 
 	mu      sync.Mutex
 	closed  bool
 	dropped bool
-	// listed is set once the host list was read.
-	listed  bool
-	workers map[string]*workerState
-	order   []*workerState
-	// teams is what each team uses here.
-	teams map[string]resource.Amount
-	tasks map[worker.Attempt]*task
-	// held are the tasks that are only reserved, and untold those whose event
+	// hostsRead is set once the host list was read.
+	hostsRead  bool
+	workers    map[string]*workerState
+	workerList []*workerState
+	// teamUsage is what each team uses here.
+	teamUsage map[string]resource.Amount
+	tasks     map[worker.Attempt]*task
+	// reservations are the tasks that are only reserved, and untold those whose event
 	// has not been taken yet.
-	held   map[worker.Attempt]*task
-	untold map[worker.Attempt]*task
+	reservations map[worker.Attempt]*task
+	undelivered  map[worker.Attempt]*task
 }
 
 func newPool(ctx context.Context, g shard.Grant, deps Deps, opts Options, log *zap.Logger) *Pool {
 	ctx, stop := context.WithCancel(ctx)
 	p := &Pool{
-		grant: g, deps: deps, opts: opts, taken: time.Now(), ctx: ctx, stop: stop,
-		log:     log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
-		tell:    make(chan struct{}, 1),
-		workers: make(map[string]*workerState),
-		teams:   make(map[string]resource.Amount),
-		tasks:   make(map[worker.Attempt]*task),
-		held:    make(map[worker.Attempt]*task),
-		untold:  make(map[worker.Attempt]*task),
+		grant: g, deps: deps, opts: opts, acquiredAt: time.Now(), ctx: ctx, stop: stop,
+		log:          log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
+		wakeDelivery: make(chan struct{}, 1),
+		workers:      make(map[string]*workerState),
+		teamUsage:    make(map[string]resource.Amount),
+		tasks:        make(map[worker.Attempt]*task),
+		reservations: make(map[worker.Attempt]*task),
+		undelivered:  make(map[worker.Attempt]*task),
 	}
-	p.done.Go(p.deliverLoop)
+	p.loops.Go(p.deliverLoop)
 	return p
 }
 
@@ -208,7 +208,7 @@
 	p.dropped = true
 	p.mu.Unlock()
 	p.stop()
-	p.done.Wait()
+	p.loops.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a, t := range p.tasks {
@@ -258,25 +258,25 @@
 		if !ok {
 			continue
 		}
-		w := p.order[i]
+		w := p.workerList[i]
 		t := &task{
-			spec: spec, worker: w.host.ID, reservation: rand.Text(), expires: now.Add(p.opts.Reservation), afterRoom: preempts,
+			spec: spec, worker: w.host.ID, reservation: rand.Text(), expires: now.Add(p.opts.Reservation), awaitsPreemption: preempts,
 		}
-		p.tasks[spec.Attempt], p.held[spec.Attempt] = t, t
-		w.addLocked(t)
-		p.noteLocked(candidates, i, spec.Size)
+		p.tasks[spec.Attempt], p.reservations[spec.Attempt] = t, t
+		w.addTaskLocked(t)
+		p.updateCandidatesLocked(candidates, i, spec.Size)
 		places = append(places, p.placementLocked(t))
 	}
 	return places
 }
 
-// noteLocked brings the candidates up to date after size went to the i-th.
-func (p *Pool) noteLocked(candidates []policy.Candidate, i int, size resource.Amount) {
+// updateCandidatesLocked brings the candidates up to date after size went to the i-th.
+func (p *Pool) updateCandidatesLocked(candidates []policy.Candidate, i int, size resource.Amount) {
 	candidates[i].Free = candidates[i].Free.Sub(size)
 	candidates[i].JobTasks++
-	candidates[i].Unschedulable = p.order[i].probing
+	candidates[i].Unschedulable = p.workerList[i].probing
 	for j := range candidates {
-		if p.order[j].host.Rack == p.order[i].host.Rack {
+		if p.workerList[j].host.Rack == p.workerList[i].host.Rack {
 			candidates[j].RackTasks++
 		}
 	}
@@ -295,23 +295,23 @@
 
 // candidatesLocked describes the workers to the policy, in the order of p.order.
 func (p *Pool) candidatesLocked(now time.Time, job string) []policy.Candidate {
-	cs := make([]policy.Candidate, len(p.order))
-	for i, w := range p.order {
-		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.used), Capacity: w.host.Capacity, Unschedulable: !w.openLocked(now)}
+	cs := make([]policy.Candidate, len(p.workerList))
+	for i, w := range p.workerList {
+		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.used), Capacity: w.host.Capacity, Unschedulable: !w.schedulableLocked(now)}
 	}
-	p.countJobLocked(cs, job)
+	p.countJobTasksLocked(cs, job)
 	return cs
 }
 
-// countJobLocked counts a job's tasks by worker and by rack.
-func (p *Pool) countJobLocked(cs []policy.Candidate, job string) {
-	for i, w := range p.order {
-		n := w.jobs[job]
+// countJobTasksLocked counts a job's tasks by worker and by rack.
+func (p *Pool) countJobTasksLocked(cs []policy.Candidate, job string) {
+	for i, w := range p.workerList {
+		n := w.tasksByJob[job]
 		if n == 0 {
 			continue
 		}
 		cs[i].JobTasks = n
-		for j, other := range p.order {
+		for j, other := range p.workerList {
 			if other.host.Rack == w.host.Rack {
 				cs[j].RackTasks += n
 			}
@@ -325,27 +325,27 @@
 	defer p.mu.Unlock()
 	t, ok := p.tasks[pl.Attempt]
 	if !ok {
-		return p.unknownLocked(pl)
+		return p.unknownTaskStateLocked(pl)
 	}
 	if t.state == reserved {
 		if t.reservation != pl.Reservation {
 			return peer.ConfirmVoid
 		}
 		t.state = starting
-		delete(p.held, pl.Attempt)
+		delete(p.reservations, pl.Attempt)
 		if w, ok := p.workers[t.worker]; ok {
 			w.signal()
 		}
 		return peer.ConfirmAccepted
 	}
 	if t.state != starting {
-		p.tellLocked(t)
+		p.queueEventLocked(t)
 	}
 	return peer.ConfirmAccepted
 }
 
-// unknownLocked tells what follows from a task being unknown here.
-func (p *Pool) unknownLocked(pl peer.Placement) peer.ConfirmState {
+// unknownTaskStateLocked tells what follows from a task being unknown here.
+func (p *Pool) unknownTaskStateLocked(pl peer.Placement) peer.ConfirmState {
 	w, ok := p.workers[pl.Worker]
 	if ok && w.fenced {
 		if w.incarnation == pl.Incarnation {
@@ -354,7 +354,7 @@
 		return peer.ConfirmLost
 	}
 	gone := !ok || w.gone
-	if gone && time.Since(p.taken) > p.opts.Grace+p.opts.Lease+p.opts.Margin && p.grant.Held() {
+	if gone && time.Since(p.acquiredAt) > p.opts.Grace+p.opts.Lease+p.opts.Margin && p.grant.Held() {
 		return peer.ConfirmLost
 	}
 	return peer.ConfirmLater
@@ -368,10 +368,10 @@
 	t, ok := p.tasks[pl.Attempt]
 	switch {
 	case ok && t.state == reserved:
-		p.overLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "stopped before it was started"})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "stopped before it was started"})
 		return peer.ConfirmAccepted
-	case ok && t.state == over:
-		p.tellLocked(t)
+	case ok && t.state == ended:
+		p.queueEventLocked(t)
 		return peer.ConfirmAccepted
 	}
 	if w, known := p.workers[pl.Worker]; known {
@@ -379,33 +379,33 @@
 		w.signal()
 	}
 	if !ok {
-		return p.unknownLocked(pl)
+		return p.unknownTaskStateLocked(pl)
 	}
 	t.stopping = true
 	return peer.ConfirmAccepted
 }
 
-// overLocked ends a task here and queues the event that tells so.
-func (p *Pool) overLocked(t *task, ev peer.Event) {
-	if t.state == over {
+// endTaskLocked ends a task here and queues the event that tells so.
+func (p *Pool) endTaskLocked(t *task, ev peer.Event) {
+	if t.state == ended {
 		return
 	}
 	if w, ok := p.workers[t.worker]; ok {
-		w.removeLocked(t)
+		w.removeTaskLocked(t)
 	}
 	if t.address != "" {
 		p.deps.Instances.Remove(t.spec.Attempt)
 		t.address = ""
 	}
 	ev.Attempt, ev.Worker = t.spec.Attempt, t.worker
-	t.state, t.event = over, ev
-	delete(p.held, t.spec.Attempt)
-	p.tellLocked(t)
+	t.state, t.event = ended, ev
+	delete(p.reservations, t.spec.Attempt)
+	p.queueEventLocked(t)
 }
 
-// startedLocked records that a task runs.
-func (p *Pool) startedLocked(t *task, address string) {
-	if t.state == running || t.state == over {
+// setRunningLocked records that a task runs.
+func (p *Pool) setRunningLocked(t *task, address string) {
+	if t.state == running || t.state == ended {
 		return
 	}
 	t.state, t.address = running, address
@@ -415,10 +415,10 @@
 			Attempt: t.spec.Attempt, Service: t.spec.Service, Address: address, Slots: t.spec.Slots, Usable: p.usable,
 		})
 		if w, ok := p.workers[t.worker]; ok {
-			p.deps.Instances.SetOpen(t.spec.Attempt, w.takesRequests())
+			p.deps.Instances.SetOpen(t.spec.Attempt, w.acceptsRequests())
 		}
 	}
-	p.tellLocked(t)
+	p.queueEventLocked(t)
 }
 
 // usable reports whether requests may go to the shard's instances: while the
@@ -427,43 +427,43 @@
 	return p.grant.Held() || p.grant.LapsedFor() < p.opts.Grace
 }
 
-// tellLocked queues a task's event.
-func (p *Pool) tellLocked(t *task) {
-	p.untold[t.spec.Attempt] = t
-	p.signal()
+// queueEventLocked queues a task's event.
+func (p *Pool) queueEventLocked(t *task) {
+	p.undelivered[t.spec.Attempt] = t
+	p.signalDelivery()
 }
 
-func (p *Pool) signal() {
+func (p *Pool) signalDelivery() {
 	select {
-	case p.tell <- struct{}{}:
+	case p.wakeDelivery <- struct{}{}:
 	default:
 	}
 }
 
-// expireLocked lets go of room that was reserved and not confirmed in time.
-func (p *Pool) expireLocked(now time.Time) {
-	for _, t := range p.held {
+// expireReservationsLocked lets go of room that was reserved and not confirmed in time.
+func (p *Pool) expireReservationsLocked(now time.Time) {
+	for _, t := range p.reservations {
 		if now.After(t.expires) {
-			p.letGoLocked(t)
+			p.cancelReservationLocked(t)
 		}
 	}
 }
 
-// letGoLocked forgets a task that is only reserved.
-func (p *Pool) letGoLocked(t *task) {
+// cancelReservationLocked forgets a task that is only reserved.
+func (p *Pool) cancelReservationLocked(t *task) {
 	if w, ok := p.workers[t.worker]; ok {
-		w.removeLocked(t)
+		w.removeTaskLocked(t)
 	}
-	delete(p.held, t.spec.Attempt)
+	delete(p.reservations, t.spec.Attempt)
 	delete(p.tasks, t.spec.Attempt)
 }
 
-// letGo forgets a reservation that its job will not confirm.
-func (p *Pool) letGo(pl peer.Placement) {
+// cancelReservation forgets a reservation that its job will not confirm.
+func (p *Pool) cancelReservation(pl peer.Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t, ok := p.held[pl.Attempt]; ok && t.reservation == pl.Reservation {
-		p.letGoLocked(t)
+	if t, ok := p.reservations[pl.Attempt]; ok && t.reservation == pl.Reservation {
+		p.cancelReservationLocked(t)
 	}
 }
 
@@ -471,16 +471,16 @@
 func (p *Pool) summary(usage *usageByTeam) peer.PoolSummary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := peer.PoolSummary{Shard: string(p.grant.Key), Known: p.listed}
+	s := peer.PoolSummary{Shard: string(p.grant.Key), Known: p.hostsRead}
 	now := time.Now()
 	shapes := make(map[resource.Amount]bool)
-	for _, w := range p.order {
+	for _, w := range p.workerList {
 		s.Known = s.Known && (w.fenced || w.gone)
 		if !w.leaving && !w.gone && !shapes[w.host.Capacity] {
 			shapes[w.host.Capacity] = true
 			s.Shapes = append(s.Shapes, w.host.Capacity)
 		}
-		if !w.openLocked(now) {
+		if !w.schedulableLocked(now) {
 			continue
 		}
 		free := w.host.Capacity.Sub(w.used)
@@ -494,7 +494,7 @@
 	if p.closed {
 		s.Workers, s.Free, s.Largest = 0, resource.Amount{}, resource.Amount{}
 	}
-	for team, used := range p.teams {
+	for team, used := range p.teamUsage {
 		usage.add(team, used)
 	}
 	return s
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -33,15 +33,15 @@
 
 // fakes are the counterparts of a pool: hosts, workers, job shards and instances.
 type fakes struct {
-	mu      sync.Mutex
-	hosts   []platform.Host
-	workers map[string]*standin.Worker
-	cut     map[string]bool
+	mu          sync.Mutex
+	hosts       []platform.Host
+	workers     map[string]*standin.Worker
+	unreachable map[string]bool
 	// noWait makes the workers answer at once, whatever wait was asked for.
-	noWait   bool
-	contacts int
-	events   []peer.Event
-	open     map[worker.Attempt]bool
+	noWait          bool
+	contacts        int
+	events          []peer.Event
+	acceptsRequests map[worker.Attempt]bool
 }
 
 func (f *fakes) Hosts(context.Context, string) ([]platform.Host, error) {
@@ -52,7 +52,7 @@
 
 func (f *fakes) Contact(ctx context.Context, address string, c worker.Contact) (worker.Report, error) {
 	f.mu.Lock()
-	w, cut := f.workers[address], f.cut[address]
+	w, cut := f.workers[address], f.unreachable[address]
 	f.contacts++
 	if f.noWait {
 		c.WaitMS = 0
@@ -78,73 +78,73 @@
 func (f *fakes) SetOpen(a worker.Attempt, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open[a] = open
+	f.acceptsRequests[a] = open
 }
 
 func (f *fakes) Remove(a worker.Attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, a)
+	delete(f.acceptsRequests, a)
 }
 
 func (f *fakes) Drain(context.Context, []worker.Attempt) {}
 
-func (f *fakes) setCut(id string, cut bool) {
+func (f *fakes) setUnreachable(id string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[id] = cut
+	f.unreachable[id] = cut
 }
 
-// saw reports whether an event of a kind was told for a task's attempt.
-func (f *fakes) saw(kind peer.EventKind, a worker.Attempt) bool {
+// hasEvent reports whether an event of a kind was told for a task's attempt.
+func (f *fakes) hasEvent(kind peer.EventKind, a worker.Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.events, func(e peer.Event) bool { return e.Kind == kind && e.Attempt == a })
 }
 
-// bench is a pool over fakes, in virtual time.
-type bench struct {
-	t    *testing.T
-	f    *fakes
-	s    *pool.Set
-	held bool
+// harness is a pool over fakes, in virtual time.
+type harness struct {
+	t     *testing.T
+	fakes *fakes
+	set   *pool.Set
+	held  bool
 }
 
-func newBench(t *testing.T, workers int) *bench {
-	b := &bench{t: t, held: true, f: &fakes{
-		workers: make(map[string]*standin.Worker), cut: make(map[string]bool), open: make(map[worker.Attempt]bool),
+func newHarness(t *testing.T, workers int) *harness {
+	b := &harness{t: t, held: true, fakes: &fakes{
+		workers: make(map[string]*standin.Worker), unreachable: make(map[string]bool), acceptsRequests: make(map[worker.Attempt]bool),
 	}}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
 		h := platform.Host{ID: id, Address: id, DataCentre: "dc", Rack: "r", State: platform.HostLive, Capacity: size.Times(4)}
-		b.f.hosts = append(b.f.hosts, h)
-		b.f.workers[id] = standin.New(standin.Config{ID: id, Capacity: h.Capacity, Listen: func() (net.Listener, error) { return nil, net.ErrClosed }})
+		b.fakes.hosts = append(b.fakes.hosts, h)
+		b.fakes.workers[id] = standin.New(standin.Config{ID: id, Capacity: h.Capacity, Listen: func() (net.Listener, error) { return nil, net.ErrClosed }})
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b.s = pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
-		Hosts: b.f, Workers: b.f, Events: b.f, Instances: b.f,
+	b.set = pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
+		Hosts: b.fakes, Workers: b.fakes, Events: b.fakes, Instances: b.fakes,
 		Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
 	}, pool.Options{
 		Lease: 6 * time.Second, Margin: time.Second, Grace: 20 * time.Second, Reservation: 5 * time.Second,
 		HostInterval: time.Second, SetAside: 10 * time.Second,
 	}, zap.NewNop())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = b.s.Run(ctx) }()
+	go func() { defer close(done); _ = b.set.Run(ctx) }()
 	b.acquire(1)
 	t.Cleanup(func() {
-		b.s.Drop(key)
+		b.set.Drop(key)
 		stop()
 		<-done
-		for _, w := range b.f.workers {
+		for _, w := range b.fakes.workers {
 			w.Close()
 		}
 	})
 	return b
 }
 
-func (b *bench) acquire(epoch int64) {
+func (b *harness) acquire(epoch int64) {
 	b.t.Helper()
-	err := b.s.Acquire(b.t.Context(), shard.Grant{
+	err := b.set.Acquire(b.t.Context(), shard.Grant{
 		Owner: "n", Key: key, Epoch: epoch, Held: func() bool { return b.held },
 		LapsedFor: func() time.Duration { return 0 },
 	})
@@ -154,22 +154,22 @@
 	time.Sleep(time.Second)
 }
 
-func task(job string, n int, command ...string) worker.Spec {
+func newSpec(job string, n int, command ...string) worker.Spec {
 	return worker.Spec{Attempt: worker.Attempt{Job: job, N: n}, Size: size, Command: command}
 }
 
-func (b *bench) reserve(preempt bool, specs ...worker.Spec) []peer.Placement {
+func (b *harness) reserve(preempt bool, specs ...worker.Spec) []peer.Placement {
 	b.t.Helper()
-	reply, err := b.s.Reserve(b.t.Context(), peer.ReserveRequest{Shard: string(key), Specs: specs, Preempt: preempt})
+	reply, err := b.set.Reserve(b.t.Context(), peer.ReserveRequest{Shard: string(key), Specs: specs, Preempt: preempt})
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	return reply.Placements
 }
 
-func (b *bench) confirm(pls ...peer.Placement) peer.ConfirmState {
+func (b *harness) confirm(pls ...peer.Placement) peer.ConfirmState {
 	b.t.Helper()
-	reply, err := b.s.Confirm(b.t.Context(), peer.ConfirmRequest{Shard: string(key), Placements: pls})
+	reply, err := b.set.Confirm(b.t.Context(), peer.ConfirmRequest{Shard: string(key), Placements: pls})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 }
 
 // run starts a task and waits a second.
-func (b *bench) run(sp worker.Spec) peer.Placement {
+func (b *harness) run(sp worker.Spec) peer.Placement {
 	b.t.Helper()
 	pls := b.reserve(false, sp)
 	if len(pls) != 1 || b.confirm(pls[0]) != peer.ConfirmAccepted {
@@ -187,27 +187,27 @@
 	return pls[0]
 }
 
-func inBubble(t *testing.T, workers int, fn func(b *bench)) {
+func runInVirtualTime(t *testing.T, workers int, fn func(b *harness)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { fn(newBench(t, workers)) })
+	synctest.Test(t, func(t *testing.T) { fn(newHarness(t, workers)) })
 }
 
-func TestReservationRunsOut(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
-		pls := b.reserve(false, task("a", 1))
+func TestReservationExpires(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
+		pls := b.reserve(false, newSpec("a", 1))
 		time.Sleep(10 * time.Second)
 		if got := b.confirm(pls[0]); got != peer.ConfirmVoid {
 			t.Errorf("a confirm after its time: %s", got)
 		}
-		if b.f.saw(peer.EventStarted, pls[0].Attempt) {
+		if b.fakes.hasEvent(peer.EventStarted, pls[0].Attempt) {
 			t.Error("it was started")
 		}
 	})
 }
 
-func TestDoubledMessagesStartOnce(t *testing.T) {
-	inBubble(t, 2, func(b *bench) {
-		sp := task("a", 1, "sleep", "2s")
+func TestRepeatedMessagesStartOnce(t *testing.T) {
+	runInVirtualTime(t, 2, func(b *harness) {
+		sp := newSpec("a", 1, "sleep", "2s")
 		first := b.run(sp)
 		time.Sleep(10 * time.Second)
 		// The task has ended and was acknowledged; both messages come again.
@@ -220,7 +220,7 @@
 		}
 		time.Sleep(time.Second)
 		starts := 0
-		for _, w := range b.f.workers {
+		for _, w := range b.fakes.workers {
 			for _, e := range w.Evidence() {
 				if e.Saw == standin.SawStart {
 					starts++
@@ -233,13 +233,13 @@
 	})
 }
 
-func TestLostOnlyAfterTheLease(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
-		pl := b.run(task("a", 1, "sleep", "1h"))
-		b.f.setCut("w0", true)
+func TestTaskIsLostOnlyAfterLease(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
+		pl := b.run(newSpec("a", 1, "sleep", "1h"))
+		b.fakes.setUnreachable("w0", true)
 		for range 60 {
-			if b.f.saw(peer.EventLost, pl.Attempt) {
-				if b.f.workers["w0"].Running() > 0 {
+			if b.fakes.hasEvent(peer.EventLost, pl.Attempt) {
+				if b.fakes.workers["w0"].Running() > 0 {
 					t.Error("told lost while it runs")
 				}
 				return
@@ -250,10 +250,10 @@
 	})
 }
 
-func TestTakeoverAdopts(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
-		pl := b.run(task("a", 1, "sleep", "1h"))
-		b.s.Drop(key)
+func TestTakeoverAdoptsTasks(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
+		pl := b.run(newSpec("a", 1, "sleep", "1h"))
+		b.set.Drop(key)
 		b.acquire(2)
 		if got := b.confirm(pl); got != peer.ConfirmAccepted {
 			t.Errorf("a running task after a takeover: %s", got)
@@ -273,13 +273,13 @@
 // TestUrgentWorkPreempts fills a worker with preemptible tasks: urgent work
 // starts within a second, one task goes, and it was checkpointed before.
 func TestUrgentWorkPreempts(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
+	runInVirtualTime(t, 1, func(b *harness) {
 		for i := range 4 {
-			sp := task(fmt.Sprintf("low%d", i), 1, "sleep", "1h")
+			sp := newSpec(fmt.Sprintf("low%d", i), 1, "sleep", "1h")
 			sp.Preemptible, sp.Priority = true, 1
 			b.run(sp)
 		}
-		urgent := task("urgent", 1, "sleep", "1h")
+		urgent := newSpec("urgent", 1, "sleep", "1h")
 		urgent.Priority, urgent.Class = 9, "counter"
 		if got := b.reserve(false, urgent); len(got) != 0 {
 			t.Fatal("there was room")
@@ -290,11 +290,11 @@
 		}
 		b.confirm(pls[0])
 		time.Sleep(time.Second)
-		if !b.f.saw(peer.EventStarted, urgent.Attempt) {
+		if !b.fakes.hasEvent(peer.EventStarted, urgent.Attempt) {
 			t.Error("urgent work has not started within a second")
 		}
 		var saw []standin.Saw
-		for _, e := range b.f.workers["w0"].Evidence() {
+		for _, e := range b.fakes.workers["w0"].Evidence() {
 			if e.Saw != standin.SawOwner {
 				saw = append(saw, e.Saw)
 			}
@@ -307,78 +307,78 @@
 	})
 }
 
-// TestUsageAboveDeclaredTakesRoom runs a task that uses three times what it
+// TestExcessUsageIsNotReserved runs a task that uses three times what it
 // declared: it is throttled, and the room it takes is not given to others.
-func TestUsageAboveDeclaredTakesRoom(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
-		b.run(task("greedy", 1, "sleep", "1h", "use", "3000"))
+func TestExcessUsageIsNotReserved(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
+		b.run(newSpec("greedy", 1, "sleep", "1h", "use", "3000"))
 		time.Sleep(10 * time.Second)
-		if got := b.reserve(false, task("a", 1), task("b", 1)); len(got) != 1 {
+		if got := b.reserve(false, newSpec("a", 1), newSpec("b", 1)); len(got) != 1 {
 			t.Errorf("%d tasks were given places beside it, want 1", len(got))
 		}
-		throttled := slices.ContainsFunc(b.f.workers["w0"].Evidence(), func(e standin.Sight) bool { return e.Saw == standin.SawThrottle })
+		throttled := slices.ContainsFunc(b.fakes.workers["w0"].Evidence(), func(e standin.Sight) bool { return e.Saw == standin.SawThrottle })
 		if !throttled {
 			t.Error("it was not throttled")
 		}
 	})
 }
 
-// TestBadWorkerIsSetAside has one worker fail unlike jobs: it is set aside, and
+// TestFailingWorkerIsSetAside has one worker fail unlike jobs: it is set aside, and
 // comes back with a probe.
-func TestBadWorkerIsSetAside(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
+func TestFailingWorkerIsSetAside(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
 		for i := range 3 {
-			b.run(task(fmt.Sprintf("job%d", i), 1, "fail"))
+			b.run(newSpec(fmt.Sprintf("job%d", i), 1, "fail"))
 		}
-		if got := b.reserve(false, task("next", 1)); len(got) != 0 {
+		if got := b.reserve(false, newSpec("next", 1)); len(got) != 0 {
 			t.Fatal("a worker that fails everything is given more")
 		}
 		time.Sleep(11 * time.Second)
-		if got := b.reserve(false, task("p1", 1, "sleep", "1s"), task("p2", 1)); len(got) != 1 {
+		if got := b.reserve(false, newSpec("p1", 1, "sleep", "1s"), newSpec("p2", 1)); len(got) != 1 {
 			t.Fatalf("%d probes, want 1", len(got))
 		} else {
 			b.confirm(got[0])
 		}
 		time.Sleep(3 * time.Second)
-		if got := b.reserve(false, task("n1", 1), task("n2", 1)); len(got) != 2 {
+		if got := b.reserve(false, newSpec("n1", 1), newSpec("n2", 1)); len(got) != 2 {
 			t.Errorf("after a good probe %d tasks have places, want 2", len(got))
 		}
 	})
 }
 
-// TestBadJobLeavesTheWorker has one job fail again and again: the worker stays in use.
-func TestBadJobLeavesTheWorker(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
+// TestFailingJobDoesNotSetWorkerAside has one job fail again and again: the worker stays in use.
+func TestFailingJobDoesNotSetWorkerAside(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
 		for n := range 6 {
-			b.run(task("bad", n+1, "fail"))
+			b.run(newSpec("bad", n+1, "fail"))
 		}
-		if got := b.reserve(false, task("next", 1)); len(got) != 1 {
+		if got := b.reserve(false, newSpec("next", 1)); len(got) != 1 {
 			t.Error("a worker is set aside for one bad job")
 		}
 	})
 }
 
-// TestWorkerThatDoesNotWait answers every contact at once: it is not asked without end.
-func TestWorkerThatDoesNotWait(t *testing.T) {
-	inBubble(t, 1, func(b *bench) {
-		b.f.mu.Lock()
-		b.f.noWait = true
-		b.f.mu.Unlock()
-		b.run(task("a", 1, "sleep", "1h"))
-		b.f.mu.Lock()
-		before := b.f.contacts
-		b.f.mu.Unlock()
+// TestContactRateOfWorkerThatDoesNotWait answers every contact at once: it is not asked without end.
+func TestContactRateOfWorkerThatDoesNotWait(t *testing.T) {
+	runInVirtualTime(t, 1, func(b *harness) {
+		b.fakes.mu.Lock()
+		b.fakes.noWait = true
+		b.fakes.mu.Unlock()
+		b.run(newSpec("a", 1, "sleep", "1h"))
+		b.fakes.mu.Lock()
+		before := b.fakes.contacts
+		b.fakes.mu.Unlock()
 		time.Sleep(time.Minute)
-		b.f.mu.Lock()
-		defer b.f.mu.Unlock()
-		if n := b.f.contacts - before; n > 40 {
+		b.fakes.mu.Lock()
+		defer b.fakes.mu.Unlock()
+		if n := b.fakes.contacts - before; n > 40 {
 			t.Errorf("%d contacts in a minute, at a renewal each 2 s", n)
 		}
 	})
 }
 
 func benchmarkReserve(b *testing.B, workers int) {
-	f := &fakes{workers: make(map[string]*standin.Worker), cut: make(map[string]bool), open: make(map[worker.Attempt]bool)}
+	f := &fakes{workers: make(map[string]*standin.Worker), unreachable: make(map[string]bool), acceptsRequests: make(map[worker.Attempt]bool)}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
 		h := platform.Host{ID: id, Address: id, DataCentre: "dc", Rack: fmt.Sprint(i / 8), State: platform.HostLive, Capacity: size.Times(64)}
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -14,7 +14,7 @@
 // worker, the one where the fewest must go; each is checkpointed first.
 func (p *Pool) preemptLocked(spec worker.Spec, candidates []policy.Candidate) (int, bool) {
 	best, fewest := -1, []*task(nil)
-	for i, w := range p.order {
+	for i, w := range p.workerList {
 		if candidates[i].Unschedulable {
 			continue
 		}
@@ -26,12 +26,12 @@
 	if best < 0 {
 		return 0, false
 	}
-	w := p.order[best]
+	w := p.workerList[best]
 	for _, t := range fewest {
-		t.stopping, t.why = true, fmt.Sprintf("preempted for %s of class %s", spec.Attempt.Job, spec.Class)
+		t.stopping, t.stopReason = true, fmt.Sprintf("preempted for %s of class %s", spec.Attempt.Job, spec.Class)
 		w.checkpoints = append(w.checkpoints, t.spec.Attempt)
 		w.stops = append(w.stops, t.spec.Attempt)
-		candidates[best].Free = candidates[best].Free.Add(t.room())
+		candidates[best].Free = candidates[best].Free.Add(t.allocation())
 	}
 	w.signal()
 	return best, true
@@ -47,7 +47,7 @@
 		}
 		tasks = append(tasks, t)
 		candidates = append(candidates, policy.RunningTask{
-			Priority: t.spec.Priority, Size: t.room(), Attempt: t.spec.Attempt.N, Preemptible: t.spec.Preemptible,
+			Priority: t.spec.Priority, Size: t.allocation(), Attempt: t.spec.Attempt.N, Preemptible: t.spec.Preemptible,
 		})
 	}
 	chosen, ok := policy.Victims(spec.Size, free, spec.Priority, candidates)
@@ -61,20 +61,20 @@
 	return victims, true
 }
 
-// hasRoomLocked reports whether t fits beside the tasks that are on the worker now.
-func (w *workerState) hasRoomLocked(t *task) bool {
+// fitsLocked reports whether t fits beside the tasks that are on the worker now.
+func (w *workerState) fitsLocked(t *task) bool {
 	used := t.spec.Size
 	for _, other := range w.tasks {
-		if other != t && other.state != reserved && !other.afterRoom {
-			used = used.Add(other.room())
+		if other != t && other.state != reserved && !other.awaitsPreemption {
+			used = used.Add(other.allocation())
 		}
 	}
 	return w.host.Capacity.Fits(used)
 }
 
-// usageLocked takes in what tasks were seen to use. What is above the declared
+// updateUsageLocked takes in what tasks were seen to use. What is above the declared
 // size counts as taken, and the task is throttled to what it declared.
-func (p *Pool) usageLocked(w *workerState, usage []worker.Usage) {
+func (p *Pool) updateUsageLocked(w *workerState, usage []worker.Usage) {
 	for _, u := range usage {
 		t, ok := w.tasks[u.Attempt]
 		if !ok {
@@ -83,9 +83,9 @@
 		if t.used == u.Used {
 			continue
 		}
-		before := t.room()
+		before := t.allocation()
 		t.used = u.Used
-		w.takeLocked(t.spec.Team, t.room().Sub(before))
+		w.addUsageLocked(t.spec.Team, t.allocation().Sub(before))
 		if !t.spec.Size.Fits(u.Used) {
 			w.throttles = append(w.throttles, u.Attempt)
 			w.signal()
--- a/internal/pool/set.go
+++ b/internal/pool/set.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	deliverAtOnce = 8
-	deliverRetry  = 200 * time.Millisecond
-	maxEvents     = 500
+	maxParallelDeliveries = 8
+	deliveryRetryDelay    = 200 * time.Millisecond
+	maxEventsPerDelivery  = 500
 )
 
 // Set holds the worker shards that a node owns.
@@ -64,7 +64,7 @@
 
 // readHosts brings the pools of a data centre up to date with the host list.
 func (s *Set) readHosts(ctx context.Context, dc shard.DataCentre) error {
-	pools := s.in(dc.Name)
+	pools := s.poolsOf(dc.Name)
 	if len(pools) == 0 {
 		return nil
 	}
@@ -78,12 +78,12 @@
 		byShard[key] = append(byShard[key], h)
 	}
 	for _, p := range pools {
-		p.setHosts(byShard[p.grant.Key])
+		p.updateHosts(byShard[p.grant.Key])
 	}
 	return nil
 }
 
-func (s *Set) in(dc string) []*Pool {
+func (s *Set) poolsOf(dc string) []*Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var pools []*Pool
@@ -115,7 +115,7 @@
 
 // Release ends the use of a shard's workers, waiting for the requests in flight.
 func (s *Set) Release(ctx context.Context, key shard.Key) {
-	if p, ok := s.get(string(key)); ok {
+	if p, ok := s.pool(string(key)); ok {
 		p.release(ctx)
 	}
 }
@@ -131,16 +131,16 @@
 	}
 }
 
-func (s *Set) get(key string) (*Pool, bool) {
+func (s *Set) pool(key string) (*Pool, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.pools[shard.Key(key)]
 	return p, ok
 }
 
-// owned returns the pool of a shard that this node certainly owns.
-func (s *Set) owned(op, key string) (*Pool, error) {
-	p, ok := s.get(key)
+// ownedPool returns the pool of a shard that this node certainly owns.
+func (s *Set) ownedPool(op, key string) (*Pool, error) {
+	p, ok := s.pool(key)
 	if !ok || !p.grant.Held() {
 		return nil, &Error{op, KindNotOwner, errors.New(key)}
 	}
@@ -149,16 +149,16 @@
 
 // Reserve gives places to as many tasks as the shard has room for.
 func (s *Set) Reserve(_ context.Context, req peer.ReserveRequest) (peer.ReserveReply, error) {
-	p, err := s.owned("reserve", req.Shard)
+	p, err := s.ownedPool("reserve", req.Shard)
 	if err != nil {
 		return peer.ReserveReply{}, err
 	}
 	return peer.ReserveReply{Placements: p.reserve(req)}, nil
 }
 
-// each asks the pool of a shard about placements, one by one.
-func (s *Set) each(op, key string, places []peer.Placement, fn func(*Pool, peer.Placement) peer.ConfirmState) (peer.ConfirmReply, error) {
-	p, err := s.owned(op, key)
+// forEachPlacement asks the pool of a shard about placements, one by one.
+func (s *Set) forEachPlacement(op, key string, places []peer.Placement, fn func(*Pool, peer.Placement) peer.ConfirmState) (peer.ConfirmReply, error) {
+	p, err := s.ownedPool(op, key)
 	if err != nil {
 		return peer.ConfirmReply{}, err
 	}
@@ -171,22 +171,22 @@
 
 // Confirm starts reserved tasks, or tells what is known of them.
 func (s *Set) Confirm(_ context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error) {
-	return s.each("confirm", req.Shard, req.Placements, (*Pool).confirm)
+	return s.forEachPlacement("confirm", req.Shard, req.Placements, (*Pool).confirm)
 }
 
 // Stop ends tasks; events tell when they have ended.
 func (s *Set) Stop(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	return s.each("stop", req.Shard, req.Placements, (*Pool).stopTask)
+	return s.forEachPlacement("stop", req.Shard, req.Placements, (*Pool).stopTask)
 }
 
 // CancelReservations gives up reservations that will not be confirmed.
 func (s *Set) CancelReservations(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	p, err := s.owned("let go", req.Shard)
+	p, err := s.ownedPool("let go", req.Shard)
 	if err != nil {
 		return peer.ConfirmReply{}, err
 	}
 	for _, pl := range req.Placements {
-		p.letGo(pl)
+		p.cancelReservation(pl)
 	}
 	return peer.ConfirmReply{}, nil
 }
@@ -225,14 +225,14 @@
 	return list
 }
 
-// setHosts brings the pool up to date with the host list.
-func (p *Pool) setHosts(hosts []platform.Host) {
+// updateHosts brings the pool up to date with the host list.
+func (p *Pool) updateHosts(hosts []platform.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.dropped {
 		return
 	}
-	p.listed = true
+	p.hostsRead = true
 	listed := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		listed[h.ID] = h.State != platform.HostGone
@@ -241,30 +241,30 @@
 			if h.State == platform.HostGone {
 				continue
 			}
-			w = newWorkerState(h, p.teams)
+			w = newWorkerState(h, p.teamUsage)
 			p.workers[h.ID] = w
-			p.order = append(p.order, w)
-			p.done.Go(func() { p.contactLoop(w) })
-			p.done.Go(func() { p.pollLoop(w) })
+			p.workerList = append(p.workerList, w)
+			p.loops.Go(func() { p.contactLoop(w) })
+			p.loops.Go(func() { p.pollLoop(w) })
 		}
-		p.hostChangedLocked(w, h)
+		p.updateHostLocked(w, h)
 	}
 	for id, w := range p.workers {
 		if !listed[id] && !w.gone {
 			w.gone = true
-			p.setOpenLocked(w)
+			p.updateInstancesLocked(w)
 		}
 	}
 }
 
-func (p *Pool) hostChangedLocked(w *workerState, h platform.Host) {
+func (p *Pool) updateHostLocked(w *workerState, h platform.Host) {
 	changed := w.host != h || w.gone
 	w.host, w.gone = h, h.State == platform.HostGone
 	if h.State == platform.HostLeaving && !p.opts.IgnoreLeaving {
 		w.leaving = true
 	}
 	if changed {
-		p.setOpenLocked(w)
+		p.updateInstancesLocked(w)
 	}
 }
 
@@ -274,7 +274,7 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-p.tell:
+		case <-p.wakeDelivery:
 		}
 		if p.deliver() {
 			continue
@@ -282,17 +282,17 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-time.After(deliverRetry):
-			p.signal()
+		case <-time.After(deliveryRetryDelay):
+			p.signalDelivery()
 		}
 	}
 }
 
 // deliver sends every event that was not told yet; it reports whether all were taken.
 func (p *Pool) deliver() bool {
-	groups := p.untoldEvents()
+	groups := p.undeliveredEvents()
 	var g errgroup.Group
-	g.SetLimit(deliverAtOnce)
+	g.SetLimit(maxParallelDeliveries)
 	for _, evs := range groups {
 		g.Go(func() error {
 			err := p.deps.Events.Deliver(p.ctx, evs[0].Attempt.Job, evs)
@@ -300,22 +300,22 @@
 				p.log.Warn("events not taken", events.ReportNotApplied, zap.String("job", evs[0].Attempt.Job), zap.Error(err))
 				return err
 			}
-			p.told(evs)
+			p.eventsDelivered(evs)
 			return nil
 		})
 	}
 	return g.Wait() == nil
 }
 
-// untoldEvents returns the events to be told, by job shard.
-func (p *Pool) untoldEvents() map[string][]peer.Event {
+// undeliveredEvents returns the events to be told, by job shard.
+func (p *Pool) undeliveredEvents() map[string][]peer.Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	groups := make(map[string][]peer.Event)
-	for a, t := range p.untold {
+	for a, t := range p.undelivered {
 		s := p.deps.Events.Shard(a.Job)
-		if len(groups[s]) == maxEvents {
-			p.signal()
+		if len(groups[s]) == maxEventsPerDelivery {
+			p.signalDelivery()
 			continue
 		}
 		groups[s] = append(groups[s], t.event)
@@ -323,8 +323,8 @@
 	return groups
 }
 
-// told notes that events are journalled; a task that is over is then forgotten.
-func (p *Pool) told(evs []peer.Event) {
+// eventsDelivered notes that events are journalled; a task that is over is then forgotten.
+func (p *Pool) eventsDelivered(evs []peer.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, ev := range evs {
@@ -332,14 +332,14 @@
 		if !ok || t.event != ev {
 			continue
 		}
-		delete(p.untold, ev.Attempt)
-		if t.state != over {
+		delete(p.undelivered, ev.Attempt)
+		if t.state != ended {
 			continue
 		}
 		delete(p.tasks, ev.Attempt)
 		if w, ok := p.workers[t.worker]; ok && ev.Kind == peer.EventEnded {
 			w.acks = append(w.acks, ev.Attempt)
-			w.acking[ev.Attempt] = true
+			w.ackedTasks[ev.Attempt] = true
 		}
 	}
 }
@@ -354,7 +354,7 @@
 	for _, p := range s.pools {
 		p.mu.Lock()
 		for a, t := range p.tasks {
-			if t.usesRoom() {
+			if t.holdsResources() {
 				as = append(as, a)
 			}
 		}
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// setAsideAfter is how many unlike jobs must fail in a row on a worker before it is set aside.
-	setAsideAfter = 3
-	maxSetAside   = 10 * time.Minute
+	// failedJobsUntilSetAside is how many unlike jobs must fail in a row on a worker before it is set aside.
+	failedJobsUntilSetAside = 3
+	maxSetAsideTime         = 10 * time.Minute
 )
 
 // workerState is what the pool knows of one worker; it is guarded by the pool's lock.
@@ -27,8 +27,8 @@
 	host        platform.Host
 	incarnation string
 	ticket      int64
-	// seen is the highest Seq that the worker has reported.
-	seen int64
+	// lastSeq is the highest Seq that the worker has reported.
+	lastSeq int64
 	// fenced is set once the worker has answered under the pool's epoch.
 	fenced bool
 	// leaving workers take nothing new; gone ones are no longer in the host list.
@@ -36,42 +36,42 @@
 	gone    bool
 	// silent workers have not answered for a lease; they get no renewal.
 	silent bool
-	// refused is set when the worker has seen a higher epoch than the pool's.
-	refused bool
-	// inventory asks for every task at the next contact.
-	inventory bool
-	// answered is when the worker last answered, and renewed when it was last
+	// superseded is set when the worker has seen a higher epoch than the pool's.
+	superseded bool
+	// needsInventory asks for every task at the next contact.
+	needsInventory bool
+	// answeredAt is when the worker last answeredAt, and renewed when it was last
 	// sent something that may extend a lease.
-	answered time.Time
-	renewed  time.Time
+	answeredAt time.Time
+	renewedAt  time.Time
 
 	used resource.Amount
-	// teams is what the teams use on all workers of the pool.
-	teams map[string]resource.Amount
-	jobs  map[string]int
-	tasks map[worker.Attempt]*task
-	stops []worker.Attempt
+	// teamUsage is what the teamUsage use on all workers of the pool.
+	teamUsage  map[string]resource.Amount
+	tasksByJob map[string]int
+	tasks      map[worker.Attempt]*task
+	stops      []worker.Attempt
 	// checkpoints and throttles go out once; a lost one is not repeated.
 	checkpoints []worker.Attempt
 	throttles   []worker.Attempt
 	acks        []worker.Attempt
-	// acking are the ended tasks that are journalled and that the worker may
+	// ackedTasks are the ended tasks that are journalled and that the worker may
 	// still report, until it has taken the acknowledgement.
-	acking map[worker.Attempt]bool
-	wake   chan struct{}
-
-	// failed holds the jobs that failed here since the last success.
-	failed     []string
-	asideUntil time.Time
-	asideFor   time.Duration
-	probing    bool
+	ackedTasks map[worker.Attempt]bool
+	wake       chan struct{}
+
+	// failedJobs holds the jobs that failedJobs here since the last success.
+	failedJobs    []string
+	setAsideUntil time.Time
+	setAsideTime  time.Duration
+	probing       bool
 }
 
 func newWorkerState(h platform.Host, teams map[string]resource.Amount) *workerState {
 	return &workerState{
-		host: h, inventory: true, answered: time.Now(), teams: teams,
-		jobs:  make(map[string]int),
-		tasks: make(map[worker.Attempt]*task), acking: make(map[worker.Attempt]bool),
+		host: h, needsInventory: true, answeredAt: time.Now(), teamUsage: teams,
+		tasksByJob: make(map[string]int),
+		tasks:      make(map[worker.Attempt]*task), ackedTasks: make(map[worker.Attempt]bool),
 		wake: make(chan struct{}, 1),
 	}
 }
@@ -83,68 +83,68 @@
 	}
 }
 
-// addLocked takes the room of t.
-func (w *workerState) addLocked(t *task) {
+// addTaskLocked takes the room of t.
+func (w *workerState) addTaskLocked(t *task) {
 	if _, ok := w.tasks[t.spec.Attempt]; ok {
 		return
 	}
 	w.tasks[t.spec.Attempt] = t
-	w.takeLocked(t.spec.Team, t.room())
-	w.jobs[t.spec.Attempt.Job]++
+	w.addUsageLocked(t.spec.Team, t.allocation())
+	w.tasksByJob[t.spec.Attempt.Job]++
 }
 
-// takeLocked counts room as taken by a team; a negative amount gives it back.
-func (w *workerState) takeLocked(team string, room resource.Amount) {
+// addUsageLocked counts room as taken by a team; a negative amount gives it back.
+func (w *workerState) addUsageLocked(team string, room resource.Amount) {
 	w.used = w.used.Add(room)
-	if w.teams[team] = w.teams[team].Add(room); w.teams[team] == (resource.Amount{}) {
-		delete(w.teams, team)
+	if w.teamUsage[team] = w.teamUsage[team].Add(room); w.teamUsage[team] == (resource.Amount{}) {
+		delete(w.teamUsage, team)
 	}
 }
 
-// removeLocked gives the room of t back.
-func (w *workerState) removeLocked(t *task) {
+// removeTaskLocked gives the room of t back.
+func (w *workerState) removeTaskLocked(t *task) {
 	if _, ok := w.tasks[t.spec.Attempt]; !ok {
 		return
 	}
 	delete(w.tasks, t.spec.Attempt)
-	w.takeLocked(t.spec.Team, resource.Amount{}.Sub(t.room()))
-	if w.jobs[t.spec.Attempt.Job]--; w.jobs[t.spec.Attempt.Job] <= 0 {
-		delete(w.jobs, t.spec.Attempt.Job)
+	w.addUsageLocked(t.spec.Team, resource.Amount{}.Sub(t.allocation()))
+	if w.tasksByJob[t.spec.Attempt.Job]--; w.tasksByJob[t.spec.Attempt.Job] <= 0 {
+		delete(w.tasksByJob, t.spec.Attempt.Job)
 	}
 }
 
-// openLocked reports whether the worker may be given new tasks.
-func (w *workerState) openLocked(now time.Time) bool {
-	if !w.fenced || !w.takesRequests() {
+// schedulableLocked reports whether the worker may be given new tasks.
+func (w *workerState) schedulableLocked(now time.Time) bool {
+	if !w.fenced || !w.acceptsRequests() {
 		return false
 	}
-	if w.asideUntil.IsZero() {
+	if w.setAsideUntil.IsZero() {
 		return true
 	}
 	// A worker that was set aside comes back with one task as a probe.
-	return now.After(w.asideUntil) && (!w.probing || len(w.tasks) == 0)
+	return now.After(w.setAsideUntil) && (!w.probing || len(w.tasks) == 0)
 }
 
-// takesRequests reports whether the worker's instances may be given requests.
-func (w *workerState) takesRequests() bool {
-	return !w.leaving && !w.gone && !w.silent && !w.refused
+// acceptsRequests reports whether the worker's instances may be given requests.
+func (w *workerState) acceptsRequests() bool {
+	return !w.leaving && !w.gone && !w.silent && !w.superseded
 }
 
-// noteResultLocked learns from a task's end whether the worker fails everything.
-func (w *workerState) noteResultLocked(job string, ok bool, opts Options) (setAside bool) {
+// recordResultLocked learns from a task's end whether the worker fails everything.
+func (w *workerState) recordResultLocked(job string, ok bool, opts Options) (setAside bool) {
 	if ok {
-		w.failed, w.asideUntil, w.asideFor, w.probing = nil, time.Time{}, 0, false
+		w.failedJobs, w.setAsideUntil, w.setAsideTime, w.probing = nil, time.Time{}, 0, false
 		return false
 	}
-	if !slices.Contains(w.failed, job) {
-		w.failed = append(w.failed, job)
+	if !slices.Contains(w.failedJobs, job) {
+		w.failedJobs = append(w.failedJobs, job)
 	}
-	if len(w.failed) < setAsideAfter && !w.probing {
+	if len(w.failedJobs) < failedJobsUntilSetAside && !w.probing {
 		return false
 	}
-	w.asideFor = min(max(opts.SetAside, 2*w.asideFor), maxSetAside)
-	w.asideUntil = time.Now().Add(w.asideFor)
-	w.failed, w.probing = nil, true
+	w.setAsideTime = min(max(opts.SetAside, 2*w.setAsideTime), maxSetAsideTime)
+	w.setAsideUntil = time.Now().Add(w.setAsideTime)
+	w.failedJobs, w.probing = nil, true
 	return true
 }
 
@@ -152,7 +152,7 @@
 // dropped; renewals go out with pollLoop as long as the worker answers.
 func (p *Pool) contactLoop(w *workerState) {
 	for woken := true; ; {
-		if woken || !p.renewedLately(w) {
+		if woken || !p.renewedRecently(w) {
 			p.contact(p.ctx, w, 0)
 		}
 		woken = false
@@ -175,9 +175,9 @@
 func (p *Pool) pollLoop(w *workerState) {
 	for p.ctx.Err() == nil {
 		began := time.Now()
-		seen, answers := p.heard(w)
+		seen, answers := p.reportState(w)
 		if answers && p.contact(p.ctx, w, p.opts.renewEvery()) {
-			if now, _ := p.heard(w); now > seen || time.Since(began) >= p.opts.renewEvery() {
+			if now, _ := p.reportState(w); now > seen || time.Since(began) >= p.opts.renewEvery() {
 				continue
 			}
 		}
@@ -190,24 +190,24 @@
 	}
 }
 
-// heard returns how many ends the worker has told of, and whether it answers
+// reportState returns how many ends the worker has told of, and whether it answers
 // under the pool's epoch.
-func (p *Pool) heard(w *workerState) (seen int64, answers bool) {
+func (p *Pool) reportState(w *workerState) (seen int64, answers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return w.seen, w.fenced && !w.silent && !w.refused
+	return w.lastSeq, w.fenced && !w.silent && !w.superseded
 }
 
-func (p *Pool) renewedLately(w *workerState) bool {
+func (p *Pool) renewedRecently(w *workerState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return w.fenced && !w.silent && time.Since(w.renewed) < p.opts.renewEvery()
+	return w.fenced && !w.silent && time.Since(w.renewedAt) < p.opts.renewEvery()
 }
 
 // contact sends the worker what is due, once; the worker may hold its report
 // back for wait. It reports whether the worker answered.
 func (p *Pool) contact(ctx context.Context, w *workerState, wait time.Duration) bool {
-	c, address, ok := p.prepare(w, wait)
+	c, address, ok := p.prepareContact(w, wait)
 	if !ok {
 		return false
 	}
@@ -218,41 +218,41 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.unansweredLocked(w, c, err)
+		p.handleFailedContactLocked(w, c, err)
 		return false
 	}
-	p.answeredLocked(w, c, rep)
+	p.handleReportLocked(w, c, rep)
 	return true
 }
 
-// prepare builds the next message for a worker; without the node's lease it
+// prepareContact builds the next message for a worker; without the node's lease it
 // renews only what the grace of its class allows. A message that the worker may
 // hold back carries renewals and acknowledgements only.
-func (p *Pool) prepare(w *workerState, wait time.Duration) (worker.Contact, string, bool) {
+func (p *Pool) prepareContact(w *workerState, wait time.Duration) (worker.Contact, string, bool) {
 	held := p.grant.Held()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.expireLocked(now)
+	p.expireReservationsLocked(now)
 	c := worker.Contact{
 		Shard: string(p.grant.Key), Owner: p.grant.Owner, Epoch: p.grant.Epoch,
-		Ticket: w.ticket, LeaseMS: p.opts.Lease.Milliseconds(), Inventory: w.inventory || w.silent, Seen: w.seen,
+		Ticket: w.ticket, LeaseMS: p.opts.Lease.Milliseconds(), Inventory: w.needsInventory || w.silent, Seen: w.lastSeq,
 	}
-	if w.refused {
+	if w.superseded {
 		return c, "", false
 	}
 	if !held {
-		if !p.graceLocked(w, &c) {
+		if !p.renewInGraceLocked(w, &c) {
 			return c, "", false
 		}
 		c.WaitMS = wait.Milliseconds()
-		w.renewed = now
+		w.renewedAt = now
 		return c, w.host.Address, true
 	}
 	c.Ack, w.acks = w.acks, nil
 	if wait > 0 {
 		c.WaitMS, c.Inventory, c.Renew = wait.Milliseconds(), false, true
-		w.renewed = now
+		w.renewedAt = now
 		return c, w.host.Address, true
 	}
 	c.Stop, c.Checkpoint, c.Throttle = w.stops, w.checkpoints, w.throttles
@@ -263,18 +263,18 @@
 	c.Renew = true
 	if w.fenced && w.ticket != 0 {
 		for _, t := range w.tasks {
-			if t.state == starting && !t.stopping && (!t.afterRoom || w.hasRoomLocked(t)) {
-				t.afterRoom = false
+			if t.state == starting && !t.stopping && (!t.awaitsPreemption || w.fitsLocked(t)) {
+				t.awaitsPreemption = false
 				c.Start = append(c.Start, t.spec)
 			}
 		}
 	}
-	w.renewed = now
+	w.renewedAt = now
 	return c, w.host.Address, true
 }
 
-// graceLocked fills c with the renewals that are allowed without the node's lease.
-func (p *Pool) graceLocked(w *workerState, c *worker.Contact) bool {
+// renewInGraceLocked fills c with the renewals that are allowed without the node's lease.
+func (p *Pool) renewInGraceLocked(w *workerState, c *worker.Contact) bool {
 	if !w.fenced || w.silent {
 		return false
 	}
@@ -289,44 +289,44 @@
 	return len(c.Except) < len(w.tasks)
 }
 
-// unansweredLocked handles a contact without a reply.
-func (p *Pool) unansweredLocked(w *workerState, c worker.Contact, err error) {
+// handleFailedContactLocked handles a contact without a reply.
+func (p *Pool) handleFailedContactLocked(w *workerState, c worker.Contact, err error) {
 	w.stops = append(c.Stop, w.stops...)
 	w.acks = append(c.Ack, w.acks...)
 	now := time.Now()
-	if !w.silent && now.Sub(w.answered) > p.opts.Lease {
+	if !w.silent && now.Sub(w.answeredAt) > p.opts.Lease {
 		w.silent = true
-		p.setOpenLocked(w)
+		p.updateInstancesLocked(w)
 		p.log.Warn("worker silent", events.WorkerSilent, zap.String("worker", w.host.ID), zap.Error(err))
 	}
-	if !w.silent || !w.fenced || now.Sub(w.renewed) <= p.opts.Lease+p.opts.Margin || !p.grant.Held() {
+	if !w.silent || !w.fenced || now.Sub(w.renewedAt) <= p.opts.Lease+p.opts.Margin || !p.grant.Held() {
 		return
 	}
 	// The worker has stopped its tasks by its own clock: nothing sent since can have renewed them.
 	for _, t := range w.tasks {
 		p.log.Warn("task lost", events.TaskLost, zap.Stringer("attempt", t.spec.Attempt), zap.String("worker", w.host.ID))
 		if t.state == reserved {
-			p.overLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker is silent"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker is silent"})
 			continue
 		}
-		p.overLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker is silent and its lease has run out"})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker is silent and its lease has run out"})
 	}
 }
 
-// setOpenLocked tells whether the worker's instances take new requests.
-func (p *Pool) setOpenLocked(w *workerState) {
+// updateInstancesLocked tells whether the worker's instances take new requests.
+func (p *Pool) updateInstancesLocked(w *workerState) {
 	for a, t := range w.tasks {
 		if t.address != "" {
-			p.deps.Instances.SetOpen(a, w.takesRequests())
+			p.deps.Instances.SetOpen(a, w.acceptsRequests())
 		}
 	}
 }
 
-// answeredLocked takes in a worker's report.
-func (p *Pool) answeredLocked(w *workerState, c worker.Contact, rep worker.Report) {
+// handleReportLocked takes in a worker's report.
+func (p *Pool) handleReportLocked(w *workerState, c worker.Contact, rep worker.Report) {
 	if rep.Refused == worker.RefusedStaleEpoch {
-		w.refused = true
-		p.setOpenLocked(w)
+		w.superseded = true
+		p.updateInstancesLocked(w)
 		p.log.Warn("worker has a newer owner", events.WorkerStaleEpoch, zap.String("worker", w.host.ID), zap.Int64("seen", rep.Epoch))
 		return
 	}
@@ -334,78 +334,78 @@
 		p.log.Info("worker back", events.WorkerRecovered, zap.String("worker", w.host.ID))
 	}
 	if w.incarnation != "" && w.incarnation != rep.Incarnation {
-		p.forgotLocked(w)
+		p.handleRestartLocked(w)
 	}
 	leaving := (rep.Leaving || w.host.State == platform.HostLeaving) && !p.opts.IgnoreLeaving
 	changed := w.silent || w.leaving != leaving
 	if w.incarnation != rep.Incarnation {
-		w.ticket, w.seen = 0, 0
+		w.ticket, w.lastSeq = 0, 0
 	}
-	w.ticket, w.seen = max(w.ticket, rep.Ticket), max(w.seen, rep.Seq)
-	w.incarnation, w.answered, w.silent = rep.Incarnation, time.Now(), false
+	w.ticket, w.lastSeq = max(w.ticket, rep.Ticket), max(w.lastSeq, rep.Seq)
+	w.incarnation, w.answeredAt, w.silent = rep.Incarnation, time.Now(), false
 	w.leaving = leaving
 	for _, s := range rep.Started {
-		p.startAnsweredLocked(w, s)
+		p.handleStartReplyLocked(w, s)
 	}
 	for _, e := range rep.Ended {
-		p.endedLocked(w, e)
+		p.handleEndedLocked(w, e)
 	}
-	w.ackedLocked(c.Ack, rep.Ended)
-	p.usageLocked(w, rep.Usage)
+	w.removeAckedLocked(c.Ack, rep.Ended)
+	p.updateUsageLocked(w, rep.Usage)
 	if c.Inventory {
-		p.inventoryLocked(w, rep)
+		p.handleInventoryLocked(w, rep)
 	}
-	p.stoppedLocked(w, c.Stop)
+	p.endStoppedLocked(w, c.Stop)
 	if changed {
-		p.setOpenLocked(w)
+		p.updateInstancesLocked(w)
 	}
 	if w.ticket != c.Ticket && c.Ticket == 0 {
 		w.signal()
 	}
 }
 
-// forgotLocked handles a worker that has lost its memory, and with it its tasks.
-func (p *Pool) forgotLocked(w *workerState) {
+// handleRestartLocked handles a worker that has lost its memory, and with it its tasks.
+func (p *Pool) handleRestartLocked(w *workerState) {
 	for _, t := range w.tasks {
 		if t.state == reserved {
-			p.overLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker was restarted"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker was restarted"})
 			continue
 		}
-		p.overLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker was restarted"})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker was restarted"})
 	}
-	w.inventory, w.acks, w.acking = true, nil, make(map[worker.Attempt]bool)
+	w.needsInventory, w.acks, w.ackedTasks = true, nil, make(map[worker.Attempt]bool)
 }
 
-func (p *Pool) startAnsweredLocked(w *workerState, s worker.Started) {
+func (p *Pool) handleStartReplyLocked(w *workerState, s worker.Started) {
 	t, ok := w.tasks[s.Attempt]
 	if !ok {
 		return
 	}
 	switch s.Refused {
 	case "":
-		p.startedLocked(t, s.Address)
+		p.setRunningLocked(t, s.Address)
 	case worker.RefusedStaleTicket:
 		// Not started; it is sent again with the ticket of this report.
 		w.signal()
 	case worker.RefusedStopped:
-		p.overLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
 	default:
-		w.inventory = true
-		p.overLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker refused it: " + string(s.Refused)})
+		w.needsInventory = true
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker refused it: " + string(s.Refused)})
 	}
 }
 
-// ackedLocked forgets the acknowledgements that the worker has taken.
-func (w *workerState) ackedLocked(acks []worker.Attempt, ended []worker.Ended) {
+// removeAckedLocked forgets the acknowledgements that the worker has taken.
+func (w *workerState) removeAckedLocked(acks []worker.Attempt, ended []worker.Ended) {
 	for _, a := range acks {
 		if !slices.ContainsFunc(ended, func(e worker.Ended) bool { return e.Attempt == a }) {
-			delete(w.acking, a)
+			delete(w.ackedTasks, a)
 		}
 	}
 }
 
-func (p *Pool) endedLocked(w *workerState, e worker.Ended) {
-	if w.acking[e.Attempt] {
+func (p *Pool) handleEndedLocked(w *workerState, e worker.Ended) {
+	if w.ackedTasks[e.Attempt] {
 		return
 	}
 	t, ok := p.tasks[e.Attempt]
@@ -414,24 +414,24 @@
 		t = &task{spec: worker.Spec{Attempt: e.Attempt}, worker: w.host.ID, state: running}
 		p.tasks[e.Attempt] = t
 	}
-	if t.state == over {
+	if t.state == ended {
 		return
 	}
 	if ok && (e.Result == worker.ResultDone || e.Result == worker.ResultFailed) {
-		if w.noteResultLocked(e.Attempt.Job, e.Result == worker.ResultDone, p.opts) {
-			p.log.Warn("worker set aside", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.asideFor))
+		if w.recordResultLocked(e.Attempt.Job, e.Result == worker.ResultDone, p.opts) {
+			p.log.Warn("worker set aside", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.setAsideTime))
 		}
 	}
 	why := e.Reason
-	if e.Result == worker.ResultStopped && t.why != "" {
-		why = t.why
+	if e.Result == worker.ResultStopped && t.stopReason != "" {
+		why = t.stopReason
 	}
-	p.overLocked(t, peer.Event{Kind: peer.EventEnded, Result: e.Result, Reason: why})
+	p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: e.Result, Reason: why})
 	w.signal()
 }
 
-// inventoryLocked holds a worker's full list against what the pool knows.
-func (p *Pool) inventoryLocked(w *workerState, rep worker.Report) {
+// handleInventoryLocked holds a worker's full list against what the pool knows.
+func (p *Pool) handleInventoryLocked(w *workerState, rep worker.Report) {
 	seen := make(map[worker.Attempt]bool, len(rep.Running))
 	for _, r := range rep.Running {
 		seen[r.Spec.Attempt] = true
@@ -439,27 +439,27 @@
 		if !ok {
 			t = &task{spec: r.Spec, worker: w.host.ID, state: starting}
 			p.tasks[r.Spec.Attempt] = t
-			w.addLocked(t)
+			w.addTaskLocked(t)
 		}
-		if t.state == over {
+		if t.state == ended {
 			w.stops = append(w.stops, r.Spec.Attempt)
 			continue
 		}
-		p.startedLocked(t, r.Address)
+		p.setRunningLocked(t, r.Address)
 	}
 	for a, t := range w.tasks {
 		if t.state == running && !seen[a] {
-			p.overLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker does not run it any more"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker does not run it any more"})
 		}
 	}
-	w.fenced, w.inventory = true, false
+	w.fenced, w.needsInventory = true, false
 }
 
-// stoppedLocked ends the tasks whose stop the worker has taken without having run them.
-func (p *Pool) stoppedLocked(w *workerState, stops []worker.Attempt) {
+// endStoppedLocked ends the tasks whose stop the worker has taken without having run them.
+func (p *Pool) endStoppedLocked(w *workerState, stops []worker.Attempt) {
 	for _, a := range stops {
 		if t, ok := w.tasks[a]; ok {
-			p.overLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
 		}
 	}
 }
