--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pool owns worker shards: it reserves room on workers, starts and
-// stops tasks, renews their leases and tells job shards what became of them.
+// Package pool manages worker shards: it reserves capacity on workers, starts and
+// stops tasks, renews their leases and reports their state to job shards.
 //
-// A worker shard keeps no journal. Its truth is the workers: a new owner asks
-// each worker what it runs, under the new epoch, and uses a worker for new work
-// only once it has answered. One goroutine a worker sends one message an
-// interval, which carries everything there is to say.
+// A worker shard keeps no journal; its state is that of the workers. A new owner
+// asks each worker for its tasks, under the new epoch, and uses a worker for new
+// work only once it has answered. For each worker one goroutine sends orders as
+// they come up, and another one renews its leases with long polls.
 //
 // # Usage
 //
-//	s := pool.NewSet(deps, opts, log)      // a shard.Handler
-//	placements, err := s.Reserve(ctx, req) // room, held for a short time
-//	reply, err := s.Confirm(ctx, confirm)  // starts; may be repeated
+//	s := pool.NewSet(ctx, dcs, deps, opts, log) // a shard.Handler
+//	reply, err := s.Reserve(ctx, req)           // reserves capacity for a short time
+//	reply, err := s.Confirm(ctx, confirm)       // starts the tasks; may be repeated
 package pool
 
 import (
@@ -32,14 +32,14 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// Kind tells apart the errors of this package.
+// Kind is the kind of an Error.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindNotOwner is a call for a shard that this node does not own now.
+	// KindNotOwner means that this node does not own the shard now.
 	KindNotOwner Kind = "not_owner"
-	// KindHosts is a host list that could not be read.
+	// KindHosts means that the host list could not be read.
 	KindHosts Kind = "hosts"
 )
 
@@ -56,31 +56,31 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// HostList is what the package uses of the platform's host list.
+// HostList reads the platform's list of hosts.
 type HostList interface {
 	Hosts(ctx context.Context, dataCentre string) ([]platform.Host, error)
 }
 
-// Workers contacts workers.
+// Workers sends messages to workers.
 type Workers interface {
 	Contact(ctx context.Context, address string, c worker.Contact) (worker.Report, error)
 }
 
-// EventSink takes events to the owners of the jobs they concern; it returns
-// nil once the events are journalled.
+// EventSink delivers events to the owners of the jobs they belong to. Deliver
+// returns nil once the events are journalled.
 type EventSink interface {
 	Deliver(ctx context.Context, job string, events []peer.Event) error
-	// Shard names the job shard of a job, by which events are grouped.
+	// Shard returns the job shard of a job, by which events are grouped.
 	Shard(job string) string
 }
 
-// Instances is told of the service instances that this node owns.
+// Instances keeps track of the service instances that this node owns.
 type Instances interface {
 	Add(i Instance)
-	// SetOpen says whether an instance takes new requests.
+	// SetOpen sets whether an instance accepts new requests.
 	SetOpen(a worker.Attempt, open bool)
 	Remove(a worker.Attempt)
-	// Drain closes instances and waits until none of their requests is in flight.
+	// Drain closes instances and waits until no request to them is in flight.
 	Drain(ctx context.Context, as []worker.Attempt)
 }
 
@@ -104,21 +104,24 @@
 	Weights   func() policy.Weights
 }
 
-// Options are the times of a pool.
+// Options configure a pool.
 type Options struct {
-	// Lease is how long a task runs without a renewal.
+	// Lease is the time that a task runs without a renewal.
 	Lease time.Duration
-	// Margin is added wherever the clocks of two processes are held against each other.
+	// Margin is added wherever times of two processes' clocks are compared.
 	Margin time.Duration
-	// Grace is the longest time for which an owner without its lease renews.
+	// Grace is the longest time for which an owner that has lost its lease renews the leases
+	// of tasks.
 	Grace time.Duration
-	// Reservation is how long room is kept for a task that is not confirmed.
+	// Reservation is the time for which capacity is reserved for a task that is not confirmed.
 	Reservation time.Duration
 	// HostInterval is the time between two reads of the host list.
 	HostInterval time.Duration
-	// SetAside is how long a worker is set aside that fails unlike jobs, at first.
+	// SetAside is the time for which a worker on which different jobs fail is first set aside.
+	// It doubles each time.
 	SetAside time.Duration
-	// IgnoreLeaving goes on using workers that leave, to show that tests see it.
+	// IgnoreLeaving keeps using workers that are leaving. It is a fault for tests, which must
+	// detect it.
 	IgnoreLeaving bool
 }
 
@@ -140,25 +143,26 @@
 	reservation string
 	state       taskState
 	stopping    bool
-	// stopReason is the reason that the task was told to stop, where the pool decided so.
+	// stopReason is the reason for a stop that the pool has decided on itself.
 	stopReason string
 	// awaitsPreemption is set while the task waits for preempted tasks to end.
 	awaitsPreemption bool
-	// used is what the task was last seen to use; it lags.
+	// used is the usage that the worker reported last; it lags behind.
 	used    resource.Amount
 	address string
 	expires time.Time
-	// event is what the job's owner is to be told.
+	// event is the latest event for the job's owner.
 	event peer.Event
 }
 
-// allocation is what the task takes: the larger of what it declared and what it was seen to use.
+// allocation returns the resources that the task takes: the larger of its declared size and its
+// reported usage.
 func (t *task) allocation() resource.Amount { return t.spec.Size.Max(t.used) }
 
-// holdsResources reports whether the task takes room on its worker.
+// holdsResources reports whether the task takes resources on its worker.
 func (t *task) holdsResources() bool { return t.state != ended }
 
-// Pool is one worker shard under one epoch.
+// Pool is a worker shard owned under one epoch.
 type Pool struct {
 	grant        shard.Grant
 	deps         Deps
@@ -177,11 +181,11 @@
 	hostsRead  bool
 	workers    map[string]*workerState
 	workerList []*workerState
-	// teamUsage is what each team uses here.
+	// teamUsage is the allocation of each team in this shard.
 	teamUsage map[string]resource.Amount
 	tasks     map[worker.Attempt]*task
-	// reservations are the tasks that are only reserved, and untold those whose event
-	// has not been taken yet.
+	// reservations are the tasks that are not confirmed yet, and undelivered those whose
+	// latest event has not been accepted yet.
 	reservations map[worker.Attempt]*task
 	undelivered  map[worker.Attempt]*task
 }
@@ -202,7 +206,7 @@
 	return p
 }
 
-// drop ends the pool's goroutines and forgets its instances.
+// drop stops the pool's goroutines and removes its instances.
 func (p *Pool) drop() {
 	p.mu.Lock()
 	p.dropped = true
@@ -218,7 +222,7 @@
 	}
 }
 
-// release takes nothing new and waits for what is in flight.
+// release stops accepting reservations and waits for the requests in flight.
 func (p *Pool) release(ctx context.Context) {
 	p.mu.Lock()
 	p.closed = true
@@ -232,7 +236,7 @@
 	p.deps.Instances.Drain(ctx, instances)
 }
 
-// reserve gives places to as many of the specs as there is room for.
+// reserve places as many of the specs as there is capacity for.
 func (p *Pool) reserve(req peer.ReserveRequest) []peer.Placement {
 	weights := p.deps.Weights()
 	p.mu.Lock()
@@ -270,7 +274,7 @@
 	return places
 }
 
-// updateCandidatesLocked brings the candidates up to date after size went to the i-th.
+// updateCandidatesLocked updates the candidates after size was placed on the i-th.
 func (p *Pool) updateCandidatesLocked(candidates []policy.Candidate, i int, size resource.Amount) {
 	candidates[i].Free = candidates[i].Free.Sub(size)
 	candidates[i].JobTasks++
@@ -293,7 +297,7 @@
 	}
 }
 
-// candidatesLocked describes the workers to the policy, in the order of p.order.
+// candidatesLocked returns the workers as candidates for placement, in the order of workerList.
 func (p *Pool) candidatesLocked(now time.Time, job string) []policy.Candidate {
 	cs := make([]policy.Candidate, len(p.workerList))
 	for i, w := range p.workerList {
@@ -303,7 +307,7 @@
 	return cs
 }
 
-// countJobTasksLocked counts a job's tasks by worker and by rack.
+// countJobTasksLocked counts the tasks of a job by worker and by rack.
 func (p *Pool) countJobTasksLocked(cs []policy.Candidate, job string) {
 	for i, w := range p.workerList {
 		n := w.tasksByJob[job]
@@ -319,7 +323,7 @@
 	}
 }
 
-// confirm starts a reserved task, or tells what is known of it.
+// confirm starts a reserved task, or returns the state of a task that is not reserved.
 func (p *Pool) confirm(pl peer.Placement) peer.ConfirmState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -344,7 +348,9 @@
 	return peer.ConfirmAccepted
 }
 
-// unknownTaskStateLocked tells what follows from a task being unknown here.
+// unknownTaskStateLocked returns the state of a task that the pool does not know: void if it
+// certainly does not run, lost if its worker has restarted or is gone, or later if that is not
+// known yet.
 func (p *Pool) unknownTaskStateLocked(pl peer.Placement) peer.ConfirmState {
 	w, ok := p.workers[pl.Worker]
 	if ok && w.fenced {
@@ -360,8 +366,8 @@
 	return peer.ConfirmLater
 }
 
-// stopTask ends a task; a reservation ends at once, a started task by its
-// worker. It returns what is known of a task that is not here.
+// stopTask ends a task: a reservation at once, and a started task by an order to its worker. It
+// returns the state of a task that the pool does not know.
 func (p *Pool) stopTask(pl peer.Placement) peer.ConfirmState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -385,7 +391,7 @@
 	return peer.ConfirmAccepted
 }
 
-// endTaskLocked ends a task here and queues the event that tells so.
+// endTaskLocked marks a task as ended and queues its final event.
 func (p *Pool) endTaskLocked(t *task, ev peer.Event) {
 	if t.state == ended {
 		return
@@ -403,7 +409,7 @@
 	p.queueEventLocked(t)
 }
 
-// setRunningLocked records that a task runs.
+// setRunningLocked marks a task as running.
 func (p *Pool) setRunningLocked(t *task, address string) {
 	if t.state == running || t.state == ended {
 		return
@@ -421,13 +427,13 @@
 	p.queueEventLocked(t)
 }
 
-// usable reports whether requests may go to the shard's instances: while the
-// node owns them, and for the grace when it has lost sight of the store.
+// usable reports whether requests may go to the shard's instances: while the node owns the
+// shard, and for the grace after its lease has lapsed.
 func (p *Pool) usable() bool {
 	return p.grant.Held() || p.grant.LapsedFor() < p.opts.Grace
 }
 
-// queueEventLocked queues a task's event.
+// queueEventLocked queues the latest event of a task for delivery.
 func (p *Pool) queueEventLocked(t *task) {
 	p.undelivered[t.spec.Attempt] = t
 	p.signalDelivery()
@@ -440,7 +446,7 @@
 	}
 }
 
-// expireReservationsLocked lets go of room that was reserved and not confirmed in time.
+// expireReservationsLocked cancels reservations that were not confirmed in time.
 func (p *Pool) expireReservationsLocked(now time.Time) {
 	for _, t := range p.reservations {
 		if now.After(t.expires) {
@@ -449,7 +455,7 @@
 	}
 }
 
-// cancelReservationLocked forgets a task that is only reserved.
+// cancelReservationLocked removes a task that is only reserved.
 func (p *Pool) cancelReservationLocked(t *task) {
 	if w, ok := p.workers[t.worker]; ok {
 		w.removeTaskLocked(t)
@@ -458,7 +464,7 @@
 	delete(p.tasks, t.spec.Attempt)
 }
 
-// cancelReservation forgets a reservation that its job will not confirm.
+// cancelReservation cancels a reservation that its job will not confirm.
 func (p *Pool) cancelReservation(pl peer.Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -467,7 +473,7 @@
 	}
 }
 
-// summary tells how much room the shard has.
+// summary returns the free capacity of the shard and adds the usage of its teams to usage.
 func (p *Pool) summary(usage *usageByTeam) peer.PoolSummary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -31,13 +31,13 @@
 	size = resource.Amount{CPUMilli: 1000, MemoryMB: 1000}
 )
 
-// fakes are the counterparts of a pool: hosts, workers, job shards and instances.
+// fakes implement the dependencies of a pool: hosts, workers, job shards and instances.
 type fakes struct {
 	mu          sync.Mutex
 	hosts       []platform.Host
 	workers     map[string]*standin.Worker
 	unreachable map[string]bool
-	// noWait makes the workers answer at once, whatever wait was asked for.
+	// noWait makes the workers answer at once, whatever wait is requested.
 	noWait          bool
 	contacts        int
 	events          []peer.Event
@@ -59,7 +59,7 @@
 	}
 	f.mu.Unlock()
 	if cut || w == nil {
-		return worker.Report{}, errors.New("cut")
+		return worker.Report{}, errors.New("unreachable")
 	}
 	return w.Contact(ctx, c)
 }
@@ -95,14 +95,14 @@
 	f.unreachable[id] = cut
 }
 
-// hasEvent reports whether an event of a kind was told for a task's attempt.
+// hasEvent reports whether an event of a kind was delivered for an attempt.
 func (f *fakes) hasEvent(kind peer.EventKind, a worker.Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.events, func(e peer.Event) bool { return e.Kind == kind && e.Attempt == a })
 }
 
-// harness is a pool over fakes, in virtual time.
+// harness is a pool with fakes, in virtual time.
 type harness struct {
 	t     *testing.T
 	fakes *fakes
@@ -111,45 +111,45 @@
 }
 
 func newHarness(t *testing.T, workers int) *harness {
-	b := &harness{t: t, held: true, fakes: &fakes{
+	h := &harness{t: t, held: true, fakes: &fakes{
 		workers: make(map[string]*standin.Worker), unreachable: make(map[string]bool), acceptsRequests: make(map[worker.Attempt]bool),
 	}}
 	for i := range workers {
 		id := fmt.Sprintf("w%d", i)
-		h := platform.Host{ID: id, Address: id, DataCentre: "dc", Rack: "r", State: platform.HostLive, Capacity: size.Times(4)}
-		b.fakes.hosts = append(b.fakes.hosts, h)
-		b.fakes.workers[id] = standin.New(standin.Config{ID: id, Capacity: h.Capacity, Listen: func() (net.Listener, error) { return nil, net.ErrClosed }})
+		host := platform.Host{ID: id, Address: id, DataCentre: "dc", Rack: "r", State: platform.HostLive, Capacity: size.Times(4)}
+		h.fakes.hosts = append(h.fakes.hosts, host)
+		h.fakes.workers[id] = standin.New(standin.Config{ID: id, Capacity: host.Capacity, Listen: func() (net.Listener, error) { return nil, net.ErrClosed }})
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b.set = pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
-		Hosts: b.fakes, Workers: b.fakes, Events: b.fakes, Instances: b.fakes,
+	h.set = pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
+		Hosts: h.fakes, Workers: h.fakes, Events: h.fakes, Instances: h.fakes,
 		Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
 	}, pool.Options{
 		Lease: 6 * time.Second, Margin: time.Second, Grace: 20 * time.Second, Reservation: 5 * time.Second,
 		HostInterval: time.Second, SetAside: 10 * time.Second,
 	}, zap.NewNop())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = b.set.Run(ctx) }()
-	b.acquire(1)
+	go func() { defer close(done); _ = h.set.Run(ctx) }()
+	h.acquire(1)
 	t.Cleanup(func() {
-		b.set.Drop(key)
+		h.set.Drop(key)
 		stop()
 		<-done
-		for _, w := range b.fakes.workers {
+		for _, w := range h.fakes.workers {
 			w.Close()
 		}
 	})
-	return b
+	return h
 }
 
-func (b *harness) acquire(epoch int64) {
-	b.t.Helper()
-	err := b.set.Acquire(b.t.Context(), shard.Grant{
-		Owner: "n", Key: key, Epoch: epoch, Held: func() bool { return b.held },
+func (h *harness) acquire(epoch int64) {
+	h.t.Helper()
+	err := h.set.Acquire(h.t.Context(), shard.Grant{
+		Owner: "n", Key: key, Epoch: epoch, Held: func() bool { return h.held },
 		LapsedFor: func() time.Duration { return 0 },
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	time.Sleep(time.Second)
 }
@@ -158,69 +158,69 @@
 	return worker.Spec{Attempt: worker.Attempt{Job: job, N: n}, Size: size, Command: command}
 }
 
-func (b *harness) reserve(preempt bool, specs ...worker.Spec) []peer.Placement {
-	b.t.Helper()
-	reply, err := b.set.Reserve(b.t.Context(), peer.ReserveRequest{Shard: string(key), Specs: specs, Preempt: preempt})
+func (h *harness) reserve(preempt bool, specs ...worker.Spec) []peer.Placement {
+	h.t.Helper()
+	reply, err := h.set.Reserve(h.t.Context(), peer.ReserveRequest{Shard: string(key), Specs: specs, Preempt: preempt})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return reply.Placements
 }
 
-func (b *harness) confirm(pls ...peer.Placement) peer.ConfirmState {
-	b.t.Helper()
-	reply, err := b.set.Confirm(b.t.Context(), peer.ConfirmRequest{Shard: string(key), Placements: pls})
+func (h *harness) confirm(pls ...peer.Placement) peer.ConfirmState {
+	h.t.Helper()
+	reply, err := h.set.Confirm(h.t.Context(), peer.ConfirmRequest{Shard: string(key), Placements: pls})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return reply.Items[0].State
 }
 
-// run starts a task and waits a second.
-func (b *harness) run(sp worker.Spec) peer.Placement {
-	b.t.Helper()
-	pls := b.reserve(false, sp)
-	if len(pls) != 1 || b.confirm(pls[0]) != peer.ConfirmAccepted {
-		b.t.Fatalf("%s has no place", sp.Attempt)
+// run reserves and confirms a task and lets a second pass.
+func (h *harness) run(sp worker.Spec) peer.Placement {
+	h.t.Helper()
+	pls := h.reserve(false, sp)
+	if len(pls) != 1 || h.confirm(pls[0]) != peer.ConfirmAccepted {
+		h.t.Fatalf("%s was not placed", sp.Attempt)
 	}
 	time.Sleep(time.Second)
 	return pls[0]
 }
 
-func runInVirtualTime(t *testing.T, workers int, fn func(b *harness)) {
+func runInVirtualTime(t *testing.T, workers int, fn func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { fn(newHarness(t, workers)) })
 }
 
 func TestReservationExpires(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
-		pls := b.reserve(false, newSpec("a", 1))
+	runInVirtualTime(t, 1, func(h *harness) {
+		pls := h.reserve(false, newSpec("a", 1))
 		time.Sleep(10 * time.Second)
-		if got := b.confirm(pls[0]); got != peer.ConfirmVoid {
-			t.Errorf("a confirm after its time: %s", got)
+		if got := h.confirm(pls[0]); got != peer.ConfirmVoid {
+			t.Errorf("a confirm after the reservation has expired returned %s, want void", got)
 		}
-		if b.fakes.hasEvent(peer.EventStarted, pls[0].Attempt) {
-			t.Error("it was started")
+		if h.fakes.hasEvent(peer.EventStarted, pls[0].Attempt) {
+			t.Error("the task was started")
 		}
 	})
 }
 
 func TestRepeatedMessagesStartOnce(t *testing.T) {
-	runInVirtualTime(t, 2, func(b *harness) {
+	runInVirtualTime(t, 2, func(h *harness) {
 		sp := newSpec("a", 1, "sleep", "2s")
-		first := b.run(sp)
+		first := h.run(sp)
 		time.Sleep(10 * time.Second)
-		// The task has ended and was acknowledged; both messages come again.
-		again := b.reserve(false, sp)
-		if got := b.confirm(first); got != peer.ConfirmVoid {
-			t.Errorf("the old confirm: %s", got)
+		// The task has ended, and its end was acknowledged. Both messages are repeated.
+		again := h.reserve(false, sp)
+		if got := h.confirm(first); got != peer.ConfirmVoid {
+			t.Errorf("the repeated confirm returned %s, want void", got)
 		}
 		if len(again) == 1 && again[0].Reservation == first.Reservation {
-			t.Error("the new reservation has the old name")
+			t.Error("the new reservation has the ID of the old one")
 		}
 		time.Sleep(time.Second)
 		starts := 0
-		for _, w := range b.fakes.workers {
+		for _, w := range h.fakes.workers {
 			for _, e := range w.Evidence() {
 				if e.Saw == standin.SawStart {
 					starts++
@@ -228,73 +228,73 @@
 			}
 		}
 		if starts != 1 {
-			t.Errorf("started %d times", starts)
+			t.Errorf("the task was started %d times, want 1", starts)
 		}
 	})
 }
 
 func TestTaskIsLostOnlyAfterLease(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
-		pl := b.run(newSpec("a", 1, "sleep", "1h"))
-		b.fakes.setUnreachable("w0", true)
+	runInVirtualTime(t, 1, func(h *harness) {
+		pl := h.run(newSpec("a", 1, "sleep", "1h"))
+		h.fakes.setUnreachable("w0", true)
 		for range 60 {
-			if b.fakes.hasEvent(peer.EventLost, pl.Attempt) {
-				if b.fakes.workers["w0"].Running() > 0 {
-					t.Error("told lost while it runs")
+			if h.fakes.hasEvent(peer.EventLost, pl.Attempt) {
+				if h.fakes.workers["w0"].Running() > 0 {
+					t.Error("the task was reported as lost while it runs")
 				}
 				return
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
-		t.Error("never told lost")
+		t.Error("the task was never reported as lost")
 	})
 }
 
 func TestTakeoverAdoptsTasks(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
-		pl := b.run(newSpec("a", 1, "sleep", "1h"))
-		b.set.Drop(key)
-		b.acquire(2)
-		if got := b.confirm(pl); got != peer.ConfirmAccepted {
-			t.Errorf("a running task after a takeover: %s", got)
+	runInVirtualTime(t, 1, func(h *harness) {
+		pl := h.run(newSpec("a", 1, "sleep", "1h"))
+		h.set.Drop(key)
+		h.acquire(2)
+		if got := h.confirm(pl); got != peer.ConfirmAccepted {
+			t.Errorf("a confirm of a running task after a takeover returned %s, want accepted", got)
 		}
 		never := pl
 		never.Attempt.Job = "b"
-		if got := b.confirm(never); got != peer.ConfirmVoid {
-			t.Errorf("a task that was never started: %s", got)
+		if got := h.confirm(never); got != peer.ConfirmVoid {
+			t.Errorf("a confirm of a task that was never started returned %s, want void", got)
 		}
-		never.Incarnation = "another life"
-		if got := b.confirm(never); got != peer.ConfirmLost {
-			t.Errorf("a task of a worker that was restarted: %s", got)
+		never.Incarnation = "another incarnation"
+		if got := h.confirm(never); got != peer.ConfirmLost {
+			t.Errorf("a confirm of a task of a worker that was restarted returned %s, want lost", got)
 		}
 	})
 }
 
-// TestUrgentWorkPreempts fills a worker with preemptible tasks: urgent work
-// starts within a second, one task goes, and it was checkpointed before.
+// TestUrgentWorkPreempts fills a worker with preemptible tasks and checks that an urgent task
+// starts within a second, after one of them was checkpointed and stopped.
 func TestUrgentWorkPreempts(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
+	runInVirtualTime(t, 1, func(h *harness) {
 		for i := range 4 {
 			sp := newSpec(fmt.Sprintf("low%d", i), 1, "sleep", "1h")
 			sp.Preemptible, sp.Priority = true, 1
-			b.run(sp)
+			h.run(sp)
 		}
 		urgent := newSpec("urgent", 1, "sleep", "1h")
 		urgent.Priority, urgent.Class = 9, "counter"
-		if got := b.reserve(false, urgent); len(got) != 0 {
-			t.Fatal("there was room")
+		if got := h.reserve(false, urgent); len(got) != 0 {
+			t.Fatal("the urgent task was placed without preemption")
 		}
-		pls := b.reserve(true, urgent)
+		pls := h.reserve(true, urgent)
 		if len(pls) != 1 {
-			t.Fatal("no room was made")
+			t.Fatal("the urgent task was not placed with preemption")
 		}
-		b.confirm(pls[0])
+		h.confirm(pls[0])
 		time.Sleep(time.Second)
-		if !b.fakes.hasEvent(peer.EventStarted, urgent.Attempt) {
-			t.Error("urgent work has not started within a second")
+		if !h.fakes.hasEvent(peer.EventStarted, urgent.Attempt) {
+			t.Error("the urgent task has not started within a second")
 		}
 		var saw []standin.Saw
-		for _, e := range b.fakes.workers["w0"].Evidence() {
+		for _, e := range h.fakes.workers["w0"].Evidence() {
 			if e.Saw != standin.SawOwner {
 				saw = append(saw, e.Saw)
 			}
@@ -307,72 +307,74 @@
 	})
 }
 
-// TestExcessUsageIsNotReserved runs a task that uses three times what it
-// declared: it is throttled, and the room it takes is not given to others.
+// TestExcessUsageIsNotReserved checks that a task that uses three times its declared size is
+// throttled, and that the capacity it uses is not reserved for others.
 func TestExcessUsageIsNotReserved(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
-		b.run(newSpec("greedy", 1, "sleep", "1h", "use", "3000"))
+	runInVirtualTime(t, 1, func(h *harness) {
+		h.run(newSpec("greedy", 1, "sleep", "1h", "use", "3000"))
 		time.Sleep(10 * time.Second)
-		if got := b.reserve(false, newSpec("a", 1), newSpec("b", 1)); len(got) != 1 {
-			t.Errorf("%d tasks were given places beside it, want 1", len(got))
+		if got := h.reserve(false, newSpec("a", 1), newSpec("b", 1)); len(got) != 1 {
+			t.Errorf("%d tasks were placed beside it, want 1", len(got))
 		}
-		throttled := slices.ContainsFunc(b.fakes.workers["w0"].Evidence(), func(e standin.Sight) bool { return e.Saw == standin.SawThrottle })
+		throttled := slices.ContainsFunc(h.fakes.workers["w0"].Evidence(), func(e standin.Sight) bool { return e.Saw == standin.SawThrottle })
 		if !throttled {
-			t.Error("it was not throttled")
+			t.Error("the task was not throttled")
 		}
 	})
 }
 
-// TestFailingWorkerIsSetAside has one worker fail unlike jobs: it is set aside, and
-// comes back with a probe.
+// TestFailingWorkerIsSetAside checks that a worker on which different jobs fail is set aside, and
+// first gets a single task as a probe afterwards.
 func TestFailingWorkerIsSetAside(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
+	runInVirtualTime(t, 1, func(h *harness) {
 		for i := range 3 {
-			b.run(newSpec(fmt.Sprintf("job%d", i), 1, "fail"))
+			h.run(newSpec(fmt.Sprintf("job%d", i), 1, "fail"))
 		}
-		if got := b.reserve(false, newSpec("next", 1)); len(got) != 0 {
-			t.Fatal("a worker that fails everything is given more")
+		if got := h.reserve(false, newSpec("next", 1)); len(got) != 0 {
+			t.Fatal("a worker that fails all tasks gets more")
 		}
 		time.Sleep(11 * time.Second)
-		if got := b.reserve(false, newSpec("p1", 1, "sleep", "1s"), newSpec("p2", 1)); len(got) != 1 {
-			t.Fatalf("%d probes, want 1", len(got))
+		if got := h.reserve(false, newSpec("p1", 1, "sleep", "1s"), newSpec("p2", 1)); len(got) != 1 {
+			t.Fatalf("%d tasks were placed as probes, want 1", len(got))
 		} else {
-			b.confirm(got[0])
+			h.confirm(got[0])
 		}
 		time.Sleep(3 * time.Second)
-		if got := b.reserve(false, newSpec("n1", 1), newSpec("n2", 1)); len(got) != 2 {
-			t.Errorf("after a good probe %d tasks have places, want 2", len(got))
+		if got := h.reserve(false, newSpec("n1", 1), newSpec("n2", 1)); len(got) != 2 {
+			t.Errorf("%d tasks were placed after a successful probe, want 2", len(got))
 		}
 	})
 }
 
-// TestFailingJobDoesNotSetWorkerAside has one job fail again and again: the worker stays in use.
+// TestFailingJobDoesNotSetWorkerAside checks that a worker stays in use while a single job fails
+// again and again.
 func TestFailingJobDoesNotSetWorkerAside(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
+	runInVirtualTime(t, 1, func(h *harness) {
 		for n := range 6 {
-			b.run(newSpec("bad", n+1, "fail"))
+			h.run(newSpec("bad", n+1, "fail"))
 		}
-		if got := b.reserve(false, newSpec("next", 1)); len(got) != 1 {
-			t.Error("a worker is set aside for one bad job")
+		if got := h.reserve(false, newSpec("next", 1)); len(got) != 1 {
+			t.Error("the worker was set aside because of one failing job")
 		}
 	})
 }
 
-// TestContactRateOfWorkerThatDoesNotWait answers every contact at once: it is not asked without end.
+// TestContactRateOfWorkerThatDoesNotWait checks that a worker that answers every contact at once
+// is not contacted in a tight loop.
 func TestContactRateOfWorkerThatDoesNotWait(t *testing.T) {
-	runInVirtualTime(t, 1, func(b *harness) {
-		b.fakes.mu.Lock()
-		b.fakes.noWait = true
-		b.fakes.mu.Unlock()
-		b.run(newSpec("a", 1, "sleep", "1h"))
-		b.fakes.mu.Lock()
-		before := b.fakes.contacts
-		b.fakes.mu.Unlock()
+	runInVirtualTime(t, 1, func(h *harness) {
+		h.fakes.mu.Lock()
+		h.fakes.noWait = true
+		h.fakes.mu.Unlock()
+		h.run(newSpec("a", 1, "sleep", "1h"))
+		h.fakes.mu.Lock()
+		before := h.fakes.contacts
+		h.fakes.mu.Unlock()
 		time.Sleep(time.Minute)
-		b.fakes.mu.Lock()
-		defer b.fakes.mu.Unlock()
-		if n := b.fakes.contacts - before; n > 40 {
-			t.Errorf("%d contacts in a minute, at a renewal each 2 s", n)
+		h.fakes.mu.Lock()
+		defer h.fakes.mu.Unlock()
+		if n := h.fakes.contacts - before; n > 40 {
+			t.Errorf("%d contacts in a minute with a renewal each 2 s, want at most 40", n)
 		}
 	})
 }
@@ -395,7 +397,7 @@
 		b.Fatal(err)
 	}
 	defer s.Drop(key)
-	for sums, _ := s.Summaries(); sums[0].Workers < workers; sums, _ = s.Summaries() {
+	for summaries, _ := s.Summaries(); summaries[0].Workers < workers; summaries, _ = s.Summaries() {
 		time.Sleep(time.Millisecond)
 	}
 	const batch = 64
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -10,24 +10,24 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// preemptLocked makes room for spec by stopping less urgent tasks of one
-// worker, the one where the fewest must go; each is checkpointed first.
+// preemptLocked frees capacity for spec by stopping less urgent tasks on the worker where the
+// fewest are needed. Each is checkpointed first.
 func (p *Pool) preemptLocked(spec worker.Spec, candidates []policy.Candidate) (int, bool) {
-	best, fewest := -1, []*task(nil)
+	best, bestVictims := -1, []*task(nil)
 	for i, w := range p.workerList {
 		if candidates[i].Unschedulable {
 			continue
 		}
 		victims, ok := w.victimsLocked(spec, candidates[i].Free)
-		if ok && (best < 0 || len(victims) < len(fewest)) {
-			best, fewest = i, victims
+		if ok && (best < 0 || len(victims) < len(bestVictims)) {
+			best, bestVictims = i, victims
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
 	w := p.workerList[best]
-	for _, t := range fewest {
+	for _, t := range bestVictims {
 		t.stopping, t.stopReason = true, fmt.Sprintf("preempted for %s of class %s", spec.Attempt.Job, spec.Class)
 		w.checkpoints = append(w.checkpoints, t.spec.Attempt)
 		w.stops = append(w.stops, t.spec.Attempt)
@@ -37,7 +37,7 @@
 	return best, true
 }
 
-// victimsLocked returns the tasks of the worker that would have to go for spec.
+// victimsLocked returns the tasks to stop on the worker to make spec fit.
 func (w *workerState) victimsLocked(spec worker.Spec, free resource.Amount) ([]*task, bool) {
 	var tasks []*task
 	var candidates []policy.RunningTask
@@ -61,7 +61,7 @@
 	return victims, true
 }
 
-// fitsLocked reports whether t fits beside the tasks that are on the worker now.
+// fitsLocked reports whether t fits beside the tasks that are still on the worker.
 func (w *workerState) fitsLocked(t *task) bool {
 	used := t.spec.Size
 	for _, other := range w.tasks {
@@ -72,8 +72,8 @@
 	return w.host.Capacity.Fits(used)
 }
 
-// updateUsageLocked takes in what tasks were seen to use. What is above the declared
-// size counts as taken, and the task is throttled to what it declared.
+// updateUsageLocked applies the usage that a worker reports. Usage above the declared size counts
+// as allocated, and the task is throttled to its declared size.
 func (p *Pool) updateUsageLocked(w *workerState, usage []worker.Usage) {
 	for _, u := range usage {
 		t, ok := w.tasks[u.Attempt]
--- a/internal/pool/set.go
+++ b/internal/pool/set.go
@@ -39,12 +39,12 @@
 	pools map[shard.Key]*Pool
 }
 
-// NewSet returns a Set that holds no shard; its pools run until ctx ends.
+// NewSet returns an empty Set, whose pools run until ctx ends.
 func NewSet(ctx context.Context, dcs []shard.DataCentre, deps Deps, opts Options, log *zap.Logger) *Set {
 	return &Set{ctx: ctx, dcs: dcs, deps: deps, opts: opts, log: log, pools: make(map[shard.Key]*Pool)}
 }
 
-// Run reads the host list until ctx ends.
+// Run reads the host list at each interval until ctx ends.
 func (s *Set) Run(ctx context.Context) error {
 	t := time.NewTicker(s.opts.HostInterval)
 	defer t.Stop()
@@ -56,13 +56,13 @@
 		}
 		for _, dc := range s.dcs {
 			if err := s.readHosts(ctx, dc); err != nil {
-				s.log.Warn("hosts not read", events.HostsNotRead, zap.String("data_centre", dc.Name), zap.Error(err))
+				s.log.Warn("host list not read", events.HostsNotRead, zap.String("data_centre", dc.Name), zap.Error(err))
 			}
 		}
 	}
 }
 
-// readHosts brings the pools of a data centre up to date with the host list.
+// readHosts updates the pools of a data centre from the host list.
 func (s *Set) readHosts(ctx context.Context, dc shard.DataCentre) error {
 	pools := s.poolsOf(dc.Name)
 	if len(pools) == 0 {
@@ -95,7 +95,7 @@
 	return pools
 }
 
-// Acquire takes up a worker shard: it reads the host list and starts to ask the workers.
+// Acquire takes over a worker shard: it reads the host list and starts to contact the workers.
 func (s *Set) Acquire(ctx context.Context, g shard.Grant) error {
 	p := newPool(s.ctx, g, s.deps, s.opts, s.log)
 	s.mu.Lock()
@@ -113,14 +113,14 @@
 	return nil
 }
 
-// Release ends the use of a shard's workers, waiting for the requests in flight.
+// Release stops the use of a shard's workers and waits for the requests in flight.
 func (s *Set) Release(ctx context.Context, key shard.Key) {
 	if p, ok := s.pool(string(key)); ok {
 		p.release(ctx)
 	}
 }
 
-// Drop forgets a shard.
+// Drop removes a shard.
 func (s *Set) Drop(key shard.Key) {
 	s.mu.Lock()
 	p, ok := s.pools[key]
@@ -147,7 +147,7 @@
 	return p, nil
 }
 
-// Reserve gives places to as many tasks as the shard has room for.
+// Reserve places as many tasks as the shard has capacity for.
 func (s *Set) Reserve(_ context.Context, req peer.ReserveRequest) (peer.ReserveReply, error) {
 	p, err := s.ownedPool("reserve", req.Shard)
 	if err != nil {
@@ -156,7 +156,7 @@
 	return peer.ReserveReply{Placements: p.reserve(req)}, nil
 }
 
-// forEachPlacement asks the pool of a shard about placements, one by one.
+// forEachPlacement calls fn for each of the placements in a shard and returns the states.
 func (s *Set) forEachPlacement(op, key string, places []peer.Placement, fn func(*Pool, peer.Placement) peer.ConfirmState) (peer.ConfirmReply, error) {
 	p, err := s.ownedPool(op, key)
 	if err != nil {
@@ -169,17 +169,17 @@
 	return reply, nil
 }
 
-// Confirm starts reserved tasks, or tells what is known of them.
+// Confirm starts reserved tasks, or returns the states of those that are not reserved.
 func (s *Set) Confirm(_ context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error) {
 	return s.forEachPlacement("confirm", req.Shard, req.Placements, (*Pool).confirm)
 }
 
-// Stop ends tasks; events tell when they have ended.
+// Stop ends tasks. Events report when they have ended.
 func (s *Set) Stop(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	return s.forEachPlacement("stop", req.Shard, req.Placements, (*Pool).stopTask)
 }
 
-// CancelReservations gives up reservations that will not be confirmed.
+// CancelReservations cancels reservations that will not be confirmed.
 func (s *Set) CancelReservations(_ context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	p, err := s.ownedPool("let go", req.Shard)
 	if err != nil {
@@ -191,7 +191,7 @@
 	return peer.ConfirmReply{}, nil
 }
 
-// Summaries tells how much room the node's shards have and what the teams use there.
+// Summaries returns the free capacity of the node's shards and the usage of the teams there.
 func (s *Set) Summaries() ([]peer.PoolSummary, []peer.TeamUsage) {
 	s.mu.Lock()
 	pools := make([]*Pool, 0, len(s.pools))
@@ -200,16 +200,16 @@
 	}
 	s.mu.Unlock()
 	usage := usageByTeam{used: make(map[string]resource.Amount)}
-	var sums []peer.PoolSummary
+	var summaries []peer.PoolSummary
 	for _, p := range pools {
 		if p.grant.Held() {
-			sums = append(sums, p.summary(&usage))
+			summaries = append(summaries, p.summary(&usage))
 		}
 	}
-	return sums, usage.list()
+	return summaries, usage.list()
 }
 
-// usageByTeam adds up what teams use.
+// usageByTeam sums the usage of each team.
 type usageByTeam struct{ used map[string]resource.Amount }
 
 func (u *usageByTeam) add(team string, size resource.Amount) {
@@ -225,7 +225,7 @@
 	return list
 }
 
-// updateHosts brings the pool up to date with the host list.
+// updateHosts updates the pool from the host list.
 func (p *Pool) updateHosts(hosts []platform.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -268,7 +268,7 @@
 	}
 }
 
-// deliverLoop tells the owners of jobs what became of their tasks.
+// deliverLoop delivers events to the owners of jobs until the pool is dropped.
 func (p *Pool) deliverLoop() {
 	for {
 		select {
@@ -288,7 +288,7 @@
 	}
 }
 
-// deliver sends every event that was not told yet; it reports whether all were taken.
+// deliver sends all queued events. It reports whether all were accepted.
 func (p *Pool) deliver() bool {
 	groups := p.undeliveredEvents()
 	var g errgroup.Group
@@ -297,7 +297,7 @@
 		g.Go(func() error {
 			err := p.deps.Events.Deliver(p.ctx, evs[0].Attempt.Job, evs)
 			if err != nil {
-				p.log.Warn("events not taken", events.ReportNotApplied, zap.String("job", evs[0].Attempt.Job), zap.Error(err))
+				p.log.Warn("events not accepted", events.ReportNotApplied, zap.String("job", evs[0].Attempt.Job), zap.Error(err))
 				return err
 			}
 			p.eventsDelivered(evs)
@@ -307,7 +307,7 @@
 	return g.Wait() == nil
 }
 
-// undeliveredEvents returns the events to be told, by job shard.
+// undeliveredEvents returns the queued events by job shard.
 func (p *Pool) undeliveredEvents() map[string][]peer.Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -323,7 +323,7 @@
 	return groups
 }
 
-// eventsDelivered notes that events are journalled; a task that is over is then forgotten.
+// eventsDelivered records that events are journalled, and removes the tasks that have ended.
 func (p *Pool) eventsDelivered(evs []peer.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -346,7 +346,8 @@
 
 var _ shard.Handler = (*Set)(nil)
 
-// Attempts returns the attempts that take room on the node's shards, for tests and explanations.
+// Attempts returns the attempts that take resources in the node's shards, for tests and
+// diagnostics.
 func (s *Set) Attempts() []worker.Attempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// failedJobsUntilSetAside is how many unlike jobs must fail in a row on a worker before it is set aside.
+	// failedJobsUntilSetAside is the number of different jobs that must fail on a worker, without
+	// a success in between, before it is set aside.
 	failedJobsUntilSetAside = 3
 	maxSetAsideTime         = 10 * time.Minute
 )
 
-// workerState is what the pool knows of one worker; it is guarded by the pool's lock.
+// workerState is what the pool knows of a worker. It is guarded by the pool's lock.
 type workerState struct {
 	host        platform.Host
 	incarnation string
@@ -31,36 +32,36 @@
 	lastSeq int64
 	// fenced is set once the worker has answered under the pool's epoch.
 	fenced bool
-	// leaving workers take nothing new; gone ones are no longer in the host list.
+	// A leaving worker gets no new tasks; a gone one is no longer in the host list.
 	leaving bool
 	gone    bool
-	// silent workers have not answered for a lease; they get no renewal.
+	// A silent worker has not answered for the time of a lease; it gets no renewal.
 	silent bool
-	// superseded is set when the worker has seen a higher epoch than the pool's.
+	// superseded is set once the worker has seen a higher epoch than the pool's.
 	superseded bool
-	// needsInventory asks for every task at the next contact.
+	// needsInventory requests the list of all tasks with the next contact.
 	needsInventory bool
-	// answeredAt is when the worker last answeredAt, and renewed when it was last
-	// sent something that may extend a lease.
+	// answeredAt is when the worker last answered, and renewedAt when it was last sent a
+	// message that may extend a lease.
 	answeredAt time.Time
 	renewedAt  time.Time
 
 	used resource.Amount
-	// teamUsage is what the teamUsage use on all workers of the pool.
+	// teamUsage is the allocation of each team on all workers of the pool.
 	teamUsage  map[string]resource.Amount
 	tasksByJob map[string]int
 	tasks      map[worker.Attempt]*task
 	stops      []worker.Attempt
-	// checkpoints and throttles go out once; a lost one is not repeated.
+	// checkpoints and throttles are sent once; a lost one is not repeated.
 	checkpoints []worker.Attempt
 	throttles   []worker.Attempt
 	acks        []worker.Attempt
-	// ackedTasks are the ended tasks that are journalled and that the worker may
-	// still report, until it has taken the acknowledgement.
+	// ackedTasks are ended tasks that are journalled and that the worker may still report,
+	// until it has received the acknowledgement.
 	ackedTasks map[worker.Attempt]bool
 	wake       chan struct{}
 
-	// failedJobs holds the jobs that failedJobs here since the last success.
+	// failedJobs holds the jobs that have failed here since the last success.
 	failedJobs    []string
 	setAsideUntil time.Time
 	setAsideTime  time.Duration
@@ -83,7 +84,7 @@
 	}
 }
 
-// addTaskLocked takes the room of t.
+// addTaskLocked adds a task and its allocation.
 func (w *workerState) addTaskLocked(t *task) {
 	if _, ok := w.tasks[t.spec.Attempt]; ok {
 		return
@@ -93,15 +94,15 @@
 	w.tasksByJob[t.spec.Attempt.Job]++
 }
 
-// addUsageLocked counts room as taken by a team; a negative amount gives it back.
-func (w *workerState) addUsageLocked(team string, room resource.Amount) {
-	w.used = w.used.Add(room)
-	if w.teamUsage[team] = w.teamUsage[team].Add(room); w.teamUsage[team] == (resource.Amount{}) {
+// addUsageLocked adds an amount, which may be negative, to the usage of the worker and a team.
+func (w *workerState) addUsageLocked(team string, amount resource.Amount) {
+	w.used = w.used.Add(amount)
+	if w.teamUsage[team] = w.teamUsage[team].Add(amount); w.teamUsage[team] == (resource.Amount{}) {
 		delete(w.teamUsage, team)
 	}
 }
 
-// removeTaskLocked gives the room of t back.
+// removeTaskLocked removes a task and its allocation.
 func (w *workerState) removeTaskLocked(t *task) {
 	if _, ok := w.tasks[t.spec.Attempt]; !ok {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// schedulableLocked reports whether the worker may be given new tasks.
+// schedulableLocked reports whether the worker may get new tasks.
 func (w *workerState) schedulableLocked(now time.Time) bool {
 	if !w.fenced || !w.acceptsRequests() {
 		return false
@@ -121,16 +122,17 @@
 	if w.setAsideUntil.IsZero() {
 		return true
 	}
-	// A worker that was set aside comes back with one task as a probe.
+	// A worker that was set aside first gets a single task as a probe.
 	return now.After(w.setAsideUntil) && (!w.probing || len(w.tasks) == 0)
 }
 
-// acceptsRequests reports whether the worker's instances may be given requests.
+// acceptsRequests reports whether the worker's instances may get requests.
 func (w *workerState) acceptsRequests() bool {
 	return !w.leaving && !w.gone && !w.silent && !w.superseded
 }
 
-// recordResultLocked learns from a task's end whether the worker fails everything.
+// recordResultLocked records a task's result. It reports whether the worker is set aside for its
+// failures.
 func (w *workerState) recordResultLocked(job string, ok bool, opts Options) (setAside bool) {
 	if ok {
 		w.failedJobs, w.setAsideUntil, w.setAsideTime, w.probing = nil, time.Time{}, 0, false
@@ -148,8 +150,8 @@
 	return true
 }
 
-// contactLoop sends a worker what is due as it comes up, until the pool is
-// dropped; renewals go out with pollLoop as long as the worker answers.
+// contactLoop sends orders to a worker as they come up, until the pool is dropped. Renewals are
+// sent by pollLoop as long as the worker answers.
 func (p *Pool) contactLoop(w *workerState) {
 	for woken := true; ; {
 		if woken || !p.renewedRecently(w) {
@@ -169,19 +171,18 @@
 	}
 }
 
-// pollLoop renews a worker's leases with a contact that the worker holds back
-// until a task ends, so that the end is heard of at once. A worker that does not
-// hold it back is asked once an interval.
+// pollLoop renews a worker's leases with a contact that the worker answers only once a task ends,
+// so that the end is known at once. A worker that answers early is contacted once per interval.
 func (p *Pool) pollLoop(w *workerState) {
 	for p.ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		seen, answers := p.reportState(w)
 		if answers && p.contact(p.ctx, w, p.opts.renewEvery()) {
-			if now, _ := p.reportState(w); now > seen || time.Since(began) >= p.opts.renewEvery() {
+			if now, _ := p.reportState(w); now > seen || time.Since(start) >= p.opts.renewEvery() {
 				continue
 			}
 		}
-		t := time.NewTimer(p.opts.renewEvery() - time.Since(began))
+		t := time.NewTimer(p.opts.renewEvery() - time.Since(start))
 		select {
 		case <-p.ctx.Done():
 		case <-t.C:
@@ -190,8 +191,8 @@
 	}
 }
 
-// reportState returns how many ends the worker has told of, and whether it answers
-// under the pool's epoch.
+// reportState returns the highest Seq that the worker has reported, and whether it answers under
+// the pool's epoch.
 func (p *Pool) reportState(w *workerState) (seen int64, answers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,14 +205,14 @@
 	return w.fenced && !w.silent && time.Since(w.renewedAt) < p.opts.renewEvery()
 }
 
-// contact sends the worker what is due, once; the worker may hold its report
-// back for wait. It reports whether the worker answered.
+// contact sends the worker one message, which the worker may answer after up to wait. It
+// reports whether the worker answered.
 func (p *Pool) contact(ctx context.Context, w *workerState, wait time.Duration) bool {
 	c, address, ok := p.prepareContact(w, wait)
 	if !ok {
 		return false
 	}
-	rep, err := p.deps.Workers.Contact(ctx, address, c)
+	report, err := p.deps.Workers.Contact(ctx, address, c)
 	if ctx.Err() != nil {
 		return false
 	}
@@ -221,13 +222,13 @@
 		p.handleFailedContactLocked(w, c, err)
 		return false
 	}
-	p.handleReportLocked(w, c, rep)
+	p.handleReportLocked(w, c, report)
 	return true
 }
 
-// prepareContact builds the next message for a worker; without the node's lease it
-// renews only what the grace of its class allows. A message that the worker may
-// hold back carries renewals and acknowledgements only.
+// prepareContact returns the next message for a worker and its address. Without the node's lease
+// it renews only the tasks whose grace allows it. A message that the worker may answer late
+// carries only renewals and acknowledgements.
 func (p *Pool) prepareContact(w *workerState, wait time.Duration) (worker.Contact, string, bool) {
 	held := p.grant.Held()
 	p.mu.Lock()
@@ -273,7 +274,8 @@
 	return c, w.host.Address, true
 }
 
-// renewInGraceLocked fills c with the renewals that are allowed without the node's lease.
+// renewInGraceLocked sets the renewals in c that are allowed without the node's lease. It reports
+// whether there are any.
 func (p *Pool) renewInGraceLocked(w *workerState, c *worker.Contact) bool {
 	if !w.fenced || w.silent {
 		return false
@@ -289,7 +291,7 @@
 	return len(c.Except) < len(w.tasks)
 }
 
-// handleFailedContactLocked handles a contact without a reply.
+// handleFailedContactLocked handles a contact without an answer.
 func (p *Pool) handleFailedContactLocked(w *workerState, c worker.Contact, err error) {
 	w.stops = append(c.Stop, w.stops...)
 	w.acks = append(c.Ack, w.acks...)
@@ -302,7 +304,7 @@
 	if !w.silent || !w.fenced || now.Sub(w.renewedAt) <= p.opts.Lease+p.opts.Margin || !p.grant.Held() {
 		return
 	}
-	// The worker has stopped its tasks by its own clock: nothing sent since can have renewed them.
+	// The worker has stopped its tasks by its own clock: no message since can have renewed them.
 	for _, t := range w.tasks {
 		p.log.Warn("task lost", events.TaskLost, zap.Stringer("attempt", t.spec.Attempt), zap.String("worker", w.host.ID))
 		if t.state == reserved {
@@ -313,7 +315,7 @@
 	}
 }
 
-// updateInstancesLocked tells whether the worker's instances take new requests.
+// updateInstancesLocked sets whether the worker's instances accept new requests.
 func (p *Pool) updateInstancesLocked(w *workerState) {
 	for a, t := range w.tasks {
 		if t.address != "" {
@@ -322,38 +324,38 @@
 	}
 }
 
-// handleReportLocked takes in a worker's report.
-func (p *Pool) handleReportLocked(w *workerState, c worker.Contact, rep worker.Report) {
-	if rep.Refused == worker.RefusedStaleEpoch {
+// handleReportLocked applies a worker's report.
+func (p *Pool) handleReportLocked(w *workerState, c worker.Contact, report worker.Report) {
+	if report.Refused == worker.RefusedStaleEpoch {
 		w.superseded = true
 		p.updateInstancesLocked(w)
-		p.log.Warn("worker has a newer owner", events.WorkerStaleEpoch, zap.String("worker", w.host.ID), zap.Int64("seen", rep.Epoch))
+		p.log.Warn("worker has a newer owner", events.WorkerStaleEpoch, zap.String("worker", w.host.ID), zap.Int64("seen", report.Epoch))
 		return
 	}
 	if w.silent {
-		p.log.Info("worker back", events.WorkerRecovered, zap.String("worker", w.host.ID))
+		p.log.Info("worker answers again", events.WorkerRecovered, zap.String("worker", w.host.ID))
 	}
-	if w.incarnation != "" && w.incarnation != rep.Incarnation {
+	if w.incarnation != "" && w.incarnation != report.Incarnation {
 		p.handleRestartLocked(w)
 	}
-	leaving := (rep.Leaving || w.host.State == platform.HostLeaving) && !p.opts.IgnoreLeaving
+	leaving := (report.Leaving || w.host.State == platform.HostLeaving) && !p.opts.IgnoreLeaving
 	changed := w.silent || w.leaving != leaving
-	if w.incarnation != rep.Incarnation {
+	if w.incarnation != report.Incarnation {
 		w.ticket, w.lastSeq = 0, 0
 	}
-	w.ticket, w.lastSeq = max(w.ticket, rep.Ticket), max(w.lastSeq, rep.Seq)
-	w.incarnation, w.answeredAt, w.silent = rep.Incarnation, time.Now(), false
+	w.ticket, w.lastSeq = max(w.ticket, report.Ticket), max(w.lastSeq, report.Seq)
+	w.incarnation, w.answeredAt, w.silent = report.Incarnation, time.Now(), false
 	w.leaving = leaving
-	for _, s := range rep.Started {
+	for _, s := range report.Started {
 		p.handleStartReplyLocked(w, s)
 	}
-	for _, e := range rep.Ended {
+	for _, e := range report.Ended {
 		p.handleEndedLocked(w, e)
 	}
-	w.removeAckedLocked(c.Ack, rep.Ended)
-	p.updateUsageLocked(w, rep.Usage)
+	w.removeAckedLocked(c.Ack, report.Ended)
+	p.updateUsageLocked(w, report.Usage)
 	if c.Inventory {
-		p.handleInventoryLocked(w, rep)
+		p.handleInventoryLocked(w, report)
 	}
 	p.endStoppedLocked(w, c.Stop)
 	if changed {
@@ -364,7 +366,7 @@
 	}
 }
 
-// handleRestartLocked handles a worker that has lost its memory, and with it its tasks.
+// handleRestartLocked handles the restart of a worker, which has lost its tasks.
 func (p *Pool) handleRestartLocked(w *workerState) {
 	for _, t := range w.tasks {
 		if t.state == reserved {
@@ -385,7 +387,7 @@
 	case "":
 		p.setRunningLocked(t, s.Address)
 	case worker.RefusedStaleTicket:
-		// Not started; it is sent again with the ticket of this report.
+		// The task was not started; it is sent again with the ticket of this report.
 		w.signal()
 	case worker.RefusedStopped:
 		p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
@@ -395,7 +397,7 @@
 	}
 }
 
-// removeAckedLocked forgets the acknowledgements that the worker has taken.
+// removeAckedLocked removes the acknowledgements that the worker has received.
 func (w *workerState) removeAckedLocked(acks []worker.Attempt, ended []worker.Ended) {
 	for _, a := range acks {
 		if !slices.ContainsFunc(ended, func(e worker.Ended) bool { return e.Attempt == a }) {
@@ -410,7 +412,7 @@
 	}
 	t, ok := p.tasks[e.Attempt]
 	if !ok {
-		// It was started by an earlier owner.
+		// The task was started by an earlier owner.
 		t = &task{spec: worker.Spec{Attempt: e.Attempt}, worker: w.host.ID, state: running}
 		p.tasks[e.Attempt] = t
 	}
@@ -422,18 +424,18 @@
 			p.log.Warn("worker set aside", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.setAsideTime))
 		}
 	}
-	why := e.Reason
+	reason := e.Reason
 	if e.Result == worker.ResultStopped && t.stopReason != "" {
-		why = t.stopReason
+		reason = t.stopReason
 	}
-	p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: e.Result, Reason: why})
+	p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: e.Result, Reason: reason})
 	w.signal()
 }
 
-// handleInventoryLocked holds a worker's full list against what the pool knows.
-func (p *Pool) handleInventoryLocked(w *workerState, rep worker.Report) {
-	seen := make(map[worker.Attempt]bool, len(rep.Running))
-	for _, r := range rep.Running {
+// handleInventoryLocked reconciles the pool's tasks with a worker's full list.
+func (p *Pool) handleInventoryLocked(w *workerState, report worker.Report) {
+	seen := make(map[worker.Attempt]bool, len(report.Running))
+	for _, r := range report.Running {
 		seen[r.Spec.Attempt] = true
 		t, ok := p.tasks[r.Spec.Attempt]
 		if !ok {
@@ -455,7 +457,7 @@
 	w.fenced, w.needsInventory = true, false
 }
 
-// endStoppedLocked ends the tasks whose stop the worker has taken without having run them.
+// endStoppedLocked ends tasks whose stop order the worker received before it had started them.
 func (p *Pool) endStoppedLocked(w *workerState, stops []worker.Attempt) {
 	for _, a := range stops {
 		if t, ok := w.tasks[a]; ok {
