--- a/internal/cell/callers.go
+++ b/internal/cell/callers.go
@@ -38,9 +38,9 @@
 const notifyAttempts = 2
 
 // notifyOwner tells a shard's owner something that it also finds in the store.
-func (n *Node) notifyOwner(shard cluster.ShardID, here func(*owner.Owner), there func(context.Context, member) error) {
+func (n *Node) notifyOwner(shard cluster.ShardID, local func(*owner.Owner), remote func(context.Context, member) error) {
 	if o := n.local(shard); o != nil {
-		here(o)
+		local(o)
 		return
 	}
 	go func() {
@@ -49,7 +49,7 @@
 			if rec.Owner.Name == "" {
 				return
 			}
-			err := there(n.ctx, rec.Owner)
+			err := remote(n.ctx, rec.Owner)
 			if err == nil || n.ctx.Err() != nil {
 				return
 			}
@@ -60,18 +60,18 @@
 
 // callOwner makes a call of a shard's owner, here or on another node, whose answer there has
 // to begin to arrive within a time.
-func callOwner[Req, Resp any](ctx context.Context, n *Node, shard cluster.ShardID, path string, req Req, within time.Duration,
-	here func(context.Context, Req) (Resp, error),
+func callOwner[Req, Resp any](ctx context.Context, n *Node, shard cluster.ShardID, path string, req Req, begin time.Duration,
+	local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
 	if n.local(shard) != nil {
-		return here(ctx, req)
+		return local(ctx, req)
 	}
 	rec, _ := n.owner(shard)
 	if rec.Owner.Name == "" {
 		var none Resp
 		return none, errNotOwner()
 	}
-	return call[Req, Resp](ctx, n.peers, rec.Owner.Address, path, req, within)
+	return call[Req, Resp](ctx, n.peers, rec.Owner.Address, path, req, begin)
 }
 
 // State returns a job's state, from its owner or else from the store.
@@ -124,7 +124,7 @@
 	if state.Finished() {
 		return AnswerOK
 	}
-	for n.timeLeft(ctx) {
+	for n.mayRetry(ctx) {
 		if shards, ok := n.cancelOnce(ctx, service, id); ok {
 			n.Log.Info("cancel accepted", events.CancelAccepted, zap.String("job", id), zap.String("state", string(state)), zap.Stringers("shards", shards))
 			for _, shard := range shards {
@@ -135,14 +135,14 @@
 			}
 			return AnswerOK
 		}
-		tables.Sleep(ctx, submitPause)
+		tables.Sleep(ctx, submitRetryInterval)
 	}
 	return AnswerUnknown
 }
 
 // cancelOnce looks a job's shards up and writes its cancel there once.
 func (n *Node) cancelOnce(ctx context.Context, service, id string) ([]cluster.ShardID, bool) {
-	c, cancel := tryContext(ctx)
+	c, cancel := attemptContext(ctx)
 	defer cancel()
 	shards, pin, answer := n.lookUpPin(c, service, id)
 	if answer != AnswerOK {
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -78,7 +78,7 @@
 	here := n.asCandidate()
 	here.owns--
 	best, ok := n.peers.bestCandidate(here, shard.String())
-	if ok && best.room() >= minRoomRatio*here.room() {
+	if ok && best.cpuPerShard() >= minRoomRatio*here.cpuPerShard() {
 		n.handOverTo(ctx, shard, o, best.member)
 	}
 }
--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -23,7 +23,7 @@
 	})
 	n.metrics.NewGauge("switchbank_peers_up", func() float64 { return float64(n.peers.countUp()) })
 	n.metrics.NewGauge("switchbank_store_silent_seconds", func() float64 {
-		return n.store.silent().Seconds()
+		return n.store.silentFor().Seconds()
 	})
 	n.metrics.NewGauge("switchbank_config_version", func() float64 { return float64(versionOf(n.Config())) })
 	n.metrics.NewGauge("switchbank_config_behind_seconds", func() float64 { return n.configLag.duration(versionOf(n.Config())).Seconds() })
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -105,7 +105,7 @@
 	store        *watchedStore
 	peers        *peers
 	helperServer *fanout.Server
-	listed       listing
+	machineCache machineCache
 	metrics      *metrics.Set
 	config       atomic.Pointer[cluster.Config]
 	configLag    configLag
@@ -213,14 +213,14 @@
 
 // shutdown hands over the shards and ends the servers once their requests are answered.
 func (n *Node) shutdown(servers []*http.Server) {
-	began := time.Now()
+	started := time.Now()
 	n.draining.Store(true)
 	n.Log.Info("node is draining", events.NodeDraining, zap.String("node", n.me.Name))
 	n.handOverAll()
 	n.helperServer.Close()
 	grace := time.Duration(n.cfg.Bounds.GraceMS) * time.Millisecond
-	tables.Sleep(n.ctx, min(drainAcceptTime, grace/2)-time.Since(began))
-	c, cancel := context.WithTimeout(n.ctx, grace-shutdownMargin-time.Since(began))
+	tables.Sleep(n.ctx, min(drainAcceptTime, grace/2)-time.Since(started))
+	c, cancel := context.WithTimeout(n.ctx, grace-shutdownMargin-time.Since(started))
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(c); err != nil {
@@ -298,5 +298,5 @@
 const isolatedAfter = 2 * time.Second
 
 func (n *Node) isolated() bool {
-	return n.store.silent() > isolatedAfter && !n.peers.anyUp()
+	return n.store.silentFor() > isolatedAfter && !n.peers.anyUp()
 }
--- a/internal/cell/opinion.go
+++ b/internal/cell/opinion.go
@@ -17,7 +17,7 @@
 )
 
 // witnessTimeout is longer than the ping that a peer makes before it answers.
-const witnessTimeout = watchPing + 100*time.Millisecond
+const witnessTimeout = watchPingTimeout + 100*time.Millisecond
 
 // witnessReport is what others say of a node that was silent to this one.
 type witnessReport struct {
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -191,7 +191,7 @@
 			return
 		}
 		n.Log.Info("node not announced", events.StoreFailed, zap.Error(err))
-		tables.Sleep(ctx, tables.RetryPause(err, watchEvery))
+		tables.Sleep(ctx, tables.RetryPause(err, watchInterval))
 	}
 }
 
@@ -290,7 +290,7 @@
 	o := owner.New(owner.Config{
 		Shard: shard, Layout: layout, Row: row, Fence: fence, MaxParallelReads: n.parallelReads(), MaxWriteBytes: n.writeBytes(), Params: n.schedulerParams(rec.Epoch),
 	}, owner.Deps{
-		Tables: ownersStore{n.store, n}, Workers: workers, Advisers: n.peers, Machines: readMachines{n, shard.Service}, Directory: n.Directory, Shards: otherShards{n},
+		Tables: proxiedStore{n.store, n}, Workers: workers, Advisers: n.peers, Machines: proxiedMachines{n, shard.Service}, Directory: n.Directory, Shards: otherShards{n},
 		CountRefusedEntry: n.countRejectedEntry, Log: n.Log,
 	})
 	if !n.registerOwner(shard, o, rec, row.Version) {
--- a/internal/cell/ownstore.go
+++ b/internal/cell/ownstore.go
@@ -19,10 +19,10 @@
 
 // List reads rows.
 func (s directStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	return readNoted(ctx, s.watchedStore, "list", req, s.relay.ListDirect)
+	return readAndRecord(ctx, s.watchedStore, "list", req, s.relay.ListDirect)
 }
 
 // Feed waits for changes.
 func (s directStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return readNoted(ctx, s.watchedStore, "feed", req, s.relay.FeedDirect)
+	return readAndRecord(ctx, s.watchedStore, "feed", req, s.relay.FeedDirect)
 }
--- a/internal/cell/peerapi.go
+++ b/internal/cell/peerapi.go
@@ -69,7 +69,7 @@
 	reply.Members = n.peers.membersFor(req)
 	if req.About != "" {
 		if q, ok := n.peers.get(req.About); ok {
-			c, cancel := context.WithTimeout(ctx, watchPing)
+			c, cancel := context.WithTimeout(ctx, watchPingTimeout)
 			defer cancel()
 			_, err := n.peers.ping(c, q.member)
 			reply.AboutAnswers = err == nil
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -140,7 +140,7 @@
 			c.owns = owned[q.Incarnation]
 		}
 		// A node must not take everything before one with more room can.
-		roomier := q.untried() && c.room() > here.room()
+		roomier := q.untried() && c.cpuPerShard() > here.cpuPerShard()
 		if (roomier || p.isUp(q, now)) && !q.reply.Draining {
 			fn(c)
 		}
@@ -152,7 +152,7 @@
 func (p *peers) bestCandidate(here candidate, key string) (best candidate, ok bool) {
 	hash := xxhash.Sum64String(key)
 	p.eachCandidate(here, func(c candidate) {
-		if !ok || c.compareFor(hash, best) < 0 {
+		if !ok || c.compareForShard(hash, best) < 0 {
 			best, ok = c, true
 		}
 	})
--- a/internal/cell/reader.go
+++ b/internal/cell/reader.go
@@ -19,13 +19,13 @@
 // 0.5 MB, for two seconds in which nobody else got through.
 
 const (
-	// readerBelow is the link in Mbit/s below which an owner reads by way of another node.
-	readerBelow = 50
-	// readWithin is by when an answer has to begin to arrive: a list takes 0.4 s while the
+	// proxyBelowMbps is the link in Mbit/s below which an owner reads by way of another node.
+	proxyBelowMbps = 50
+	// proxyTimeout is by when an answer has to begin to arrive: a list takes 0.4 s while the
 	// store is 100 times slower.
-	readWithin = 600 * time.Millisecond
-	// machinesKept is for how long a reader hands on the same listing.
-	machinesKept = 200 * time.Millisecond
+	proxyTimeout = 600 * time.Millisecond
+	// machineCacheTTL is for how long a reader hands on the same listing.
+	machineCacheTTL = 200 * time.Millisecond
 )
 
 // machineList is the reply of a reader.
@@ -33,8 +33,8 @@
 	Machines []cluster.Machine `json:"machines"`
 }
 
-// listing is the last listing of the machines that this node has made for others.
-type listing struct {
+// machineCache is the last machineCache of the machines that this node has made for others.
+type machineCache struct {
 	mu   sync.Mutex
 	list []cluster.Machine
 	at   time.Time
@@ -42,39 +42,39 @@
 
 // handleMachines lists the machines for another node.
 func (n *Node) handleMachines(ctx context.Context, _ empty) (machineList, error) {
-	n.listed.mu.Lock()
-	defer n.listed.mu.Unlock()
-	if time.Since(n.listed.at) < machinesKept {
-		return machineList{n.listed.list}, nil
+	n.machineCache.mu.Lock()
+	defer n.machineCache.mu.Unlock()
+	if time.Since(n.machineCache.at) < machineCacheTTL {
+		return machineList{n.machineCache.list}, nil
 	}
 	began := time.Now()
 	list, err := n.Machines.Machines(ctx)
 	if err != nil {
 		return machineList{}, err
 	}
-	n.listed.list, n.listed.at = list, began
+	n.machineCache.list, n.machineCache.at = list, began
 	return machineList{list}, nil
 }
 
-// reader returns the node by way of which this one should read; ok is false if it should
+// readProxy returns the node by way of which this one should read; ok is false if it should
 // read itself. What is read under one key goes by way of the same node for all owners.
-func (n *Node) reader(key string) (m member, ok bool) {
-	if n.cfg.Limits.LinkMbps <= 0 || n.cfg.Limits.LinkMbps >= readerBelow {
+func (n *Node) readProxy(key string) (m member, ok bool) {
+	if n.cfg.Limits.LinkMbps <= 0 || n.cfg.Limits.LinkMbps >= proxyBelowMbps {
 		return m, false
 	}
 	best, ok := n.peers.bestCandidate(n.asCandidate(), key)
 	return best.member, ok && best.owns == 0
 }
 
-// readMachines is the list of machines for the owner of a shard of a service.
-type readMachines struct {
+// proxiedMachines is the list of machines for the owner of a shard of a service.
+type proxiedMachines struct {
 	n       *Node
 	service string
 }
 
 // Machines lists the machines.
-func (r readMachines) Machines(ctx context.Context) ([]cluster.Machine, error) {
-	if m, ok := r.n.reader(r.service); ok {
+func (r proxiedMachines) Machines(ctx context.Context) ([]cluster.Machine, error) {
+	if m, ok := r.n.readProxy(r.service); ok {
 		res, err := call[empty, machineList](ctx, r.n.peers, m.Address, pathMachines, empty{}, peerTimeout)
 		if err == nil {
 			return res.Machines, nil
@@ -84,30 +84,30 @@
 	return r.n.Machines.Machines(ctx)
 }
 
-// ownersStore is the store as owners use it: they read by way of other nodes, each part by
+// proxiedStore is the store as owners use it: they read by way of other nodes, each part by
 // that of its own, and write themselves.
-type ownersStore struct {
+type proxiedStore struct {
 	*watchedStore
 	n *Node
 }
 
 // List reads rows.
-func (s ownersStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	return readVia(ctx, s, req.Table+"/"+req.Part+"/"+req.From, 0, req, tables.Service.List)
+func (s proxiedStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
+	return readThroughProxy(ctx, s, req.Table+"/"+req.Part+"/"+req.From, 0, req, tables.Service.List)
 }
 
 // Feed waits for changes.
-func (s ownersStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return readVia(ctx, s, req.Table, req.Wait, req, tables.Service.Feed)
+func (s proxiedStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
+	return readThroughProxy(ctx, s, req.Table, req.Wait, req, tables.Service.Feed)
 }
 
-// readVia reads by way of another node, or directly if that fails.
-func readVia[Req, Res any](ctx context.Context, s ownersStore, key string, wait time.Duration, req Req, read func(tables.Service, context.Context, Req) (Res, error)) (Res, error) {
-	m, ok := s.n.reader(key)
+// readThroughProxy reads by way of another node, or directly if that fails.
+func readThroughProxy[Req, Res any](ctx context.Context, s proxiedStore, key string, wait time.Duration, req Req, read func(tables.Service, context.Context, Req) (Res, error)) (Res, error) {
+	m, ok := s.n.readProxy(key)
 	if !ok || s.down() {
 		return read(s.watchedStore, ctx, req)
 	}
-	c, cancel := conns.WithStallTimeout(ctx, wait+readWithin)
+	c, cancel := conns.WithStallTimeout(ctx, wait+proxyTimeout)
 	defer cancel()
 	res, err := read(peerRelay{s.n.peers, m.Address}, c, req)
 	if err == nil || tables.IsFinal(err) || ctx.Err() != nil {
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -19,16 +19,16 @@
 	// call gets one either, before the store counts as down. It answers in 4 ms, and
 	// a write in 0.7 s when it is 100 times slower.
 	storeDownAfter = time.Second
-	// failingFor is how long every call must have failed before the store counts
+	// storeFailingAfter is how long every call must have failed before the store counts
 	// as down: a store that resets some connections still answers on others.
-	failingFor = 300 * time.Millisecond
-	// slowCall is from when a call is logged as slow, and slowEvery how often at most.
-	slowCall  = 100 * time.Millisecond
-	slowEvery = time.Second
-	// probeEvery and probeTimeout bound the search for a store that is down. Looks
+	storeFailingAfter = 300 * time.Millisecond
+	// slowCallTime is from when a call is logged as slow, and slowEvery how often at most.
+	slowCallTime    = 100 * time.Millisecond
+	slowLogInterval = time.Second
+	// probeInterval and probeTimeout bound the search for a store that is down. Looks
 	// overlap: a store that is slow answers after 0.4 s, and it must be found too.
-	probeEvery   = 100 * time.Millisecond
-	probeTimeout = time.Second
+	probeInterval = 100 * time.Millisecond
+	probeTimeout  = time.Second
 )
 
 // watchedStore is the table service as this node reaches it. It notes which
@@ -43,7 +43,7 @@
 	// pending holds when each open call was sent, by its number; next is the
 	// number last given.
 	pending map[int64]time.Time
-	next    int64
+	lastID  int64
 	// slowLogged is when a slow call was last logged.
 	slowLogged time.Time
 	// failedAt is the first failure since a call was last answered.
@@ -58,9 +58,9 @@
 func (s *watchedStore) begin() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.pending[s.next] = time.Now()
-	return s.next
+	s.lastID++
+	s.pending[s.lastID] = time.Now()
+	return s.lastID
 }
 
 // end notes how a call ended, and logs it if the call was slow or the first answer
@@ -70,25 +70,25 @@
 	s.mu.Lock()
 	took := now.Sub(s.pending[id])
 	delete(s.pending, id)
-	slow := took > slowCall && now.Sub(s.slowLogged) > slowEvery
+	slow := took > slowCallTime && now.Sub(s.slowLogged) > slowLogInterval
 	if slow {
 		s.slowLogged = now
 	}
 	answered := err == nil || tables.IsFinal(err)
-	away := now.Sub(s.failedAt)
-	wasAway := !s.failedAt.IsZero()
+	outage := now.Sub(s.failedAt)
+	wasFailing := !s.failedAt.IsZero()
 	switch {
 	case answered:
 		s.lastSeen, s.failedAt = now, time.Time{}
-	case !wasAway:
+	case !wasFailing:
 		s.failedAt = now
 	}
 	s.mu.Unlock()
 	if slow {
 		s.log.Warn("store is slow", events.StoreSlow, zap.Duration("took", took), zap.Bool("answered", answered))
 	}
-	if answered && wasAway && away > storeDownAfter {
-		s.log.Info("store answers again", events.StoreRecovered, zap.Duration("away", away))
+	if answered && wasFailing && outage > storeDownAfter {
+		s.log.Info("store answers again", events.StoreRecovered, zap.Duration("away", outage))
 	}
 }
 
@@ -99,7 +99,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.failedAt.IsZero() && now.Sub(s.failedAt) > failingFor {
+	if !s.failedAt.IsZero() && now.Sub(s.failedAt) > storeFailingAfter {
 		return true
 	}
 	for _, sent := range s.pending {
@@ -118,8 +118,8 @@
 	return failed || s.down()
 }
 
-// silent returns how long the store has not answered.
-func (s *watchedStore) silent() time.Duration {
+// silentFor returns how long the store has not answered.
+func (s *watchedStore) silentFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.lastSeen)
@@ -130,14 +130,14 @@
 func (s *watchedStore) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.failing() {
-			go s.look(ctx)
+			go s.probeOnce(ctx)
 		}
-		tables.Sleep(ctx, probeEvery)
+		tables.Sleep(ctx, probeInterval)
 	}
 }
 
-// look makes one call, whose outcome is noted.
-func (s *watchedStore) look(ctx context.Context) {
+// probeOnce makes one call, whose outcome is noted.
+func (s *watchedStore) probeOnce(ctx context.Context) {
 	c, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	id := s.begin()
@@ -145,15 +145,15 @@
 	s.end(id, err)
 }
 
-// errDown answers a call that wasn't sent because the store is down.
-func errDown(op string) error {
+// errStoreDown answers a call that wasn't sent because the store is down.
+func errStoreDown(op string) error {
 	return &tables.Error{Op: op, Kind: tables.KindRefused, Err: errors.New("the store is down")}
 }
 
 // Commit commits txn.
 func (s *watchedStore) Commit(ctx context.Context, txn tables.Txn) (tables.TxnResult, error) {
 	if s.down() {
-		return tables.TxnResult{}, errDown("commit")
+		return tables.TxnResult{}, errStoreDown("commit")
 	}
 	id := s.begin()
 	res, err := s.Service.Commit(ctx, txn)
@@ -164,7 +164,7 @@
 // List reads rows.
 func (s *watchedStore) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
 	if s.down() {
-		return tables.ListResult{}, errDown("list")
+		return tables.ListResult{}, errStoreDown("list")
 	}
 	id := s.begin()
 	res, err := s.Service.List(ctx, req)
@@ -174,13 +174,13 @@
 
 // Feed waits for changes; it may be silent for as long as nothing changes.
 func (s *watchedStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return readNoted(ctx, s, "feed", req, s.Service.Feed)
+	return readAndRecord(ctx, s, "feed", req, s.Service.Feed)
 }
 
-// readNoted makes a read of which only an answer is noted, and not that it fails.
-func readNoted[Req, Res any](ctx context.Context, s *watchedStore, op string, req Req, read func(context.Context, Req) (Res, error)) (res Res, err error) {
+// readAndRecord makes a read of which only an answer is noted, and not that it fails.
+func readAndRecord[Req, Res any](ctx context.Context, s *watchedStore, op string, req Req, read func(context.Context, Req) (Res, error)) (res Res, err error) {
 	if s.down() {
-		return res, errDown(op)
+		return res, errStoreDown(op)
 	}
 	if res, err = read(ctx, req); err == nil {
 		s.mu.Lock()
--- a/internal/cell/submit.go
+++ b/internal/cell/submit.go
@@ -19,9 +19,9 @@
 	// answer is repeated while the caller's deadline allows, since its outcome has to
 	// be found out.
 	submitTimeout = 3 * time.Second
-	// submitPause is the pause between two tries, of which a reset connection ends
+	// submitRetryInterval is the pause between two tries, of which a reset connection ends
 	// one at once.
-	submitPause = 20 * time.Millisecond
+	submitRetryInterval = 20 * time.Millisecond
 	// answerMargin is left of the caller's deadline for the answer.
 	answerMargin = 150 * time.Millisecond
 	// RetryAfter is when a refused caller should come back: by then another node
@@ -44,46 +44,46 @@
 		return n.refuse(job.ID, "the store does not answer")
 	}
 	began := time.Now()
-	unknown := false
-	for n.timeLeft(ctx) {
-		c, cancel := tryContext(ctx)
+	maybeCommitted := false
+	for n.mayRetry(ctx) {
+		c, cancel := attemptContext(ctx)
 		res, err := n.store.Commit(c, txn)
 		cancel()
 		switch {
 		case err == nil && res.Committed:
-			return n.accepted(parts, res.Version, time.Since(began))
+			return n.sendAccepted(parts, res.Version, time.Since(began))
 		case err == nil:
 			// The job came before, perhaps by a try whose answer was lost.
 			n.Log.Info("job accepted before", events.JobAccepted, zap.String("job", job.ID), zap.String("queue", job.Queue))
 			return AnswerOK
-		case tables.KindOf(err) == tables.KindInvalid && !unknown:
+		case tables.KindOf(err) == tables.KindInvalid && !maybeCommitted:
 			n.refuse(job.ID, err.Error())
 			return AnswerImpossible
-		case !tables.IsUnknown(err) && !unknown:
+		case !tables.IsUnknown(err) && !maybeCommitted:
 			return n.refuse(job.ID, err.Error())
 		case n.store.down():
-			return n.notKnown(job.ID)
+			return n.answerUnknown(job.ID)
 		}
-		unknown = true
-		tables.Sleep(ctx, submitPause)
+		maybeCommitted = true
+		tables.Sleep(ctx, submitRetryInterval)
 	}
-	return n.notKnown(job.ID)
+	return n.answerUnknown(job.ID)
 }
 
-// notKnown answers for a job whose acceptance got no answer from the store.
-func (n *Node) notKnown(id string) Answer {
+// answerUnknown answers for a job whose acceptance got no answer from the store.
+func (n *Node) answerUnknown(id string) Answer {
 	n.Log.Warn("acceptance not known", events.JobRefused, zap.String("job", id), zap.String("answer", string(AnswerUnknown)))
 	return AnswerUnknown
 }
 
-// timeLeft reports whether another try may be answered before the caller's deadline.
-func (n *Node) timeLeft(ctx context.Context) bool {
+// mayRetry reports whether another try may be answered before the caller's deadline.
+func (n *Node) mayRetry(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() == nil && (!ok || time.Until(deadline) > answerMargin)
 }
 
-// tryContext bounds one try so that its caller can still be answered in time.
-func tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
+// attemptContext bounds one try so that its caller can still be answered in time.
+func attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(submitTimeout)
@@ -97,21 +97,21 @@
 	return AnswerRefused
 }
 
-// accepted hands the parts of an accepted job to their owners. One that isn't
+// sendAccepted hands the parts of an sendAccepted job to their owners. One that isn't
 // reached finds its part in the store.
-func (n *Node) accepted(parts []cluster.Job, version int64, took time.Duration) Answer {
+func (n *Node) sendAccepted(parts []cluster.Job, version int64, took time.Duration) Answer {
 	shards := shardsOf(parts)
 	n.pins.Add(parts[0].ID, shards)
 	n.Log.Info("job accepted", events.JobAccepted, zap.String("job", parts[0].ID), zap.String("queue", parts[0].Queue),
 		zap.Stringers("shards", shards), zap.Duration("took", took))
 	for _, j := range parts {
-		n.tellOwner(j, version)
+		n.sendToOwner(j, version)
 	}
 	return AnswerOK
 }
 
-// tellOwner hands a job to the owner of its shard.
-func (n *Node) tellOwner(job cluster.Job, version int64) {
+// sendToOwner hands a job to the owner of its shard.
+func (n *Node) sendToOwner(job cluster.Job, version int64) {
 	n.notifyOwner(job.ShardID(), func(o *owner.Owner) { o.AddJob(job, version) }, func(ctx context.Context, m member) error {
 		_, err := call[jobMessage, empty](ctx, n.peers, m.Address, pathJob, jobMessage{job, version}, peerTimeout)
 		return err
--- a/internal/cell/successors.go
+++ b/internal/cell/successors.go
@@ -21,19 +21,19 @@
 	owns int
 }
 
-// room returns the processor that the node would have for one more shard.
-func (c candidate) room() float64 { return float64(c.CPUMilli) / float64(1+max(0, c.owns)) }
+// cpuPerShard returns the processor that the node would have for one more shard.
+func (c candidate) cpuPerShard() float64 { return float64(c.CPUMilli) / float64(1+max(0, c.owns)) }
 
-// compareFor orders nodes as successors of the owner of a shard, whose name has that
+// compareForShard orders nodes as successors of the owner of a shard, whose name has that
 // hash: those with more processor for one more shard first, and those that have the
 // same by rendezvous hash.
-func (c candidate) compareFor(shard uint64, o candidate) int {
-	return cmp.Or(cmp.Compare(o.room(), c.room()), cmp.Compare(mix(o.hash, shard), mix(c.hash, shard)), strings.Compare(c.Name, o.Name))
+func (c candidate) compareForShard(shard uint64, o candidate) int {
+	return cmp.Or(cmp.Compare(o.cpuPerShard(), c.cpuPerShard()), cmp.Compare(mixHashes(o.hash, shard), mixHashes(c.hash, shard)), strings.Compare(c.Name, o.Name))
 }
 
-// mix joins two hashes to one. It is called for each node by each node that looks
+// mixHashes joins two hashes to one. It is called for each node by each node that looks
 // after a shard, so that it has to be cheap.
-func mix(a, b uint64) uint64 {
+func mixHashes(a, b uint64) uint64 {
 	x := (a ^ b) * 0x9e3779b97f4a7c15
 	return x ^ x>>32
 }
@@ -57,7 +57,7 @@
 func (n *Node) rank(shard cluster.ShardID) int {
 	here, hash, before := n.asCandidate(), xxhash.Sum64String(shard.String()), 0
 	n.peers.eachCandidate(here, func(c candidate) {
-		if c.compareFor(hash, here) < 0 {
+		if c.compareForShard(hash, here) < 0 {
 			before++
 		}
 	})
@@ -67,6 +67,6 @@
 // successors sorts nodes in the order in which they should own a shard.
 func successors(shard cluster.ShardID, nodes []candidate) []candidate {
 	hash := xxhash.Sum64String(shard.String())
-	slices.SortFunc(nodes, func(a, b candidate) int { return a.compareFor(hash, b) })
+	slices.SortFunc(nodes, func(a, b candidate) int { return a.compareForShard(hash, b) })
 	return nodes
 }
--- a/internal/cell/waiting.go
+++ b/internal/cell/waiting.go
@@ -27,7 +27,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	for i, shard := range shards {
 		g.Go(func() (err error) {
-			counts[i], err = n.waitingIn(ctx, shard, queue)
+			counts[i], err = n.waitingInShard(ctx, shard, queue)
 			return err
 		})
 	}
@@ -42,8 +42,8 @@
 	return total, AnswerOK
 }
 
-// waitingIn asks a shard's owner how many jobs of a queue have not begun.
-func (n *Node) waitingIn(ctx context.Context, shard cluster.ShardID, queue string) (int, error) {
+// waitingInShard asks a shard's owner how many jobs of a queue have not begun.
+func (n *Node) waitingInShard(ctx context.Context, shard cluster.ShardID, queue string) (int, error) {
 	reply, err := callOwner(ctx, n, shard, pathWaiting, waitingQuery{shard, queue}, waitingTimeout, n.handleWaiting)
 	return reply.Waiting, err
 }
