--- a/internal/scheduler/advice_test.go
+++ b/internal/scheduler/advice_test.go
@@ -10,7 +10,7 @@
 )
 
 // workersAsked returns the number of workers in the first advice call of a job with four
-// tasks, each of which needs a whole worker. A call costs more than half a second.
+// tasks, each of which needs a whole worker. A call takes more than half a second.
 func workersAsked(t *testing.T, gang bool) int {
 	const workers, members = 60, 4
 	r := newRig(t, workers)
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/life_test.go
@@ -12,9 +12,9 @@
 )
 
 // upsertIncarnation adds the entry of a worker with its start time.
-func (r *rig) upsertIncarnation(life cluster.Incarnation) {
+func (r *rig) upsertIncarnation(worker cluster.Incarnation) {
 	r.shard.UpsertWorker(r.now, cluster.Worker{
-		ID: life.ID, Started: life.Started, Address: life.ID, Service: "svc", Rack: "r1-0", Labels: []string{"a"},
+		ID: worker.ID, Started: worker.Started, Address: worker.ID, Service: "svc", Rack: "r1-0", Labels: []string{"a"},
 		Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}, ClockMS: r.now.UnixMilli(),
 	})
 }
@@ -26,16 +26,16 @@
 func TestGenerationsNeverDecrease(t *testing.T) {
 	const others = 400
 	r := newRig(t, 0)
-	life := cluster.Incarnation{ID: "w", Started: firstStartMS}
+	worker := cluster.Incarnation{ID: "w", Started: firstStartMS}
 	var last int64
 	for range 3 {
-		r.upsertIncarnation(life)
-		_, order, _, ok := r.shard.HoldSent(r.now, life.ID)
+		r.upsertIncarnation(worker)
+		_, order, _, ok := r.shard.HoldSent(r.now, worker.ID)
 		if !ok || order.Generation < last || (last > 0 && order.Generation == last) {
 			t.Fatalf("the generation is %d (known: %t), want one above %d", order.Generation, ok, last)
 		}
 		last = order.Generation
-		r.shard.WorkerEnded(r.now, life.ID, "its lease is over")
+		r.shard.WorkerEnded(r.now, worker.ID, "its lease is over")
 		for i := range others {
 			id := fmt.Sprintf("o%d", i)
 			r.upsertIncarnation(cluster.Incarnation{ID: id})
@@ -51,8 +51,8 @@
 	r := newRig(t, 0)
 	r.workers["w"] = &fakeWorker{}
 	r.takeOver()
-	life := cluster.Incarnation{ID: "w", Started: firstStartMS}
-	r.upsertIncarnation(life)
+	worker := cluster.Incarnation{ID: "w", Started: firstStartMS}
+	r.upsertIncarnation(worker)
 	report := func(started int64, running []cluster.RunStatus, ended []cluster.RunEnd) (lastSeen int64) {
 		t.Helper()
 		seq, _, lastSeen, ok := r.shard.HoldSent(r.now, "w")
@@ -62,20 +62,20 @@
 		r.shard.Observe(r.now, "w", seq, cluster.Report{Started: started, ClockMS: 1, Running: running, Ended: ended})
 		return lastSeen
 	}
-	report(life.Started, nil, nil)
+	report(worker.Started, nil, nil)
 	r.shard.AddJob(r.now, batch("a", tasks(1, 4000)), nil, false)
 	r.round()
 	task := cluster.TaskID{Job: "a"}
 	first := r.workers["w"].running[0].Run
-	report(life.Started, nil, []cluster.RunEnd{{N: 57, Task: task, Run: first, Outcome: cluster.OutcomeDone}})
+	report(worker.Started, nil, []cluster.RunEnd{{N: 57, Task: task, Run: first, Outcome: cluster.OutcomeDone}})
 	if r.persistedState("a") != cluster.StateSucceeded {
 		t.Fatal("the first job has not succeeded")
 	}
-	if seen := report(life.Started, nil, nil); seen != 57 {
+	if seen := report(worker.Started, nil, nil); seen != 57 {
 		t.Fatalf("ends are confirmed up to %d, want 57", seen)
 	}
-	r.shard.UpsertWorker(r.now, cluster.Worker{ID: "w", Started: life.Started, Address: "w", Service: "svc", Labels: []string{"a"}, Draining: true, Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}})
-	restarted := cluster.Incarnation{ID: "w", Started: life.Started - 2000}
+	r.shard.UpsertWorker(r.now, cluster.Worker{ID: "w", Started: worker.Started, Address: "w", Service: "svc", Labels: []string{"a"}, Draining: true, Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 8000}})
+	restarted := cluster.Incarnation{ID: "w", Started: worker.Started - 2000}
 	*r.workers["w"] = fakeWorker{}
 	report(restarted.Started, nil, nil)
 	if seen := report(restarted.Started, nil, nil); seen != 0 {
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -93,10 +93,10 @@
 	job := batch("j", step)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 5, ValidMS: 2500}
 	r.addLongRunning(job)
-	good := map[string]bool{"w0": true, "w1": true, "w3": true}
+	allowed := map[string]bool{"w0": true, "w1": true, "w3": true}
 	for end := r.now.Add(restartWithin); r.now.Before(end); {
 		r.runWithProgress(100 * time.Millisecond)
-		r.answerAdvice(good)
+		r.answerAdvice(allowed)
 	}
 	n := 0
 	for task := range r.running() {
@@ -319,12 +319,12 @@
 	}
 }
 
-// answerAdvice answers the advice calls of the last round with tickets for the good workers.
-func (r *rig) answerAdvice(good map[string]bool) {
+// answerAdvice answers the advice calls of the last round with tickets for the allowed workers.
+func (r *rig) answerAdvice(allowed map[string]bool) {
 	for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
 		var tickets []cluster.Ticket
 		for _, w := range c.Workers {
-			if good[w] {
+			if allowed[w] {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
 		}
--- a/internal/scheduler/movedprogress_test.go
+++ b/internal/scheduler/movedprogress_test.go
@@ -112,8 +112,8 @@
 	r.wantState(cluster.StateFailed)
 }
 
-// TestProgressFromBeforeMove checks that progress stored before a job left the shard is told
-// apart from progress stored after it came back.
+// TestProgressFromBeforeMove checks that progress stored before a job left the shard is
+// distinguished from progress stored after it came back.
 func TestProgressFromBeforeMove(t *testing.T) {
 	for _, c := range []struct {
 		value string
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic("write to hash: " + err.Error())
 	}
-	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() < j.adviceShare //nolint:gosec // Each play must repeat.
+	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() < j.adviceShare //nolint:gosec // Each seed must be reproducible.
 }
 
 // randomDuration draws a duration between two bounds.
--- a/internal/scheduler/slow_test.go
+++ b/internal/scheduler/slow_test.go
@@ -148,7 +148,7 @@
 			onSlow++
 		}
 	}
-	// Without being set aside it would get a task of each job at the first attempt.
+	// Without being set aside it would get one in four tasks of each job at the first attempt.
 	const probes = 4
 	if onSlow > probes {
 		t.Errorf("%d tasks of the last four jobs were started on the slow worker, want at most %d probes", onSlow, probes)
--- a/internal/scheduler/widegang_test.go
+++ b/internal/scheduler/widegang_test.go
@@ -19,9 +19,9 @@
 // gang has tasks.
 func TestWideGangStartsAmongSmallTasks(t *testing.T) {
 	const (
-		workers   = 30
-		goodOneIn = 3
-		members   = 8
+		workers      = 30
+		allowedOneIn = 3
+		members      = 8
 	)
 	r := newRig(t, workers)
 	r.upsertWorkers()
@@ -40,14 +40,14 @@
 	job := batch("j", gang)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 6, ValidMS: 2500}
 	r.shard.AddJob(r.now, job, nil, false)
-	isGood := func(w string) bool { return len(w) > 0 && (w[len(w)-1]-'0')%goodOneIn == 0 }
+	isAllowed := func(w string) bool { return len(w) > 0 && (w[len(w)-1]-'0')%allowedOneIn == 0 }
 	for i := range 100 {
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.reportAll()
 		for _, c := range commandsOf[scheduler.RequestAdvice](r.round()) {
 			var tickets []cluster.Ticket
 			for _, w := range c.Workers {
-				if isGood(w) {
+				if isAllowed(w) {
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
@@ -92,12 +92,12 @@
 // the allowed workers it knows could barely hold it. A gang of 66 tasks knew 31 allowed workers
 // that could hold little more than that, and they were never free at the same time.
 func TestGangAsksUntilItFits(t *testing.T) {
-	for _, goodOneIn := range []int{2, 3} {
-		t.Run(fmt.Sprintf("one in %d is good", goodOneIn), func(t *testing.T) { testGangAsks(t, goodOneIn) })
+	for _, allowedOneIn := range []int{2, 3} {
+		t.Run(fmt.Sprintf("one worker in %d allowed", allowedOneIn), func(t *testing.T) { testGangAsks(t, allowedOneIn) })
 	}
 }
 
-func testGangAsks(t *testing.T, goodOneIn int) {
+func testGangAsks(t *testing.T, allowedOneIn int) {
 	const workers, idle, members = 160, 10, 30
 	r := newRig(t, workers)
 	r.upsertWorkers()
@@ -119,7 +119,7 @@
 			var tickets []cluster.Ticket
 			for i, w := range c.Workers {
 				asked[w] = true
-				if i%goodOneIn == 0 {
+				if i%allowedOneIn == 0 {
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
