--- a/matrix/site/cell_test.go
+++ b/matrix/site/cell_test.go
@@ -42,26 +42,26 @@
 	batchAttempts = 3
 	// shardedWorkers are the workers of a world of two shards, and perShard those of
 	// one: as many as the load's gang needs, and two more.
-	shardedWorkers = 8
-	perShard       = 4
+	shardedWorkers  = 8
+	workersPerShard = 4
 )
 
-// world is a site, nodes and a caller on an in-memory network.
-type world struct {
+// testEnv is a site, nodes and a caller on an in-memory network.
+type testEnv struct {
 	t      *testing.T
 	net    *network.Network
 	site   *site.Site
 	client *http.Client
 	log    *zap.Logger
 
-	// perShard is how many workers a shard has at most, and limits what a node may use.
-	perShard int
-	limits   settings.Limits
-	// helped is set if owners call workers by way of other nodes.
-	helped bool
+	// workersPerShard is how many workers a shard has at most, and limits what a node may use.
+	workersPerShard int
+	limits          settings.Limits
+	// relayed is set if owners call workers by way of other nodes.
+	relayed bool
 
 	mu      sync.Mutex
-	nodes   map[string]*liveNode
+	nodes   map[string]*runningNode
 	workers []*site.Worker
 	jobs    int
 	// accepted are the jobs that a node answered with success, cancelled those whose cancel was.
@@ -72,47 +72,47 @@
 	succeeded map[string]bool
 	// stalls are times in which orders to a worker were on their way.
 	stalls []stall
-	// lasting is the job whose tasks run until the end.
-	lasting string
+	// longRunning is the job whose tasks run until the end.
+	longRunning string
 }
 
-type liveNode struct {
+type runningNode struct {
 	name string
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func newWorld(t *testing.T) *world {
-	return newWorldWith(t, cellWorkers, cellWorkers, func(w *world) { w.site.Configure(1, routes()...) })
+func newEnv(t *testing.T) *testEnv {
+	return newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) { w.site.Configure(1, routes()...) })
 }
 
-// newShardedWorld returns a world whose service has several shards.
-func newShardedWorld(t *testing.T) *world {
-	return newWorldWith(t, shardedWorkers, perShard, func(w *world) { w.site.Configure(1, routes()...) })
+// newShardedEnv returns a world whose service has several shards.
+func newShardedEnv(t *testing.T) *testEnv {
+	return newEnvWith(t, shardedWorkers, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
 }
 
-// worlds build a world whose service has one shard, one with several, and one whose
+// envBuilders build a world whose service has one shard, one with several, and one whose
 // nodes help each other.
-var worlds = map[string]func(*testing.T) *world{"one shard": newWorld, "two shards": newShardedWorld, "by way of others": newHelpedWorld}
+var envBuilders = map[string]func(*testing.T) *testEnv{"one shard": newEnv, "two shards": newShardedEnv, "by way of others": newRelayedEnv}
 
-// newHelpedWorld returns a world of nodes so small that their owners call workers, and
+// newRelayedEnv returns a world of nodes so small that their owners call workers, and
 // read, by way of the other nodes.
-func newHelpedWorld(t *testing.T) *world {
-	return newWorldWith(t, cellWorkers, cellWorkers, func(w *world) {
-		w.limits, w.helped = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
+func newRelayedEnv(t *testing.T) *testEnv {
+	return newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) {
+		w.limits, w.relayed = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
 		w.site.Configure(1, routes()...)
 	})
 }
 
-// playInWorlds plays in virtual time in each of worlds.
-func playInWorlds(t *testing.T, play func(t *testing.T, w *world)) {
-	for name, build := range worlds {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { play(t, build(t)) }) })
+// runInEnvs plays in virtual time in each of worlds.
+func runInEnvs(t *testing.T, run func(t *testing.T, w *testEnv)) {
+	for name, build := range envBuilders {
+		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { run(t, build(t)) }) })
 	}
 }
 
-// newWorldWith returns a world in which configure is all that the operators do.
-func newWorldWith(t *testing.T, workers, perShard int, configure func(w *world)) *world {
+// newEnvWith returns a world in which configure is all that the operators do.
+func newEnvWith(t *testing.T, workers, workersPerShard int, configure func(w *testEnv)) *testEnv {
 	log := zap.NewNop()
 	if os.Getenv("SITE_LOG") != "" {
 		var err error
@@ -120,8 +120,8 @@
 			t.Fatal(err)
 		}
 	}
-	w := &world{
-		t: t, perShard: perShard, limits: settings.Limits{CPUShare: 0.4, CoreSpeed: 1}, net: network.New(), nodes: make(map[string]*liveNode), log: log,
+	w := &testEnv{
+		t: t, workersPerShard: workersPerShard, limits: settings.Limits{CPUShare: 0.4, CoreSpeed: 1}, net: network.New(), nodes: make(map[string]*runningNode), log: log,
 		cancelled: make(map[string]time.Time), refused: make(map[string]bool), succeeded: make(map[string]bool),
 	}
 	w.site = site.New(site.Config{
@@ -148,7 +148,7 @@
 	}
 }
 
-func (w *world) serve(address string, h http.Handler) func() {
+func (w *testEnv) serve(address string, h http.Handler) func() {
 	l := w.net.Listen(address)
 	s := &http.Server{Handler: h}
 	go func() { _ = s.Serve(l) }()
@@ -158,29 +158,29 @@
 	}
 }
 
-func (w *world) startNode(name string) {
+func (w *testEnv) startNode(name string) {
 	cfg := settings.Settings{
 		Node: name, DataCentre: "dc", Store: storeHost + ":1", Advice: "advice:1", Machines: "machines:1",
 		Listen: settings.Listen{Callers: name + ":1", Ready: name + ":2", Peers: name + ":3", PeersAt: name + ":3", Metrics: name + ":4"},
 		Seeds:  []string{"n0:3", "n1:3"},
 		Bounds: settings.Bounds{LeaseMostMS: 10_000, StopMS: 200, GraceMS: 6000, KeepStateMS: 120_000},
-		Limits: w.limits, WorkersPerShard: w.perShard,
+		Limits: w.limits, WorkersPerShard: w.workersPerShard,
 	}
 	dial := w.net.Dial(name)
-	over := conns.Network{Dial: dial, Log: w.log.Named(name)}
+	transport := conns.Network{Dial: dial, Log: w.log.Named(name)}
 	n := cell.New(cfg, cell.Deps{
-		Store: platform.NewStore(cfg.Store, over), Workers: platform.NewWorkers(over), Advice: platform.NewAdvice(cfg.Advice, over),
-		Machines: platform.NewMachines(cfg.Machines, over), Directory: platform.Directory{}, Configs: platform.Configs{},
+		Store: platform.NewStore(cfg.Store, transport), Workers: platform.NewWorkers(transport), Advice: platform.NewAdvice(cfg.Advice, transport),
+		Machines: platform.NewMachines(cfg.Machines, transport), Directory: platform.Directory{}, Configs: platform.Configs{},
 		Callers: platform.NewCallerHandler, Log: w.log.Named(name), Dial: dial,
 		Listen: func(_ context.Context, _, address string) (net.Listener, error) { return w.net.Listen(address), nil },
 	})
 	ctx, stop := context.WithCancel(w.t.Context())
-	live := &liveNode{name: name, stop: stop, done: make(chan struct{})}
+	node := &runningNode{name: name, stop: stop, done: make(chan struct{})}
 	w.mu.Lock()
-	w.nodes[name] = live
+	w.nodes[name] = node
 	w.mu.Unlock()
 	go func() {
-		defer close(live.done)
+		defer close(node.done)
 		if err := n.Run(ctx); err != nil && ctx.Err() == nil {
 			w.t.Errorf("node %s ended: %v", name, err)
 		}
@@ -189,7 +189,7 @@
 
 // kill cuts a node off for good, as the end of its process does: nothing that it
 // sends from now on arrives.
-func (w *world) kill(name string) {
+func (w *testEnv) kill(name string) {
 	w.mu.Lock()
 	live := w.nodes[name]
 	delete(w.nodes, name)
@@ -200,7 +200,7 @@
 }
 
 // drain stops a node as planned, and waits for its end.
-func (w *world) drain(name string) {
+func (w *testEnv) drain(name string) {
 	w.mu.Lock()
 	live := w.nodes[name]
 	delete(w.nodes, name)
@@ -209,8 +209,8 @@
 	<-live.done
 }
 
-// names returns the nodes that run, in order.
-func (w *world) names() []string {
+// nodeNames returns the nodes that run, in order.
+func (w *testEnv) nodeNames() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var names []string
@@ -222,7 +222,7 @@
 }
 
 // get reads a page of a node's other listeners.
-func (w *world) get(address, path string) (int, []byte) {
+func (w *testEnv) get(address, path string) (int, []byte) {
 	r, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		w.t.Fatal(err)
@@ -231,7 +231,7 @@
 }
 
 // metric reads one of a node's metrics.
-func (w *world) metric(node, name string) float64 {
+func (w *testEnv) metric(node, name string) float64 {
 	w.t.Helper()
 	_, page := w.get(node+":4", "/metrics")
 	for line := range strings.Lines(string(page)) {
@@ -247,7 +247,7 @@
 	return 0
 }
 
-func (w *world) send(r *http.Request) (int, []byte) {
+func (w *testEnv) send(r *http.Request) (int, []byte) {
 	res, err := w.client.Do(r)
 	if err != nil {
 		return 0, nil
@@ -261,7 +261,7 @@
 }
 
 // call sends a caller's call to a node; status 0 means that there was no answer.
-func (w *world) call(node, method, path, body string) (int, []byte) {
+func (w *testEnv) call(node, method, path, body string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(w.t.Context(), callDeadline)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+node+":1"+path, bytes.NewReader([]byte(body)))
@@ -279,7 +279,7 @@
 }
 
 // encodeJob returns the body that hands a job in.
-func (w *world) encodeJob(spec string, steps ...stepBody) string {
+func (w *testEnv) encodeJob(spec string, steps ...stepBody) string {
 	body, err := json.Marshal(jobBody{spec, steps})
 	if err != nil {
 		w.t.Fatal(err)
@@ -287,8 +287,8 @@
 	return string(body)
 }
 
-// handIn hands a job in at a node, once, and checks that it is accepted.
-func (w *world) handIn(node, queue, id, spec string, steps ...stepBody) {
+// submitTo hands a job in at a node, once, and checks that it is accepted.
+func (w *testEnv) submitTo(node, queue, id, spec string, steps ...stepBody) {
 	w.t.Helper()
 	if status, _ := w.call(node, http.MethodPost, "/"+queue+"/"+id, w.encodeJob(spec, steps...)); status != http.StatusOK {
 		w.t.Fatalf("a job was answered %d", status)
@@ -296,21 +296,21 @@
 }
 
 type stepBody struct {
-	Count      int    `json:"Count"`
-	CPU        int64  `json:"Cpu"`
-	MemoryMB   int64  `json:"MemMb"`
-	EstimateMS int64  `json:"EstimateMs"`
-	After      []int  `json:"DependsOn,omitempty"`
-	Saves      bool   `json:"Checkpointing,omitempty"`
-	Gang       bool   `json:"Gang,omitempty"`
-	Lasts      bool   `json:"LongRunning,omitempty"`
-	Label      string `json:"Constraints,omitempty"`
-	// MostPerWorker is the most tasks of the step on one worker; 0: no bound.
-	MostPerWorker int `json:"AntiAffinity,omitempty"`
+	Count       int    `json:"Count"`
+	CPU         int64  `json:"Cpu"`
+	MemoryMB    int64  `json:"MemMb"`
+	EstimateMS  int64  `json:"EstimateMs"`
+	DependsOn   []int  `json:"DependsOn,omitempty"`
+	Checkpoints bool   `json:"Checkpointing,omitempty"`
+	Gang        bool   `json:"Gang,omitempty"`
+	LongRunning bool   `json:"LongRunning,omitempty"`
+	Label       string `json:"Constraints,omitempty"`
+	// MaxPerWorker is the most tasks of the step on one worker; 0: no bound.
+	MaxPerWorker int `json:"AntiAffinity,omitempty"`
 }
 
 // submit hands a job in until it is accepted or the tries are used up.
-func (w *world) submit(queue, spec string, steps ...stepBody) string {
+func (w *testEnv) submit(queue, spec string, steps ...stepBody) string {
 	w.mu.Lock()
 	w.jobs++
 	id := fmt.Sprintf("%016x", w.jobs)
@@ -319,7 +319,7 @@
 	const tries = 5
 	rejected := true
 	for i := range tries {
-		names := w.names()
+		names := w.nodeNames()
 		if len(names) == 0 {
 			time.Sleep(time.Second)
 			continue
@@ -343,8 +343,8 @@
 }
 
 // state asks any node for a job's state.
-func (w *world) state(queue, id string) string {
-	for _, n := range w.names() {
+func (w *testEnv) state(queue, id string) string {
+	for _, n := range w.nodeNames() {
 		status, data := w.call(n, http.MethodGet, "/"+queue+"/"+id, "")
 		if status == http.StatusGone {
 			return "unknown"
@@ -358,8 +358,8 @@
 }
 
 // killAll kills all nodes, and returns which they were.
-func (w *world) killAll() []string {
-	names := w.names()
+func (w *testEnv) killAll() []string {
+	names := w.nodeNames()
 	for _, n := range names {
 		w.kill(n)
 	}
@@ -367,7 +367,7 @@
 }
 
 // close ends all nodes and workers, so that the bubble can end.
-func (w *world) close() {
+func (w *testEnv) close() {
 	w.killAll()
 	w.client.CloseIdleConnections()
 	w.site.Close()
--- a/matrix/site/coldstart_test.go
+++ b/matrix/site/coldstart_test.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// coldStarts is how often all nodes are killed.
-	coldStarts = 10
+	// coldStartRounds is how often all nodes are killed.
+	coldStartRounds = 10
 	// takenWithin is by when the shards are taken, well before one would move to a
 	// node with more room.
 	takenWithin = time.Second
-	// smallShard makes four shards, of which each of three nodes should have two at most.
-	smallShard  = 2
-	smallShards = shardedWorkers / smallShard
-	mostOwned   = 2
+	// smallShardWorkers makes four shards, of which each of three nodes should have two at most.
+	smallShardWorkers = 2
+	smallShardCount   = shardedWorkers / smallShardWorkers
+	maxOwned          = 2
 )
 
-// TestColdStartTakesOnce checks that after the loss of all nodes each shard is taken
+// TestColdStartTakesEachShardOnce checks that after the loss of all nodes each shard is taken
 // soon, and once: nobody takes one from a node that has just taken it.
-func TestColdStartTakesOnce(t *testing.T) {
-	playColdStarts(t, func(w *world, round int) {
+func TestColdStartTakesEachShardOnce(t *testing.T) {
+	testColdStarts(t, func(w *testEnv, round int) {
 		owned := 0
-		for _, n := range w.names() {
-			owned += w.owns(n)
+		for _, n := range w.nodeNames() {
+			owned += w.ownedShards(n)
 		}
-		if owned != smallShards {
-			t.Errorf("round %d: %d shards are owned after %s, want %d", round, owned, takenWithin, smallShards)
+		if owned != smallShardCount {
+			t.Errorf("round %d: %d shards are owned after %s, want %d", round, owned, takenWithin, smallShardCount)
 		}
 		w.checkEpochs(int64(round + 2))
 	})
@@ -44,23 +44,23 @@
 // TestColdStartSpreadsShards checks that after the loss of all nodes no node takes
 // more than its part of the shards, though it may come first for all of them.
 func TestColdStartSpreadsShards(t *testing.T) {
-	playColdStarts(t, func(w *world, round int) {
-		for _, n := range w.names() {
-			if k := w.owns(n); k > mostOwned {
+	testColdStarts(t, func(w *testEnv, round int) {
+		for _, n := range w.nodeNames() {
+			if k := w.ownedShards(n); k > maxOwned {
 				t.Errorf("round %d: %s took %d shards", round, n, k)
 			}
 		}
 	})
 }
 
-// playColdStarts kills all nodes and starts them again, and calls check some time
+// testColdStarts kills all nodes and starts them again, and calls check some time
 // after each start.
-func playColdStarts(t *testing.T, check func(w *world, round int)) {
+func testColdStarts(t *testing.T, check func(w *testEnv, round int)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, shardedWorkers, smallShard, func(w *world) { w.site.Configure(1, routes()...) })
+		w := newEnvWith(t, shardedWorkers, smallShardWorkers, func(w *testEnv) { w.site.Configure(1, routes()...) })
 		defer w.close()
 		time.Sleep(2 * time.Second)
-		for round := range coldStarts {
+		for round := range coldStartRounds {
 			names := w.killAll()
 			// What is left of a killed node must not be there when the network is whole.
 			time.Sleep(closeTime)
@@ -75,15 +75,15 @@
 }
 
 // checkEpochs checks the epoch of each shard.
-func (w *world) checkEpochs(want int64) {
+func (w *testEnv) checkEpochs(want int64) {
 	w.t.Helper()
-	for i := range smallShards {
+	for i := range smallShardCount {
 		w.checkEpoch(cluster.ShardID{Service: service, Index: i}, want)
 	}
 }
 
 // checkEpoch checks the epoch of a shard.
-func (w *world) checkEpoch(shard cluster.ShardID, want int64) {
+func (w *testEnv) checkEpoch(shard cluster.ShardID, want int64) {
 	w.t.Helper()
 	if got := w.epoch(shard); got != want {
 		w.t.Errorf("shard %s has epoch %d, want %d", shard, got, want)
@@ -91,7 +91,7 @@
 }
 
 // epoch returns the epoch of a shard.
-func (w *world) epoch(shard cluster.ShardID) int64 { return w.ownerRow(shard).Epoch }
+func (w *testEnv) epoch(shard cluster.ShardID) int64 { return w.ownerRow(shard).Epoch }
 
 // ownerRow is the row that names a shard's owner.
 type ownerRow struct {
@@ -102,7 +102,7 @@
 }
 
 // ownerRow returns the row that names a shard's owner.
-func (w *world) ownerRow(shard cluster.ShardID) (rec ownerRow) {
+func (w *testEnv) ownerRow(shard cluster.ShardID) (rec ownerRow) {
 	w.t.Helper()
 	if err := json.Unmarshal(w.site.Store.Value(cell.TableCell, "", "owner/"+shard.String()), &rec); err != nil {
 		w.t.Errorf("owner's row of shard %s: %v", shard, err)
@@ -110,8 +110,8 @@
 	return rec
 }
 
-// owns asks a node how many shards it owns.
-func (w *world) owns(node string) int {
+// ownedShards asks a node how many shards it ownedShards.
+func (w *testEnv) ownedShards(node string) int {
 	r, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost, "http://"+node+":3/peer/v2/ping", bytes.NewReader([]byte("{}")))
 	if err != nil {
 		w.t.Fatal(err)
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -19,23 +19,23 @@
 type fault struct {
 	name string
 	// begin starts the fault and returns what ends it, or nil.
-	begin func(w *world) func()
+	begin func(w *testEnv) func()
 }
 
-// outage is how long a fault lasts.
-const outage = 5 * time.Second
+// faultDuration is how long a fault lasts.
+const faultDuration = 5 * time.Second
 
 func storeFault(name string, f site.StoreFaults) fault {
-	return fault{name, func(w *world) func() {
+	return fault{name, func(w *testEnv) func() {
 		w.site.Store.SetFaults(f)
 		return func() { w.site.Store.SetFaults(site.StoreFaults{}) }
 	}}
 }
 
-func ownerCut(name string, from func(w *world, owner string) []string) fault {
-	return fault{name, func(w *world) func() {
+func ownerPartition(name string, hosts func(w *testEnv, owner string) []string) fault {
+	return fault{name, func(w *testEnv) func() {
 		owner := w.owner()
-		others := from(w, owner)
+		others := hosts(w, owner)
 		for _, o := range others {
 			w.net.SetPartitioned(owner, o, true)
 		}
@@ -47,9 +47,9 @@
 	}}
 }
 
-func otherNodes(w *world, owner string) []string {
+func otherNodes(w *testEnv, owner string) []string {
 	var others []string
-	for _, n := range w.names() {
+	for _, n := range w.nodeNames() {
 		if n != owner {
 			others = append(others, n)
 		}
@@ -59,22 +59,22 @@
 
 // faults are what can happen to one part of the system. The pairs go by the order.
 func faults() []fault {
-	return slices.Concat(nodeFaults(), ownerCuts(), storeFaults(), crashes(), workerFaults())
+	return slices.Concat(nodeFaults(), ownerPartitions(), storeFaults(), crashFaults(), workerFaults())
 }
 
 // nodeFaults are faults of whole nodes, and the play without a fault.
 func nodeFaults() []fault {
 	return []fault{
-		{"nothing", func(*world) func() { return nil }},
-		{"owner killed", func(w *world) func() { return w.killOwner() }},
-		{"owner drained", func(w *world) func() {
+		{"nothing", func(*testEnv) func() { return nil }},
+		{"owner killed", func(w *testEnv) func() { return w.killOwner() }},
+		{"owner drained", func(w *testEnv) func() {
 			if owner := w.liveOwner(); owner != "" {
 				w.drain(owner)
 				return func() { w.startNode(owner + "x") }
 			}
 			return nil
 		}},
-		{"all nodes killed", func(w *world) func() {
+		{"all nodes killed", func(w *testEnv) func() {
 			names := w.killAll()
 			return func() {
 				for _, n := range names {
@@ -82,25 +82,25 @@
 				}
 			}
 		}},
-		{"owner paused", func(w *world) func() {
+		{"owner paused", func(w *testEnv) func() {
 			owner := w.owner()
 			w.net.Pause(owner)
 			return func() { w.net.Resume(owner) }
 		}},
-		{"open connections go silent", func(w *world) func() {
+		{"open connections go silent", func(w *testEnv) func() {
 			w.net.SilenceOpenConnections(callerHost)
 			return nil
 		}},
 	}
 }
 
-// ownerCuts are cuts of the network around the owner.
-func ownerCuts() []fault {
+// ownerPartitions are cuts of the network around the owner.
+func ownerPartitions() []fault {
 	return []fault{
-		ownerCut("owner cut from the store", func(*world, string) []string { return []string{storeHost} }),
-		ownerCut("owner cut from the other nodes", otherNodes),
-		ownerCut("owner cut from nodes and store", func(w *world, owner string) []string { return append(otherNodes(w, owner), storeHost) }),
-		ownerCut("owner cut from half of the workers", func(*world, string) []string { return []string{"w0", "w1", "w2"} }),
+		ownerPartition("owner cut from the store", func(*testEnv, string) []string { return []string{storeHost} }),
+		ownerPartition("owner cut from the other nodes", otherNodes),
+		ownerPartition("owner cut from nodes and store", func(w *testEnv, owner string) []string { return append(otherNodes(w, owner), storeHost) }),
+		ownerPartition("owner cut from half of the workers", func(*testEnv, string) []string { return []string{"w0", "w1", "w2"} }),
 	}
 }
 
@@ -114,29 +114,29 @@
 		storeFault("store loses replies", site.StoreFaults{LoseReplies: 10}),
 		storeFault("store writes late", site.StoreFaults{Late: 10, LateBy: 3 * time.Second}),
 		storeFault("store without history", site.StoreFaults{NoHistory: true}),
-		{"part of the store's parts away", func(w *world) func() {
-			w.site.Store.SetUnavailableParts(append(w.progressParts(), thirdOfParts()...)...)
+		{"part of the store's parts away", func(w *testEnv) func() {
+			w.site.Store.SetUnavailableParts(append(w.progressParts(), everyThirdJobPart()...)...)
 			return func() { w.site.Store.SetUnavailableParts() }
 		}},
 	}
 }
 
-// thirdOfParts returns every third part of the jobs' rows.
-func thirdOfParts() []string {
-	var away []string
+// everyThirdJobPart returns every third part of the jobs' rows.
+func everyThirdJobPart() []string {
+	var parts []string
 	for i, p := range owner.JobParts(service) {
 		if i%3 == 0 {
-			away = append(away, p)
+			parts = append(parts, p)
 		}
 	}
-	return away
+	return parts
 }
 
-// crashes are lost workers, alone and with the owner, and one that leaves as planned;
+// crashFaults are lost workers, alone and with the owner, and one that leaves as planned;
 // and an owner lost together with the store.
-func crashes() []fault {
+func crashFaults() []fault {
 	return []fault{
-		{"owner killed while the store is silent", func(w *world) func() {
+		{"owner killed while the store is silent", func(w *testEnv) func() {
 			w.site.Store.SetFaults(site.StoreFaults{Down: true})
 			restart := w.killOwner()
 			return func() {
@@ -144,17 +144,17 @@
 				restart()
 			}
 		}},
-		{"worker crashes", func(w *world) func() {
-			return w.crash()
+		{"worker crashes", func(w *testEnv) func() {
+			return w.crashWorker()
 		}},
-		{"worker crashes with the owner", func(w *world) func() {
-			restartNode, restartWorker := w.killOwner(), w.crash()
+		{"worker crashes with the owner", func(w *testEnv) func() {
+			restartNode, restartWorker := w.killOwner(), w.crashWorker()
 			return func() {
 				restartNode()
 				restartWorker()
 			}
 		}},
-		{"worker cut off, and the owner killed", func(w *world) func() {
+		{"worker cut off, and the owner killed", func(w *testEnv) func() {
 			w.net.SetPartitioned("w0", "*", true)
 			restart := w.killOwner()
 			return func() {
@@ -162,7 +162,7 @@
 				restart()
 			}
 		}},
-		{"worker drains", func(w *world) func() {
+		{"worker drains", func(w *testEnv) func() {
 			w.drainWorker()
 			return nil
 		}},
@@ -176,12 +176,12 @@
 		workerFault("worker fails everything", site.WorkerFaults{FailAll: true}),
 		workerFault("worker carries starts out late", site.WorkerFaults{Late: 4, LateBy: 3 * time.Second}),
 		workerFault("worker carries starts out later", site.WorkerFaults{Late: 4, LateBy: 11 * time.Second}),
-		{"another writer spoils entries", otherWriter},
+		{"another writer spoils entries", startCorruptingEntries},
 	}
 }
 
-// otherWriter spoils entries of the directory until the fault ends.
-func otherWriter(w *world) func() {
+// startCorruptingEntries spoils entries of the directory until the fault ends.
+func startCorruptingEntries(w *testEnv) func() {
 	const pause = 300 * time.Millisecond
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // Each run must give the same play.
 	done := make(chan struct{})
@@ -199,25 +199,25 @@
 }
 
 func workerFault(name string, f site.WorkerFaults) fault {
-	return fault{name, func(w *world) func() {
+	return fault{name, func(w *testEnv) func() {
 		w.worker(0).SetFaults(f)
 		return func() { w.worker(0).SetFaults(site.WorkerFaults{}) }
 	}}
 }
 
 const (
-	// loadTime is how long jobs come, faultAt when the fault begins.
-	loadTime = 10 * time.Second
-	faultAt  = 3 * time.Second
-	// settled is by when everything accepted has ended after the load; the lease
+	// loadDuration is how long jobs come, faultAt when the fault begins.
+	loadDuration = 10 * time.Second
+	faultStart   = 3 * time.Second
+	// settleTimeout is by when everything accepted has ended after the load; the lease
 	// of an unreachable worker is part of it.
-	settled = 40 * time.Second
+	settleTimeout = 40 * time.Second
 )
 
 // TestFaults runs each fault under load.
 func TestFaults(t *testing.T) {
 	for _, f := range faults() {
-		t.Run(f.name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { playFault(t, newWorld, f, nil) }) })
+		t.Run(f.name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testFault(t, newEnv, f, nil) }) })
 	}
 }
 
@@ -225,7 +225,7 @@
 func TestShardedFaults(t *testing.T) {
 	for _, f := range faults() {
 		t.Run(f.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playFault(t, newShardedWorld, f, nil) })
+			synctest.Test(t, func(t *testing.T) { testFault(t, newShardedEnv, f, nil) })
 		})
 	}
 }
@@ -241,7 +241,7 @@
 				continue
 			}
 			t.Run(first.name+" and "+second.name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playFault(t, newWorld, first, &second) })
+				synctest.Test(t, func(t *testing.T) { testFault(t, newEnv, first, &second) })
 			})
 		}
 	}
@@ -253,43 +253,43 @@
 	pairOffset = 3
 )
 
-// playFault plays one load with a fault, and a second one that begins in its middle.
-func playFault(t *testing.T, build func(*testing.T) *world, first fault, second *fault) {
+// testFault plays one load with a fault, and a second one that begins in its middle.
+func testFault(t *testing.T, build func(*testing.T) *testEnv, first fault, second *fault) {
 	w := build(t)
 	defer w.close()
 	time.Sleep(2 * time.Second)
 	var wg sync.WaitGroup
-	wg.Go(func() { w.load(loadTime) })
-	wg.Go(func() { w.strike(first, faultAt) })
+	wg.Go(func() { w.load(loadDuration) })
+	wg.Go(func() { w.injectFault(first, faultStart) })
 	if second != nil {
-		wg.Go(func() { w.strike(*second, faultAt+outage/2) })
+		wg.Go(func() { w.injectFault(*second, faultStart+faultDuration/2) })
 	}
 	wg.Wait()
-	w.checkSettled()
-	w.checkJudged()
+	w.checkJobsSettled()
+	w.checkNoViolations()
 }
 
-func (w *world) strike(f fault, at time.Duration) {
-	time.Sleep(at)
+func (w *testEnv) injectFault(f fault, after time.Duration) {
+	time.Sleep(after)
 	end := f.begin(w)
-	time.Sleep(outage)
+	time.Sleep(faultDuration)
 	if end != nil {
 		end()
 	}
 }
 
 // owner returns the node that gives the workers their orders, or that lets others do so.
-func (w *world) owner() string {
-	if !w.helped {
+func (w *testEnv) owner() string {
+	if !w.relayed {
 		return w.site.Owner()
 	}
 	return w.ownerRow(cluster.ShardID{Service: service}).Owner.Name
 }
 
 // liveOwner returns the node that owns the shard, or "" if it is gone.
-func (w *world) liveOwner() string {
+func (w *testEnv) liveOwner() string {
 	owner := w.owner()
-	for _, n := range w.names() {
+	for _, n := range w.nodeNames() {
 		if n == owner {
 			return owner
 		}
@@ -298,7 +298,7 @@
 }
 
 // killOwner kills the owner, if there is one, and returns what starts its host again.
-func (w *world) killOwner() func() {
+func (w *testEnv) killOwner() func() {
 	owner := w.liveOwner()
 	if owner == "" {
 		return func() {}
@@ -307,9 +307,9 @@
 	return func() { w.startNode(owner + "x") }
 }
 
-// crash ends the life of the first worker that is alive, and returns what begins
+// crashWorker ends the life of the first worker that is alive, and returns what begins
 // the next one on its machine.
-func (w *world) crash() func() {
+func (w *testEnv) crashWorker() func() {
 	w.mu.Lock()
 	i := slices.IndexFunc(w.workers, func(k *site.Worker) bool { return !k.Crashed() })
 	old := w.workers[i]
@@ -324,11 +324,11 @@
 }
 
 // worker returns the present life on a worker's machine.
-func (w *world) worker(i int) *site.Worker {
+func (w *testEnv) worker(i int) *site.Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.workers[i]
 }
 
 // drainWorker lets the first worker announce that it leaves.
-func (w *world) drainWorker() { w.worker(0).Drain() }
+func (w *testEnv) drainWorker() { w.worker(0).Drain() }
--- a/matrix/site/handover_test.go
+++ b/matrix/site/handover_test.go
@@ -11,37 +11,39 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// lateAnswer is how long after a write has taken effect its answer comes: by then the
+// answerDelay is how long after a write has taken effect its answer comes: by then the
 // feed has shown the write to all nodes.
-const lateAnswer = 400 * time.Millisecond
+const answerDelay = 400 * time.Millisecond
 
-// slowTake is how long the answer to a write of two parts takes while the store is 60 to
+// slowAnswerDelay is how long the answer to a write of two parts takes while the store is 60 to
 // 100 times slower.
-const slowTake = 900 * time.Millisecond
+const slowAnswerDelay = 900 * time.Millisecond
 
-// TestHandOverIsTakenOnce hands the shard over while the store's answers come late,
+// TestHandoverTakesShardOnce hands the shard over while the store's answers come late,
 // those of writes alone or all of them: the node that takes it has it, says so, and
 // doesn't take it from itself again.
-func TestHandOverIsTakenOnce(t *testing.T) {
+func TestHandoverTakesShardOnce(t *testing.T) {
 	for name, f := range map[string]site.StoreFaults{
-		"writes": {AnswerDelay: lateAnswer},
-		"all":    {AnswerDelay: lateAnswer, Delay: lateAnswer / 4},
+		"writes": {AnswerDelay: answerDelay},
+		"all":    {AnswerDelay: answerDelay, Delay: answerDelay / 4},
 	} {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { playHandOver(t, f) }) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testHandover(t, f) }) })
 	}
 }
 
-// TestHandOverWhileStoreIsSlow hands the shard over while the write that takes it has
+// TestHandoverWithSlowStore hands the shard over while the write that takes it has
 // no answer for longer than the node that hands it over waits.
-func TestHandOverWhileStoreIsSlow(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { playHandOver(t, site.StoreFaults{AnswerDelay: slowTake, Delay: lateAnswer / 4}) })
+func TestHandoverWithSlowStore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		testHandover(t, site.StoreFaults{AnswerDelay: slowAnswerDelay, Delay: answerDelay / 4})
+	})
 }
 
-func playHandOver(t *testing.T, f site.StoreFaults) {
-	w := newWorld(t)
+func testHandover(t *testing.T, f site.StoreFaults) {
+	w := newEnv(t)
 	defer w.close()
 	time.Sleep(2 * time.Second)
-	w.submit("batch", lastingSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 100, Lasts: true})
+	w.submit("batch", longRunningSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 100, LongRunning: true})
 	time.Sleep(time.Second)
 	w.site.Store.SetFaults(f)
 	w.drain(w.liveOwner())
--- a/matrix/site/input_test.go
+++ b/matrix/site/input_test.go
@@ -15,39 +15,39 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-const goodID = "00000000000000aa"
+const validID = "00000000000000aa"
 
 // TestBadInput checks what callers are told of calls that can't be taken.
 func TestBadInput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(2 * time.Second)
 		step := `{"Count":1,"Cpu":100,"MemMb":10}`
 		for _, c := range []struct {
 			name, method, path, body string
-			status                   int
-			says                     string
+			wantStatus               int
+			wantBody                 string
 		}{
-			{"not JSON", http.MethodPost, "/batch/" + goodID, "{", http.StatusBadRequest, ""},
-			{"a text for a number", http.MethodPost, "/batch/" + goodID, `{"Steps":[{"Count":"many"}]}`, http.StatusBadRequest, "Count"},
-			{"no steps", http.MethodPost, "/batch/" + goodID, `{"Spec":"x"}`, http.StatusBadRequest, "steps"},
-			{"no tasks", http.MethodPost, "/batch/" + goodID, `{"Steps":[{"Cpu":5}]}`, http.StatusBadRequest, "steps[0].count"},
-			{"a step after itself", http.MethodPost, "/batch/" + goodID, `{"Steps":[{"Count":1,"DependsOn":[0]}]}`, http.StatusBadRequest, "steps[0].after"},
-			{"negative room", http.MethodPost, "/batch/" + goodID, `{"Steps":[{"Count":1,"Cpu":-1}]}`, http.StatusBadRequest, "steps[0].need"},
-			{"too many tasks", http.MethodPost, "/batch/" + goodID, `{"RepeatCount":2000,"Steps":[{"Count":1000}]}`, http.StatusBadRequest, "steps"},
-			{"larger than a row", http.MethodPost, "/batch/" + goodID, `{"Spec":"` + strings.Repeat("x", 70_000) + `","Steps":[` + step + `]}`, http.StatusBadRequest, "too large"},
-			{"unknown queue", http.MethodPost, "/nowhere/" + goodID, `{"Steps":[` + step + `]}`, http.StatusNotFound, ""},
+			{"not JSON", http.MethodPost, "/batch/" + validID, "{", http.StatusBadRequest, ""},
+			{"a text for a number", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":"many"}]}`, http.StatusBadRequest, "Count"},
+			{"no steps", http.MethodPost, "/batch/" + validID, `{"Spec":"x"}`, http.StatusBadRequest, "steps"},
+			{"no tasks", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Cpu":5}]}`, http.StatusBadRequest, "steps[0].count"},
+			{"a step after itself", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":1,"DependsOn":[0]}]}`, http.StatusBadRequest, "steps[0].after"},
+			{"negative room", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":1,"Cpu":-1}]}`, http.StatusBadRequest, "steps[0].need"},
+			{"too many tasks", http.MethodPost, "/batch/" + validID, `{"RepeatCount":2000,"Steps":[{"Count":1000}]}`, http.StatusBadRequest, "steps"},
+			{"larger than a row", http.MethodPost, "/batch/" + validID, `{"Spec":"` + strings.Repeat("x", 70_000) + `","Steps":[` + step + `]}`, http.StatusBadRequest, "too large"},
+			{"unknown queue", http.MethodPost, "/nowhere/" + validID, `{"Steps":[` + step + `]}`, http.StatusNotFound, ""},
 			{"not an ID", http.MethodPost, "/batch/short", `{"Steps":[` + step + `]}`, http.StatusNotFound, ""},
-			{"unknown job", http.MethodGet, "/batch/" + goodID, "", http.StatusGone, ""},
-			{"cancel of an unknown job", http.MethodDelete, "/batch/" + goodID, "", http.StatusGone, ""},
-			{"unknown method", http.MethodPut, "/batch/" + goodID, "", http.StatusMethodNotAllowed, ""},
+			{"unknown job", http.MethodGet, "/batch/" + validID, "", http.StatusGone, ""},
+			{"cancel of an unknown job", http.MethodDelete, "/batch/" + validID, "", http.StatusGone, ""},
+			{"unknown method", http.MethodPut, "/batch/" + validID, "", http.StatusMethodNotAllowed, ""},
 			{"waiting of an unknown queue", http.MethodGet, "/nowhere/", "", http.StatusNotFound, ""},
 			{"waiting", http.MethodGet, "/batch/", "", http.StatusOK, `{"Waiting":0}`},
 		} {
 			status, body := w.call("n1", c.method, c.path, c.body)
-			if status != c.status || !strings.Contains(string(body), c.says) {
-				t.Errorf("%s: %d %s, want %d and %q", c.name, status, body, c.status, c.says)
+			if status != c.wantStatus || !strings.Contains(string(body), c.wantBody) {
+				t.Errorf("%s: %d %s, want %d and %q", c.name, status, body, c.wantStatus, c.wantBody)
 			}
 		}
 	})
@@ -56,10 +56,10 @@
 // TestNoConfiguration checks that a node refuses calls until it knows a configuration.
 func TestNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, cellWorkers, cellWorkers, func(*world) {})
+		w := newEnvWith(t, cellWorkers, cellWorkers, func(*testEnv) {})
 		defer w.close()
 		time.Sleep(2 * time.Second)
-		status, _ := w.call("n0", http.MethodPost, "/batch/"+goodID, "{}")
+		status, _ := w.call("n0", http.MethodPost, "/batch/"+validID, "{}")
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("status %d without a configuration", status)
 		}
@@ -77,18 +77,18 @@
 	})
 }
 
-// TestConfigurationNeverBack checks that an older version, wherever it comes
+// TestOlderConfigurationIsIgnored checks that an older version, wherever it comes
 // from, does not replace a newer one.
-func TestConfigurationNeverBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(time.Second)
 		w.site.Configure(9, routes()[1:]...)
 		time.Sleep(2 * time.Second)
 		w.site.Configure(5, routes()...)
 		time.Sleep(3 * time.Second)
-		for _, n := range w.names() {
+		for _, n := range w.nodeNames() {
 			if status, _ := w.call(n, http.MethodGet, "/urgent/", ""); status != http.StatusNotFound {
 				t.Errorf("%s serves a queue of an older version: %d", n, status)
 			}
@@ -99,7 +99,7 @@
 // TestMalformedRows checks that rows which can't be read are skipped: nodes go on.
 func TestMalformedRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		shard0 := cluster.ShardID{Service: service}
 		for i, bad := range []string{"", "nonsense", "[]", `{"id":5}`, `{"id":"x","steps":null}`} {
@@ -124,18 +124,18 @@
 	})
 }
 
-// TestSameJobTwice checks that a job which comes again, at any node and after its
+// TestResubmittedJobRunsOnce checks that a job which comes again, at any node and after its
 // end, remains one job.
-func TestSameJobTwice(t *testing.T) {
+func TestResubmittedJobRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(2 * time.Second)
 		body := `{"Spec":"300 cpu=500","Steps":[{"Count":2,"Cpu":500,"MemMb":10}]}`
 		for _, wait := range []time.Duration{0, 0, 100 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 			time.Sleep(wait)
-			for _, n := range w.names() {
-				if status, _ := w.call(n, http.MethodPost, "/batch/"+goodID, body); status != http.StatusOK {
+			for _, n := range w.nodeNames() {
+				if status, _ := w.call(n, http.MethodPost, "/batch/"+validID, body); status != http.StatusOK {
 					t.Errorf("%s answers %d", n, status)
 				}
 			}
@@ -157,7 +157,7 @@
 // again at a measured pace.
 func TestCancelWhileStoreBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(2 * time.Second)
 		id := w.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
@@ -168,7 +168,7 @@
 		if status == http.StatusOK {
 			t.Error("a cancel is taken without the store")
 		}
-		if calls := w.site.Store.Calls() - before; calls > mostCalls {
+		if calls := w.site.Store.Calls() - before; calls > maxStoreCalls {
 			t.Errorf("%d calls of the store within a caller's deadline of 3 s", calls)
 		}
 		w.site.Store.SetFaults(site.StoreFaults{})
@@ -178,6 +178,6 @@
 	})
 }
 
-// mostCalls is what three nodes may send a store that refuses for 3 s: each a few
+// maxStoreCalls is what three nodes may send a store that refuses for 3 s: each a few
 // readers ten times a second, and the cancel's tries with their relays.
-const mostCalls = 1500
+const maxStoreCalls = 1500
--- a/matrix/site/joint_test.go
+++ b/matrix/site/joint_test.go
@@ -15,20 +15,20 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// jointMembers is one member more than a shard of perShard workers holds, where each needs
+// jointGangSize is one member more than a shard of perShard workers holds, where each needs
 // a whole worker.
-const jointMembers = perShard + 1
+const jointGangSize = workersPerShard + 1
 
 // gangJob returns the Spec and the step of a gang that needs so many whole workers.
-func gangJob(takesMS, members int) (spec string, step stepBody) {
-	return fmt.Sprintf("%d cpu=%d gang=0:%d", takesMS, workerCores, members),
-		stepBody{Count: members, CPU: workerCores, MemoryMB: 100, EstimateMS: int64(takesMS), Gang: true}
+func gangJob(durationMS, members int) (spec string, step stepBody) {
+	return fmt.Sprintf("%d cpu=%d gang=0:%d", durationMS, workerCores, members),
+		stepBody{Count: members, CPU: workerCores, MemoryMB: 100, EstimateMS: int64(durationMS), Gang: true}
 }
 
-// saw counts what workers saw of one kind.
-func (w *world) saw(what string) (n int) {
+// countEvents counts what workers countEvents of one kind.
+func (w *testEnv) countEvents(kind string) (n int) {
 	for _, e := range w.site.Events() {
-		if e.Kind == what {
+		if e.Kind == kind {
 			n++
 		}
 	}
@@ -44,41 +44,41 @@
 func TestJointGangsStart(t *testing.T) {
 	for _, queue := range []string{"batch", "urgent"} {
 		t.Run(queue, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playJointGangs(t, queue) })
+			synctest.Test(t, func(t *testing.T) { testJointGangs(t, queue) })
 		})
 	}
 }
 
-func playJointGangs(t *testing.T, queue string) {
+func testJointGangs(t *testing.T, queue string) {
 	const (
-		small  = 120
-		within = 40 * time.Second
+		smallJobs  = 120
+		settleTime = 40 * time.Second
 	)
-	w := newShardedWorld(t)
+	w := newShardedEnv(t)
 	defer w.close()
 	w.site.SetRejectOneIn(1 << 30)
 	time.Sleep(4 * time.Second)
-	spec, step := gangJob(400, jointMembers)
+	spec, step := gangJob(400, jointGangSize)
 	ids := []string{w.submit(queue, spec, step), w.submit(queue, spec, step)}
-	for range small {
+	for range smallJobs {
 		w.submit("batch", "900 cpu=1000", stepBody{Count: 2, CPU: 1000, MemoryMB: 10, EstimateMS: 900})
 		time.Sleep(100 * time.Millisecond)
 	}
-	time.Sleep(within)
+	time.Sleep(settleTime)
 	for _, id := range ids {
 		if state := w.state(queue, id); state != "succeeded" {
 			t.Errorf("gang %s is %q", id, state)
 		}
 	}
-	if alone := w.saw(site.EventGangTimeout); alone > 0 {
-		t.Errorf("%d members waited for the others in vain", alone)
+	if timeouts := w.countEvents(site.EventGangTimeout); timeouts > 0 {
+		t.Errorf("%d members waited for the others in vain", timeouts)
 	}
-	w.checkJudged()
-	w.checkJobsEnded()
+	w.checkNoViolations()
+	w.checkJobsSucceeded()
 }
 
-// checkJobsEnded checks that all accepted jobs have succeeded.
-func (w *world) checkJobsEnded() {
+// checkJobsSucceeded checks that all accepted jobs have succeeded.
+func (w *testEnv) checkJobsSucceeded() {
 	w.t.Helper()
 	for _, id := range w.accepted {
 		if _, cancelled := w.cancelled[id]; cancelled || w.succeeded[id] {
@@ -90,8 +90,8 @@
 	}
 }
 
-// playsInFull reports whether all plays are wanted, which MODEL=full says, and not a sample.
-func playsInFull() bool { return os.Getenv("MODEL") == "full" }
+// fullSearch reports whether all plays are wanted, which MODEL=full says, and not a sample.
+func fullSearch() bool { return os.Getenv("MODEL") == "full" }
 
 // TestJointGangInFaults lets each fault befall a gang that runs in both shards: before it
 // is handed in, while it is made one of both shards, or while it runs; at each of these
@@ -99,33 +99,33 @@
 func TestJointGangInFaults(t *testing.T) {
 	moments := []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 2500 * time.Millisecond}
 	for i, f := range faults() {
-		here := moments
-		if !playsInFull() {
-			here = []time.Duration{moments[i%len(moments)]}
+		selected := moments
+		if !fullSearch() {
+			selected = []time.Duration{moments[i%len(moments)]}
 		}
-		for _, after := range here {
+		for _, after := range selected {
 			t.Run(fmt.Sprintf("%s/%s", f.name, after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newShardedWorld(t)
+					w := newShardedEnv(t)
 					defer w.close()
 					w.site.SetRejectOneIn(1 << 30)
 					time.Sleep(4 * time.Second)
-					spec, step := gangJob(3000, jointMembers)
+					spec, step := gangJob(3000, jointGangSize)
 					if after > 0 {
 						w.submit("batch", spec, step)
 						time.Sleep(after)
 					}
-					end := f.begin(w)
+					endFault := f.begin(w)
 					if after == 0 {
 						w.submit("batch", spec, step)
 					}
-					time.Sleep(outage)
-					if end != nil {
-						end()
+					time.Sleep(faultDuration)
+					if endFault != nil {
+						endFault()
 					}
 					time.Sleep(40 * time.Second)
-					w.checkJudged()
-					w.checkJobsEnded()
+					w.checkNoViolations()
+					w.checkJobsSucceeded()
 				})
 			})
 		}
@@ -137,11 +137,11 @@
 func TestJointGangCancelled(t *testing.T) {
 	for _, after := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 6 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newShardedWorld(t)
+			w := newShardedEnv(t)
 			defer w.close()
 			w.site.SetRejectOneIn(1 << 30)
 			time.Sleep(4 * time.Second)
-			spec, step := gangJob(20_000, jointMembers)
+			spec, step := gangJob(20_000, jointGangSize)
 			id := w.submit("batch", spec, step)
 			time.Sleep(after)
 			if status, _ := w.call("n1", http.MethodDelete, "/batch/"+id, ""); status != http.StatusOK {
@@ -157,19 +157,19 @@
 			if state := w.state("batch", id); state != "cancelled" {
 				t.Errorf("cancelled after %s: the job is %q", after, state)
 			}
-			w.checkJudged()
+			w.checkNoViolations()
 		})
 	}
 }
 
-// TestJointGangThatFails hands in a gang that can't be done: each of its runs fails, and
+// TestFailingJointGang hands in a gang that can't be done: each of its runs fails, and
 // after as many as its queue allows the job has failed, wherever its members were.
-func TestJointGangThatFails(t *testing.T) {
+func TestFailingJointGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedWorld(t)
+		w := newShardedEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		spec, step := gangJob(400, jointMembers)
+		spec, step := gangJob(400, jointGangSize)
 		id := w.submit("batch", spec+" failing", step)
 		time.Sleep(30 * time.Second)
 		if state := w.state("batch", id); state != "failed" {
@@ -184,7 +184,7 @@
 		if len(runs) != batchAttempts {
 			t.Errorf("the gang had %d runs, its queue allows %d", len(runs), batchAttempts)
 		}
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
 
@@ -193,10 +193,10 @@
 // owners are killed, cut off or paused, workers crash, answer late or not at all, the store
 // fails, in series that overlap. Then all is put right. MODEL=full plays many.
 func TestSearchJointGangs(t *testing.T) {
-	const full = 1000
-	seeds := samplePlays
-	if playsInFull() {
-		seeds = full
+	const fullSeeds = 1000
+	seeds := sampleSeeds
+	if fullSearch() {
+		seeds = fullSeeds
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -208,12 +208,12 @@
 
 func searchJointGangs(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // Each play must repeat.
-	all := faults()
-	w := newShardedWorld(t)
+	candidates := faults()
+	w := newShardedEnv(t)
 	defer w.close()
 	w.site.SetRejectOneIn(4)
 	time.Sleep(4 * time.Second)
-	var ends []func()
+	var endFaults []func()
 	for range 12 {
 		switch rng.IntN(4) {
 		case 0:
@@ -222,30 +222,30 @@
 		case 1:
 			w.submit("batch", "700 cpu=1500", stepBody{Count: 1 + rng.IntN(6), CPU: 1500, MemoryMB: 10, EstimateMS: 700})
 		case 2:
-			if end := all[rng.IntN(len(all))].begin(w); end != nil {
-				ends = append(ends, end)
+			if endFault := candidates[rng.IntN(len(candidates))].begin(w); endFault != nil {
+				endFaults = append(endFaults, endFault)
 			}
 		case 3:
-			if n := len(ends); n > 0 {
-				ends[n-1]()
-				ends = ends[:n-1]
+			if n := len(endFaults); n > 0 {
+				endFaults[n-1]()
+				endFaults = endFaults[:n-1]
 			}
 		}
 		time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 	}
-	for _, end := range ends {
-		end()
+	for _, endFault := range endFaults {
+		endFault()
 	}
-	w.settle(90 * time.Second)
-	w.checkJudged()
-	w.checkJobsEnded()
+	w.waitAndRecordSuccesses(90 * time.Second)
+	w.checkNoViolations()
+	w.checkJobsSucceeded()
 }
 
-// settle waits, and notes which jobs succeed meanwhile: states are kept for two minutes
+// waitAndRecordSuccesses waits, and notes which jobs succeed meanwhile: states are kept for two minutes
 // only, which some plays last.
-func (w *world) settle(d time.Duration) {
-	const every = 10 * time.Second
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(every) {
+func (w *testEnv) waitAndRecordSuccesses(d time.Duration) {
+	const interval = 10 * time.Second
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
 		for _, id := range w.accepted {
 			if !w.succeeded[id] && w.state("batch", id) == "succeeded" {
 				w.succeeded[id] = true
--- a/matrix/site/load_test.go
+++ b/matrix/site/load_test.go
@@ -11,28 +11,28 @@
 
 // The jobs of the load. A task's room stands in its Spec too, for the workers to check.
 const (
-	urgentSpec  = "400 cpu=500"
-	batchSpec   = "1500 cpu=1000"
-	lastingSpec = "100 lasting cpu=500"
+	urgentSpec      = "400 cpu=500"
+	batchSpec       = "1500 cpu=1000"
+	longRunningSpec = "100 lasting cpu=500"
 )
 
 func urgentSteps() []stepBody {
-	return []stepBody{{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400}, {Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400, After: []int{0}}}
+	return []stepBody{{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400}, {Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400, DependsOn: []int{0}}}
 }
 
 // load hands jobs in for a time: urgent ones, batches, gangs, long-lived ones,
 // and some that are cancelled.
-func (w *world) load(d time.Duration) {
+func (w *testEnv) load(d time.Duration) {
 	var wg sync.WaitGroup
-	lasting := w.submit("batch", lastingSpec, stepBody{Count: 2, CPU: 500, MemoryMB: 100, Lasts: true})
+	longRunning := w.submit("batch", longRunningSpec, stepBody{Count: 2, CPU: 500, MemoryMB: 100, LongRunning: true})
 	w.mu.Lock()
-	w.lasting = lasting
+	w.longRunning = longRunning
 	w.mu.Unlock()
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		wg.Go(func() { w.submit("urgent", urgentSpec, urgentSteps()...) })
 		if i%6 == 1 {
 			wg.Go(func() {
-				w.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Saves: true})
+				w.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Checkpoints: true})
 			})
 		}
 		if i%12 == 3 {
@@ -48,11 +48,11 @@
 	wg.Wait()
 }
 
-func (w *world) submitAndCancel() {
+func (w *testEnv) submitAndCancel() {
 	id := w.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
 	time.Sleep(time.Second)
 	for range 20 {
-		for _, n := range w.names() {
+		for _, n := range w.nodeNames() {
 			status, _ := w.call(n, http.MethodDelete, "/batch/"+id, "")
 			if status == http.StatusOK || status == http.StatusGone {
 				w.mu.Lock()
@@ -66,25 +66,25 @@
 	w.t.Errorf("cancel of %s was not taken", id)
 }
 
-// beginLoad lets the nodes settle, begins a load of that time, and returns once it has
+// startLoad lets the nodes settle, begins a load of that time, and returns once it has
 // gone on for a while.
-func (w *world) beginLoad(d, while time.Duration) *sync.WaitGroup {
+func (w *testEnv) startLoad(d, delay time.Duration) *sync.WaitGroup {
 	time.Sleep(2 * time.Second)
 	var load sync.WaitGroup
 	load.Go(func() { w.load(d) })
-	time.Sleep(while)
+	time.Sleep(delay)
 	return &load
 }
 
-// checkSettled waits until every accepted job has ended as it should.
-func (w *world) checkSettled() {
+// checkJobsSettled waits until every accepted job has ended as it should.
+func (w *testEnv) checkJobsSettled() {
 	w.t.Helper()
-	open := fmt.Errorf("not looked")
-	for end := time.Now().Add(settled); open != nil && time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		open = w.openJob()
+	unsettled := fmt.Errorf("not looked")
+	for end := time.Now().Add(settleTimeout); unsettled != nil && time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
+		unsettled = w.unsettledJob()
 	}
-	if open != nil {
-		w.t.Errorf("%s after the load: %v", settled, open)
+	if unsettled != nil {
+		w.t.Errorf("%s after the load: %v", settleTimeout, unsettled)
 	}
 	running := 0
 	for _, k := range w.workers {
@@ -95,8 +95,8 @@
 	}
 }
 
-// openJob returns what is not as it should be at the end.
-func (w *world) openJob() error {
+// unsettledJob returns what is not as it should be at the end.
+func (w *testEnv) unsettledJob() error {
 	w.mu.Lock()
 	accepted := append([]string(nil), w.accepted...)
 	w.mu.Unlock()
@@ -105,7 +105,7 @@
 		if _, ok := w.cancelled[id]; ok {
 			want = "cancelled"
 		}
-		if id == w.lasting {
+		if id == w.longRunning {
 			want = "running"
 		}
 		// Any queue of the service leads to the job.
--- a/matrix/site/movesaway_test.go
+++ b/matrix/site/movesaway_test.go
@@ -19,32 +19,32 @@
 // A shard moved its jobs one after the other, and waited for the pin of each until it was
 // read: one part of the store that was away kept all other jobs of the shard from moving.
 func TestMovesDoNotWaitForEachOther(t *testing.T) {
-	const endsWithin = 15 * time.Second
+	const endWithin = 15 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedWorld(t)
+		w := newShardedEnv(t)
 		defer w.close()
 		time.Sleep(2 * time.Second)
-		ids := append(w.submitRare(), w.submitRare()...)
-		var away []string
+		ids := append(w.submitLabelled(), w.submitLabelled()...)
+		var unavailable []string
 		// Jobs that came together are moved the latest first.
 		for _, id := range ids[len(ids)/2:] {
-			away = append(away, owner.JobPart(service, id))
+			unavailable = append(unavailable, owner.JobPart(service, id))
 		}
-		w.site.Store.SetUnavailableParts(away...)
+		w.site.Store.SetUnavailableParts(unavailable...)
 		w.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
-		time.Sleep(endsWithin)
+		time.Sleep(endWithin)
 		for _, id := range ids {
-			if n, _ := w.starts(id); n != 1 && !slices.Contains(away, owner.JobPart(service, id)) {
-				t.Errorf("job %s was started %d times within %v, want once: its part of the store answers", id, n, endsWithin)
+			if n, _ := w.starts(id); n != 1 && !slices.Contains(unavailable, owner.JobPart(service, id)) {
+				t.Errorf("job %s was started %d times within %v, want once: its part of the store answers", id, n, endWithin)
 			}
 		}
 		w.site.Store.SetUnavailableParts()
-		time.Sleep(endsWithin)
+		time.Sleep(endWithin)
 		for _, id := range ids {
 			if state := w.state("batch", id); state != "succeeded" {
 				t.Errorf("job %s is %q once all parts answer again", id, state)
 			}
 		}
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
--- a/matrix/site/overload_test.go
+++ b/matrix/site/overload_test.go
@@ -34,8 +34,8 @@
 	smallWorkers = 120
 	// jobsPerSecond is how many jobs of two steps are handed in.
 	jobsPerSecond = 5
-	// overloadFor is for how long.
-	overloadFor = 12 * time.Second
+	// loadFor is for how long.
+	loadFor = 12 * time.Second
 )
 
 // smallHost is what each node may use.
@@ -47,10 +47,10 @@
 	cost  time.Duration
 }
 
-// newSmallWorld returns a world of nodes on small hosts.
-func newSmallWorld(t *testing.T, h smallHost) *world {
+// newSmallHostEnv returns a world of nodes on small hosts.
+func newSmallHostEnv(t *testing.T, h smallHost) *testEnv {
 	const bitsPerByte, million = 8, 1e6
-	w := newWorldWith(t, smallWorkers, smallWorkers, func(w *world) {
+	w := newEnvWith(t, smallWorkers, smallWorkers, func(w *testEnv) {
 		w.site.Configure(1, routes()...)
 		w.limits = settings.Limits{CPUShare: h.share, CoreSpeed: 1, LinkMbps: float64(h.rate) * bitsPerByte / million}
 		for i := range smallNodes {
@@ -65,15 +65,15 @@
 	return w
 }
 
-// rush hands in jobs of two steps of ten tasks each, and returns how many were answered
+// submitBurst hands in jobs of two steps of ten tasks each, and returns how many were answered
 // with success, and how many of these have succeeded some seconds after the last.
-func (w *world) rush(perSecond int, d time.Duration) (accepted, succeeded int) {
+func (w *testEnv) submitBurst(perSecond int, d time.Duration) (accepted, succeeded int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var ids []string
 	step := stepBody{Count: 10, CPU: 1000, MemoryMB: 500, EstimateMS: 1000}
 	next := step
-	next.After = []int{0}
+	next.DependsOn = []int{0}
 	body := w.encodeJob("1000 cpu=1000 "+strings.Repeat("text ", 150), step, next)
 	for i := range perSecond * int(d/time.Second) {
 		wg.Go(func() {
@@ -96,26 +96,26 @@
 	return len(ids), succeeded
 }
 
-// TestSmallHostsHoldAShard checks that nodes on small hosts serve a shard that is as busy
+// TestSmallHostsServeBusyShard checks that nodes on small hosts serve a shard that is as busy
 // as its workers allow, without a change of its owner: on slow links, and with a quota of
 // processor of which each message takes as much as an HTTP call costs. The links are slower
 // than those above, since the rows of the stand-in platform are shorter.
-func TestSmallHostsHoldAShard(t *testing.T) {
+func TestSmallHostsServeBusyShard(t *testing.T) {
 	for name, h := range map[string]smallHost{
 		"links of 1.2 Mbit/s": {rate: 150_000, share: 0.12, cost: 50 * time.Microsecond},
 		"0.12 core":           {rate: 2_500_000, share: 0.12, cost: 150 * time.Microsecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSmallWorld(t, h)
+				w := newSmallHostEnv(t, h)
 				defer w.close()
 				time.Sleep(6 * time.Second)
-				accepted, succeeded := w.rush(jobsPerSecond, overloadFor)
-				if want := jobsPerSecond * int(overloadFor/time.Second); accepted < want || succeeded < accepted {
+				accepted, succeeded := w.submitBurst(jobsPerSecond, loadFor)
+				if want := jobsPerSecond * int(loadFor/time.Second); accepted < want || succeeded < accepted {
 					t.Errorf("%d of %d jobs were accepted, and %d have succeeded", accepted, want, succeeded)
 				}
 				w.checkEpoch(cluster.ShardID{Service: service}, 1)
-				w.checkOverload()
+				w.checkOverloadViolations()
 			})
 		})
 	}
@@ -126,29 +126,29 @@
 // serves as before.
 func TestOverloadEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSmallWorld(t, smallHost{rate: 250_000, share: 0.12, cost: 50 * time.Microsecond})
+		w := newSmallHostEnv(t, smallHost{rate: 250_000, share: 0.12, cost: 50 * time.Microsecond})
 		defer w.close()
 		time.Sleep(6 * time.Second)
 		const burst = 40
-		w.rush(burst, 2*time.Second)
-		accepted, succeeded := w.rush(jobsPerSecond, 4*time.Second)
+		w.submitBurst(burst, 2*time.Second)
+		accepted, succeeded := w.submitBurst(jobsPerSecond, 4*time.Second)
 		if want := jobsPerSecond * 4; accepted < want || succeeded < accepted {
 			t.Errorf("after a burst %d of %d jobs were accepted, and %d have succeeded", accepted, want, succeeded)
 		}
 		if epoch := w.epoch(cluster.ShardID{Service: service}); epoch > 2 {
 			t.Errorf("the shard has had %d owners, want at most 2", epoch)
 		}
-		w.checkOverload()
+		w.checkOverloadViolations()
 	})
 }
 
-// checkOverload checks that no promise was broken. A ticket that runs out on the way costs
+// checkOverloadViolations checks that no promise was broken. A ticket that runs out on the way costs
 // the worker's refusal and breaks none.
-func (w *world) checkOverload() {
+func (w *testEnv) checkOverloadViolations() {
 	w.t.Helper()
-	for _, wrong := range w.judge() {
-		if !strings.HasSuffix(wrong, "without a valid ticket") {
-			w.t.Error(wrong)
+	for _, violation := range w.violations() {
+		if !strings.HasSuffix(violation, "without a valid ticket") {
+			w.t.Error(violation)
 		}
 	}
 }
--- a/matrix/site/parts_test.go
+++ b/matrix/site/parts_test.go
@@ -16,66 +16,66 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// partsAway is how long parts of the store don't answer.
-const partsAway = 6 * time.Second
+// unavailableFor is how long parts of the store don't answer.
+const unavailableFor = 6 * time.Second
 
 // progressParts returns the parts of the progress of a world's shards.
-func (w *world) progressParts() []string {
+func (w *testEnv) progressParts() []string {
 	var parts []string
-	for i := range len(w.workers) / w.perShard {
+	for i := range len(w.workers) / w.workersPerShard {
 		parts = append(parts, owner.ProgressPart(cluster.ShardID{Service: service, Index: i}))
 	}
 	return parts
 }
 
-// TestProgressPartAway takes the parts of the shards' progress away: jobs go on, and
+// TestProgressPartUnavailable takes the parts of the shards' progress away: jobs go on, and
 // their ends are shown, since they are written elsewhere meanwhile.
-func TestProgressPartAway(t *testing.T) {
-	playInWorlds(t, playProgressAway)
+func TestProgressPartUnavailable(t *testing.T) {
+	runInEnvs(t, testProgressPartUnavailable)
 }
 
-func playProgressAway(t *testing.T, w *world) {
+func testProgressPartUnavailable(t *testing.T, w *testEnv) {
 	defer w.close()
-	load := w.beginLoad(2*partsAway, partsAway/2)
+	load := w.startLoad(2*unavailableFor, unavailableFor/2)
 	w.site.Store.SetUnavailableParts(w.progressParts()...)
 	var jobs sync.WaitGroup
-	for i, node := range w.names() {
-		jobs.Go(func() { w.checkServed(node, fmt.Sprintf("%016x", 0xb000+i)) })
+	for i, node := range w.nodeNames() {
+		jobs.Go(func() { w.checkJobServed(node, fmt.Sprintf("%016x", 0xb000+i)) })
 	}
-	time.Sleep(partsAway)
+	time.Sleep(unavailableFor)
 	jobs.Wait()
 	w.site.Store.SetUnavailableParts()
 	load.Wait()
-	w.checkSettled()
+	w.checkJobsSettled()
 	if left := w.site.Store.Keys("spill"); len(left) > 0 {
 		t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
 	}
-	w.checkJudged()
+	w.checkNoViolations()
 }
 
 // TestSpilledProgressOutlivesOwner kills the owner while progress is spilled: the next
 // one goes on from it, and what was shown as ended stays ended.
 func TestSpilledProgressOutlivesOwner(t *testing.T) {
-	playInWorlds(t, playOwnerLostSpilling)
+	runInEnvs(t, testOwnerLostWhileSpilling)
 }
 
-func playOwnerLostSpilling(t *testing.T, w *world) {
+func testOwnerLostWhileSpilling(t *testing.T, w *testEnv) {
 	defer w.close()
-	load := w.beginLoad(3*partsAway, partsAway/2)
+	load := w.startLoad(3*unavailableFor, unavailableFor/2)
 	w.site.Store.SetUnavailableParts(w.progressParts()...)
-	time.Sleep(partsAway)
+	time.Sleep(unavailableFor)
 	ended := w.endedJobs()
 	restart := w.killOwner()
 	w.site.Store.SetUnavailableParts()
 	for range 10 {
-		w.checkStayEnded(ended)
-		time.Sleep(partsAway / 20)
+		w.checkStillEnded(ended)
+		time.Sleep(unavailableFor / 20)
 	}
 	restart()
 	load.Wait()
-	w.checkSettled()
-	w.checkStayEnded(ended)
-	w.checkJudged()
+	w.checkJobsSettled()
+	w.checkStillEnded(ended)
+	w.checkNoViolations()
 }
 
 // endedJob is a job that was shown as ended, and how often its tasks had been started.
@@ -85,7 +85,7 @@
 }
 
 // endedJobs returns the jobs that are shown as ended.
-func (w *world) endedJobs() []endedJob {
+func (w *testEnv) endedJobs() []endedJob {
 	w.mu.Lock()
 	accepted := slices.Clone(w.accepted)
 	w.mu.Unlock()
@@ -99,9 +99,9 @@
 	return ended
 }
 
-// checkStayEnded checks that jobs are shown as before, if they are shown at all, and
+// checkStillEnded checks that jobs are shown as before, if they are shown at all, and
 // that nothing of them was started again.
-func (w *world) checkStayEnded(jobs []endedJob) {
+func (w *testEnv) checkStillEnded(jobs []endedJob) {
 	w.t.Helper()
 	for _, j := range jobs {
 		if got := w.state("batch", j.id); got != j.state && got != "no answer" {
@@ -113,51 +113,51 @@
 	}
 }
 
-// TestTakeoverWithPartsAway loses the owner, or all nodes, while a part of the store's
+// TestTakeoverWithUnavailableParts loses the owner, or all nodes, while a part of the store's
 // parts is away: the next owner goes on with what it can read, and leaves alone what
 // runs of the jobs that it can't read.
-func TestTakeoverWithPartsAway(t *testing.T) {
-	for name, build := range worlds {
+func TestTakeoverWithUnavailableParts(t *testing.T) {
+	for name, build := range envBuilders {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playTakeoverPartsAway(t, build(t), (*world).killOwner) })
+			synctest.Test(t, func(t *testing.T) { testTakeoverWithUnavailableParts(t, build(t), (*testEnv).killOwner) })
 		})
 		t.Run(name+", all nodes lost", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playTakeoverPartsAway(t, build(t), (*world).restartAll) })
+			synctest.Test(t, func(t *testing.T) { testTakeoverWithUnavailableParts(t, build(t), (*testEnv).restartAll) })
 		})
 	}
 }
 
-func playTakeoverPartsAway(t *testing.T, w *world, lose func(*world) func()) {
+func testTakeoverWithUnavailableParts(t *testing.T, w *testEnv, kill func(*testEnv) func()) {
 	defer w.close()
 	time.Sleep(2 * time.Second)
 	var load sync.WaitGroup
-	load.Go(func() { w.load(4 * partsAway) })
-	away := thirdOfParts()
-	chain := idsWith(func(part string) bool { return slices.Contains(away, part) }, 1)[0]
+	load.Go(func() { w.load(4 * unavailableFor) })
+	unavailable := everyThirdJobPart()
+	chain := jobIDsWhere(func(part string) bool { return slices.Contains(unavailable, part) }, 1)[0]
 	w.submitChain(chain)
-	time.Sleep(partsAway / 2)
-	away = append(away, owner.JobPart(service, w.lastingJob()))
-	w.site.Store.SetUnavailableParts(away...)
-	restart := lose(w)
-	time.Sleep(partsAway / 3)
+	time.Sleep(unavailableFor / 2)
+	unavailable = append(unavailable, owner.JobPart(service, w.longRunningJobID()))
+	w.site.Store.SetUnavailableParts(unavailable...)
+	restart := kill(w)
+	time.Sleep(unavailableFor / 3)
 	var jobs sync.WaitGroup
-	readable := func(part string) bool { return !slices.Contains(away, part) }
-	for i, id := range idsWith(readable, len(w.names())) {
-		jobs.Go(func() { w.checkServed(w.names()[i], id) })
+	readable := func(part string) bool { return !slices.Contains(unavailable, part) }
+	for i, id := range jobIDsWhere(readable, len(w.nodeNames())) {
+		jobs.Go(func() { w.checkJobServed(w.nodeNames()[i], id) })
 	}
-	time.Sleep(partsAway)
+	time.Sleep(unavailableFor)
 	jobs.Wait()
 	w.site.Store.SetUnavailableParts()
 	restart()
 	load.Wait()
-	w.checkSettled()
-	if n, _ := w.starts(w.lasting); n != 2 {
+	w.checkJobsSettled()
+	if n, _ := w.starts(w.longRunning); n != 2 {
 		t.Errorf("the lasting job's tasks were started %d times, want 2", n)
 	}
-	if n := w.done(chain); n != chainSteps {
+	if n := w.successes(chain); n != chainSteps {
 		t.Errorf("the tasks of a chain of %d steps were done %d times", chainSteps, n)
 	}
-	w.checkJudged()
+	w.checkNoViolations()
 }
 
 const (
@@ -168,22 +168,22 @@
 )
 
 // submitChain hands in a job whose steps follow each other.
-func (w *world) submitChain(id string) {
+func (w *testEnv) submitChain(id string) {
 	steps := make([]stepBody, chainSteps)
 	for i := range steps {
 		steps[i] = stepBody{Count: 1, CPU: 500, MemoryMB: 100, EstimateMS: chainStepMS}
 		if i > 0 {
-			steps[i].After = []int{i - 1}
+			steps[i].DependsOn = []int{i - 1}
 		}
 	}
-	w.handIn(w.names()[0], "batch", id, fmt.Sprintf("%d cpu=500", chainStepMS), steps...)
+	w.submitTo(w.nodeNames()[0], "batch", id, fmt.Sprintf("%d cpu=500", chainStepMS), steps...)
 	w.mu.Lock()
 	w.accepted = append(w.accepted, id)
 	w.mu.Unlock()
 }
 
-// done returns how often tasks of a job were done.
-func (w *world) done(job string) int {
+// successes returns how often tasks of a job were successes.
+func (w *testEnv) successes(job string) int {
 	n := 0
 	for _, e := range w.site.Events() {
 		if e.Kind == site.EventSuccess && strings.HasPrefix(e.Task, job) {
@@ -193,27 +193,27 @@
 	return n
 }
 
-// lastingJob returns the job that lasts, which the load has handed in.
-func (w *world) lastingJob() string {
+// longRunningJobID returns the job that lasts, which the load has handed in.
+func (w *testEnv) longRunningJobID() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lasting
+	return w.longRunning
 }
 
 // restartAll kills all nodes and starts others in their places.
-func (w *world) restartAll() func() {
-	for _, n := range w.names() {
+func (w *testEnv) restartAll() func() {
+	for _, n := range w.nodeNames() {
 		w.kill(n)
 		w.startNode(n + "x")
 	}
 	return func() {}
 }
 
-// idsWith returns IDs of jobs whose parts are as wanted.
-func idsWith(wanted func(part string) bool, n int) []string {
+// jobIDsWhere returns IDs of jobs whose parts are as wanted.
+func jobIDsWhere(match func(part string) bool, n int) []string {
 	var ids []string
 	for i := 0xc000; len(ids) < n; i++ {
-		if id := fmt.Sprintf("%016x", i); wanted(owner.JobPart(service, id)) {
+		if id := fmt.Sprintf("%016x", i); match(owner.JobPart(service, id)) {
 			ids = append(ids, id)
 		}
 	}
--- a/matrix/site/peers_test.go
+++ b/matrix/site/peers_test.go
@@ -18,27 +18,27 @@
 func TestNodesFindEachOtherAfterLongCut(t *testing.T) {
 	const cutFor, foundWithin = 30 * time.Second, 30 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(5 * time.Second)
-		owner, away := w.owner(), ""
-		for _, name := range w.names() {
+		owner, isolated := w.owner(), ""
+		for _, name := range w.nodeNames() {
 			if name != owner {
-				away = name
+				isolated = name
 			}
 		}
-		others := slices.DeleteFunc(w.names(), func(name string) bool { return name == away })
+		others := slices.DeleteFunc(w.nodeNames(), func(name string) bool { return name == isolated })
 		for _, name := range others {
-			w.net.SetPartitioned(away, name, true)
+			w.net.SetPartitioned(isolated, name, true)
 		}
 		time.Sleep(cutFor)
 		for _, name := range others {
-			w.net.SetPartitioned(away, name, false)
+			w.net.SetPartitioned(isolated, name, false)
 		}
 		time.Sleep(foundWithin)
-		for _, name := range w.names() {
+		for _, name := range w.nodeNames() {
 			if up := w.metric(name, "switchbank_peers_up"); int(up) != len(others) {
-				t.Errorf("%s knows %v other nodes to be up %v after %s was cut off for %v, want %d", name, up, foundWithin, away, cutFor, len(others))
+				t.Errorf("%s knows %v other nodes to be up %v after %s was cut off for %v, want %d", name, up, foundWithin, isolated, cutFor, len(others))
 			}
 		}
 	})
--- a/matrix/site/plays_test.go
+++ b/matrix/site/plays_test.go
@@ -4,5 +4,5 @@
 
 package site_test
 
-// samplePlays is how many seeds each search plays by default.
-const samplePlays = 16
+// sampleSeeds is how many seeds each search plays by default.
+const sampleSeeds = 16
--- a/matrix/site/playsrace_test.go
+++ b/matrix/site/playsrace_test.go
@@ -4,6 +4,6 @@
 
 package site_test
 
-// samplePlays is how many seeds each search plays by default: under the race detector on
+// sampleSeeds is how many seeds each search plays by default: under the race detector on
 // one processor each takes several times as long.
-const samplePlays = 4
+const sampleSeeds = 4
--- a/matrix/site/reborn_test.go
+++ b/matrix/site/reborn_test.go
@@ -15,9 +15,9 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// newRebornWorld returns a world of two shards whose workers tell when their lives began.
-func newRebornWorld(t *testing.T) *world {
-	w := newWorldWith(t, 0, perShard, func(w *world) { w.site.Configure(1, routes()...) })
+// newWorkerRestartEnv returns a world of two shards whose workers tell when their lives began.
+func newWorkerRestartEnv(t *testing.T) *testEnv {
+	w := newEnvWith(t, 0, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
 	for i := range shardedWorkers {
 		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
 			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: true,
@@ -26,38 +26,38 @@
 	return w
 }
 
-// reborn lets the i-th worker crash and start again, under its old ID, after a pause; its
+// crashAndRestart lets the i-th worker crash and start again, under its old ID, after a pause; its
 // host's clock is set by clockSet meanwhile.
-func (w *world) reborn(i int, pause, clockSet time.Duration) {
+func (w *testEnv) crashAndRestart(i int, pause, clockShift time.Duration) {
 	old := w.worker(i)
 	if old.Crashed() {
 		return
 	}
 	old.Crash()
 	time.Sleep(pause)
-	next := w.again(old, clockSet)
+	next := w.startReplacement(old, clockShift)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.workers[i] = next
 }
 
-// again begins the next life on the machine of a worker that has crashed: under its old ID
+// startReplacement begins the next life on the machine of a worker that has crashed: under its old ID
 // if the worker tells its start, under a new one if not.
-func (w *world) again(old *site.Worker, clockSet time.Duration) *site.Worker {
+func (w *testEnv) startReplacement(old *site.Worker, clockShift time.Duration) *site.Worker {
 	if old.ReportsStartTime() {
-		return w.site.RestartSameID(old, clockSet)
+		return w.site.RestartSameID(old, clockShift)
 	}
 	return w.site.Restart(old)
 }
 
-// rebornRounds and rebornJobs are how often workers start again in a play, and how many
+// restartRounds and jobsPerRound are how often workers start again in a play, and how many
 // jobs are handed in before each round.
 const (
-	rebornRounds = 6
-	rebornJobs   = 24
+	restartRounds = 6
+	jobsPerRound  = 24
 )
 
-// TestWorkersStartAgainUnderTheirIDs lets six of eight workers crash and start again under
+// TestWorkersRestartUnderSameID lets six of eight workers crash and start again under
 // the IDs that they had, up to 20 ms later, in six rounds, among jobs of three tasks. Every
 // job must end, and no task succeed twice whose success was confirmed.
 //
@@ -66,27 +66,27 @@
 // forgotten unread by the worker, and its runs were held against those of the old one. Of
 // 24 jobs of a round 8 or 9 had not ended after 12 s, and 23 to 56 of 425 tasks were done
 // more than once. From pauses of 50 ms on the list of machines showed the crash first.
-func TestWorkersStartAgainUnderTheirIDs(t *testing.T) {
+func TestWorkersRestartUnderSameID(t *testing.T) {
 	for _, pause := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond, 80 * time.Millisecond, time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const within = 12 * time.Second
-				w := newRebornWorld(t)
+				const settleTime = 12 * time.Second
+				w := newWorkerRestartEnv(t)
 				defer w.close()
 				w.site.SetRejectOneIn(1 << 30)
 				time.Sleep(4 * time.Second)
-				for round := range rebornRounds {
-					for range rebornJobs {
+				for round := range restartRounds {
+					for range jobsPerRound {
 						w.submit("batch", "900 cpu=500", stepBody{Count: 3, CPU: 500, MemoryMB: 10, EstimateMS: 900})
 					}
 					time.Sleep(time.Duration(200+100*round) * time.Millisecond)
 					for i := range 6 {
-						go w.reborn(i, pause, time.Duration(round%3-1)*3*time.Second)
+						go w.crashAndRestart(i, pause, time.Duration(round%3-1)*3*time.Second)
 					}
-					time.Sleep(within)
-					w.checkJobsEnded()
+					time.Sleep(settleTime)
+					w.checkJobsSucceeded()
 				}
-				w.checkJudged()
+				w.checkNoViolations()
 			})
 		})
 	}
@@ -100,10 +100,10 @@
 //
 // REBORN_SEED=n plays one seed, MODEL=full many.
 func TestSearchRebornWorkers(t *testing.T) {
-	const full = 1000
-	first, last := 0, samplePlays
-	if playsInFull() {
-		last = full
+	const fullSeeds = 1000
+	first, last := 0, sampleSeeds
+	if fullSearch() {
+		last = fullSeeds
 	}
 	if n, err := strconv.Atoi(os.Getenv("REBORN_SEED")); err == nil {
 		first, last = n, n+1
@@ -111,35 +111,35 @@
 	for seed := first; seed < last; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { searchReborn(t, uint64(seed)) })
+			synctest.Test(t, func(t *testing.T) { searchWorkerRestarts(t, uint64(seed)) })
 		})
 	}
 }
 
-// restarts draws a series of workers that start again, within milliseconds as a rule.
-func (w *world) restarts(rng *rand.Rand) {
+// restartRandomWorkers draws a series of workers that start again, within milliseconds as a rule.
+func (w *testEnv) restartRandomWorkers(rng *rand.Rand) {
 	for range 1 + rng.IntN(4) {
 		i := rng.IntN(shardedWorkers)
 		pause := time.Duration(rng.IntN(30)) * time.Millisecond
 		if rng.IntN(4) == 0 {
 			pause = time.Duration(rng.IntN(3000)) * time.Millisecond
 		}
-		w.reborn(i, pause, time.Duration(rng.IntN(7)-3)*time.Second)
+		w.crashAndRestart(i, pause, time.Duration(rng.IntN(7)-3)*time.Second)
 		time.Sleep(time.Duration(rng.IntN(50)) * time.Millisecond)
 	}
 }
 
-// lateOrders lets the next orders to a worker be carried out late, after its end too.
-func (w *world) lateOrders(rng *rand.Rand) {
+// delayRandomOrders lets the next orders to a worker be carried out late, after its end too.
+func (w *testEnv) delayRandomOrders(rng *rand.Rand) {
 	w.worker(rng.IntN(shardedWorkers)).SetFaults(site.WorkerFaults{
 		Late: 1 + rng.IntN(3), LateBy: time.Duration(500+rng.IntN(11_500)) * time.Millisecond,
 	})
 }
 
-// stallOrders holds what the nodes send to a worker on its way for a while.
-func (w *world) stallOrders(rng *rand.Rand) {
+// stallRandomWorker holds what the nodes send to a worker on its way for a while.
+func (w *testEnv) stallRandomWorker(rng *rand.Rand) {
 	host := fmt.Sprintf("w%d", rng.IntN(shardedWorkers))
-	names, from := w.names(), time.Now()
+	names, from := w.nodeNames(), time.Now()
 	for _, n := range names {
 		w.net.Stall(n, host)
 	}
@@ -147,7 +147,7 @@
 	for _, n := range names {
 		w.net.Release(n, host)
 	}
-	w.stalls = append(w.stalls, stall{hostID(host), from, time.Now()})
+	w.stalls = append(w.stalls, stall{initialWorkerID(host), from, time.Now()})
 }
 
 // stall is a time in which orders to a worker were on their way.
@@ -156,8 +156,8 @@
 	from, until time.Time
 }
 
-// hostID returns the ID of the worker that a host had first, and keeps if it tells its start.
-func hostID(host string) string {
+// initialWorkerID returns the ID of the worker that a host had first, and keeps if it tells its start.
+func initialWorkerID(host string) string {
 	n, err := strconv.Atoi(host[1:])
 	if err != nil {
 		panic("a worker's host ends with its number: " + host)
@@ -165,70 +165,70 @@
 	return "i-" + strconv.Itoa(n+1)
 }
 
-// heldUp reports whether an order that reached a worker at a time may have been stalled.
-func (w *world) heldUp(worker string, at time.Time) bool {
+// mayBeDelayed reports whether an order that reached a worker at a time may have been stalled.
+func (w *testEnv) mayBeDelayed(worker string, at time.Time) bool {
 	const arrivesWithin = time.Second
 	return slices.ContainsFunc(w.stalls, func(s stall) bool {
 		return s.worker == worker && !at.Before(s.from) && at.Before(s.until.Add(arrivesWithin))
 	})
 }
 
-func searchReborn(t *testing.T, seed uint64) {
+func searchWorkerRestarts(t *testing.T, seed uint64) {
 	const (
-		steps  = 16
-		settle = 60 * time.Second
-		// stays is how many tasks last; beside them there is always room for a gang.
-		stays = shardedWorkers - widest
+		steps      = 16
+		settleTime = 60 * time.Second
+		// longRunningTasks is how many tasks last; beside them there is always room for a gang.
+		longRunningTasks = shardedWorkers - maxGangSize
 	)
 	rng := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // Each play must repeat.
-	w := newWorldWith(t, 0, perShard, func(w *world) { w.site.Configure(1, routes()...) })
+	w := newEnvWith(t, 0, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
 	defer w.close()
-	telling := rng.IntN(4)
+	reporting := rng.IntN(4)
 	for i := range shardedWorkers {
 		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
-			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: telling > 0 || i%2 == 0,
+			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: reporting > 0 || i%2 == 0,
 		}))
 	}
 	w.site.SetRejectOneIn(1 << 30)
 	time.Sleep(4 * time.Second)
-	lasting := w.submit("batch", "500 lasting cpu=500", stepBody{Count: stays, CPU: 500, MemoryMB: 10, EstimateMS: 500, Lasts: true})
+	longRunning := w.submit("batch", "500 lasting cpu=500", stepBody{Count: longRunningTasks, CPU: 500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
 	for range steps {
-		w.rebornStep(rng)
+		w.randomStep(rng)
 		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
 	for i := range shardedWorkers {
 		w.worker(i).SetFaults(site.WorkerFaults{})
 	}
-	w.settle(settle)
-	if n := w.runningOf(lasting); n != stays {
-		t.Errorf("%d of %d tasks that last run", n, stays)
+	w.waitAndRecordSuccesses(settleTime)
+	if n := w.runningTasks(longRunning); n != longRunningTasks {
+		t.Errorf("%d of %d tasks that last run", n, longRunningTasks)
 	}
-	w.checkJudged()
+	w.checkNoViolations()
 	w.accepted = w.accepted[1:] // the job that lasts, which doesn't end
-	w.checkJobsEnded()
+	w.checkJobsSucceeded()
 }
 
-// widest is the widest gang of a play: wider than a shard.
-const widest = 6
+// maxGangSize is the maxGangSize gang of a play: wider than a shard.
+const maxGangSize = 6
 
-// rebornStep draws what happens next.
-func (w *world) rebornStep(rng *rand.Rand) {
+// randomStep draws what happens next.
+func (w *testEnv) randomStep(rng *rand.Rand) {
 	switch rng.IntN(8) {
 	case 0, 1:
-		w.restarts(rng)
+		w.restartRandomWorkers(rng)
 	case 2:
-		spec, step := gangJob(300+rng.IntN(2000), 2+rng.IntN(widest-1))
+		spec, step := gangJob(300+rng.IntN(2000), 2+rng.IntN(maxGangSize-1))
 		w.submit("batch", spec, step)
 	case 3:
-		w.lateOrders(rng)
+		w.delayRandomOrders(rng)
 	case 4:
-		w.stallOrders(rng)
+		w.stallRandomWorker(rng)
 	case 5:
-		if end := w.killOwner(); rng.IntN(2) == 0 {
+		if startNode := w.killOwner(); rng.IntN(2) == 0 {
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-			end()
+			startNode()
 		} else {
-			end()
+			startNode()
 		}
 	default:
 		queue := []string{"batch", "urgent"}[rng.IntN(2)]
@@ -236,8 +236,8 @@
 	}
 }
 
-// runningOf returns how many tasks of a job run, by what the workers saw.
-func (w *world) runningOf(job string) int {
+// runningTasks returns how many tasks of a job run, by what the workers saw.
+func (w *testEnv) runningTasks(job string) int {
 	running := make(map[string]bool)
 	for _, e := range w.site.Events() {
 		if len(e.Task) < len(job) || e.Task[:len(job)] != job {
@@ -252,31 +252,31 @@
 	return len(running)
 }
 
-// TestTasksThatLastRunAgainAfterRestart lets half of the workers start again under their IDs
+// TestLongRunningTasksRestartWithWorkers lets half of the workers start again under their IDs
 // while tasks that last run on all of them. Each must run again within 3 s.
-func TestTasksThatLastRunAgainAfterRestart(t *testing.T) {
+func TestLongRunningTasksRestartWithWorkers(t *testing.T) {
 	const (
-		stays  = 2 * shardedWorkers
-		within = 3 * time.Second
+		longRunningTasks = 2 * shardedWorkers
+		within           = 3 * time.Second
 	)
 	for _, pause := range []time.Duration{0, 10 * time.Millisecond, 500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newRebornWorld(t)
+			w := newWorkerRestartEnv(t)
 			defer w.close()
 			time.Sleep(4 * time.Second)
-			id := w.submit("batch", "500 lasting cpu=1500", stepBody{Count: stays, CPU: 1500, MemoryMB: 10, EstimateMS: 500, Lasts: true})
+			id := w.submit("batch", "500 lasting cpu=1500", stepBody{Count: longRunningTasks, CPU: 1500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
 			time.Sleep(3 * time.Second)
-			if n := w.runningOf(id); n != stays {
-				t.Fatalf("%d of %d tasks run", n, stays)
+			if n := w.runningTasks(id); n != longRunningTasks {
+				t.Fatalf("%d of %d tasks run", n, longRunningTasks)
 			}
 			for i := range shardedWorkers / 2 {
-				go w.reborn(2*i, pause, time.Duration(i-2)*time.Second)
+				go w.crashAndRestart(2*i, pause, time.Duration(i-2)*time.Second)
 			}
 			time.Sleep(within)
-			if n := w.runningOf(id); n != stays {
-				t.Errorf("%s after workers started again after %s, %d of %d tasks run", within, pause, n, stays)
+			if n := w.runningTasks(id); n != longRunningTasks {
+				t.Errorf("%s after workers started again after %s, %d of %d tasks run", within, pause, n, longRunningTasks)
 			}
-			w.checkJudged()
+			w.checkNoViolations()
 		})
 	}
 }
--- a/matrix/site/shards_test.go
+++ b/matrix/site/shards_test.go
@@ -18,7 +18,7 @@
 )
 
 // starts returns how many tasks of a job were started, and the worker of the last.
-func (w *world) starts(job string) (n int, worker string) {
+func (w *testEnv) starts(job string) (n int, worker string) {
 	for _, e := range w.site.Events() {
 		if e.Kind == site.EventStart && len(e.Task) > len(job) && e.Task[:len(job)] == job {
 			n, worker = n+1, e.Worker
@@ -27,25 +27,25 @@
 	return n, worker
 }
 
-// newLabelledWorld returns a world of two shards, in which only the last worker
+// newLabelledEnv returns a world of two shards, in which only the last worker
 // carries a label.
-func newLabelledWorld(t *testing.T) (w *world, rare *site.Worker) {
-	w = newShardedWorld(t)
+func newLabelledEnv(t *testing.T) (w *testEnv, labelled *site.Worker) {
+	w = newShardedEnv(t)
 	// The layout is made first: with this worker there would be three shards.
 	time.Sleep(2 * time.Second)
-	rare = w.site.AddWorker(site.WorkerConfig{Rack: "r1-0", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
+	labelled = w.site.AddWorker(site.WorkerConfig{Rack: "r1-0", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
 	time.Sleep(4 * time.Second)
-	return w, rare
+	return w, labelled
 }
 
-// rareJobs is how many jobs a test hands in that only one worker can run.
-const rareJobs = 6
+// labelledJobs is how many jobs a test hands in that only one worker can run.
+const labelledJobs = 6
 
-// submitRare hands in jobs that only the worker with the label can run, and returns
+// submitLabelled hands in jobs that only the worker with the label can run, and returns
 // their IDs.
-func (w *world) submitRare() []string {
+func (w *testEnv) submitLabelled() []string {
 	var ids []string
-	for range rareJobs {
+	for range labelledJobs {
 		ids = append(ids, w.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 10, Label: "rare"}))
 	}
 	return ids
@@ -55,32 +55,32 @@
 // label goes to the one that has, wherever it was accepted.
 func TestJobMovesToWorkersThatFit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, rare := newLabelledWorld(t)
+		w, labelled := newLabelledEnv(t)
 		defer w.close()
-		ids := w.submitRare()
+		ids := w.submitLabelled()
 		time.Sleep(10 * time.Second)
 		for _, id := range ids {
 			n, worker := w.starts(id)
-			if state := w.state("batch", id); state != "succeeded" || n != 1 || worker != rare.ID {
+			if state := w.state("batch", id); state != "succeeded" || n != 1 || worker != labelled.ID {
 				t.Errorf("job %s is %q after %d starts, the last on %s", id, state, n, worker)
 			}
 		}
 	})
 }
 
-// TestAcceptanceToldLate checks that a job which has moved to another shard and
+// TestLateAcceptanceMessage checks that a job which has moved to another shard and
 // ended there isn't run again where it was accepted, when a slow node tells that
 // shard's owner only then, and not after a takeover either.
-func TestAcceptanceToldLate(t *testing.T) {
+func TestLateAcceptanceMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _ := newLabelledWorld(t)
+		w, _ := newLabelledEnv(t)
 		defer w.close()
-		ids := w.submitRare()
+		ids := w.submitLabelled()
 		time.Sleep(10 * time.Second)
-		w.tellLate(ids)
+		w.sendLateAcceptance(ids)
 		w.kill(w.site.Owner())
 		time.Sleep(5 * time.Second)
-		w.tellLate(ids)
+		w.sendLateAcceptance(ids)
 		time.Sleep(5 * time.Second)
 		for _, id := range ids {
 			if n, _ := w.starts(id); n != 1 {
@@ -90,9 +90,9 @@
 	})
 }
 
-// tellLate hands jobs without a label to the owners of both shards, with the
+// sendLateAcceptance hands jobs without a label to the owners of both shards, with the
 // version of their acceptance.
-func (w *world) tellLate(ids []string) {
+func (w *testEnv) sendLateAcceptance(ids []string) {
 	for _, id := range ids {
 		version := w.site.Store.Version(owner.TablePins, owner.JobPart(service, id), id)
 		for shard := range 2 {
@@ -106,14 +106,14 @@
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			w.tellAll(body)
+			w.sendAcceptanceToAll(body)
 		}
 	}
 }
 
-// tellAll sends a message about an accepted job to each node.
-func (w *world) tellAll(body []byte) {
-	for _, n := range w.names() {
+// sendAcceptanceToAll sends a message about an accepted job to each node.
+func (w *testEnv) sendAcceptanceToAll(body []byte) {
+	for _, n := range w.nodeNames() {
 		r, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost, fmt.Sprintf("http://%s:3/peer/v2/job", n), bytes.NewReader(body))
 		if err != nil {
 			w.t.Fatal(err)
@@ -122,24 +122,24 @@
 	}
 }
 
-// TestCutOffNodeTakesNothing checks that a node which reaches the store but no other
+// TestPartitionedNodeTakesNoShard checks that a node which reaches the store but no other
 // node takes no shard: the owner works on for the others.
-func TestCutOffNodeTakesNothing(t *testing.T) {
+func TestPartitionedNodeTakesNoShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
 		w.submit("urgent", urgentSpec, urgentSteps()...)
 		time.Sleep(time.Second)
 		owner := w.site.Owner()
 		others := otherNodes(w, owner)
-		cut := others[0]
-		w.net.SetPartitioned(cut, owner, true)
-		w.net.SetPartitioned(cut, others[1], true)
+		isolated := others[0]
+		w.net.SetPartitioned(isolated, owner, true)
+		w.net.SetPartitioned(isolated, others[1], true)
 		for range 10 {
 			w.submit("urgent", urgentSpec, urgentSteps()...)
-			if now := w.site.Owner(); now == cut {
-				t.Fatalf("%s was cut off and took the shard of %s", cut, owner)
+			if now := w.site.Owner(); now == isolated {
+				t.Fatalf("%s was cut off and took the shard of %s", isolated, owner)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/matrix/site/silence_test.go
+++ b/matrix/site/silence_test.go
@@ -27,47 +27,47 @@
 // work: calls are answered soon after, nothing that runs is lost, and the shards keep
 // their owners.
 func TestSilentConnections(t *testing.T) {
-	playInWorlds(t, playSilence)
+	runInEnvs(t, testSilentConnections)
 }
 
-func playSilence(t *testing.T, w *world) {
+func testSilentConnections(t *testing.T, w *testEnv) {
 	defer w.close()
-	load := w.beginLoad(silentRounds*silentPause, silentPause/2)
+	load := w.startLoad(silentRounds*silentPause, silentPause/2)
 	owner := w.owner()
 	var jobs sync.WaitGroup
 	for round := range silentRounds {
 		w.net.SilenceOpenConnections(callerHost)
-		for i, node := range w.names() {
-			jobs.Go(func() { w.checkServed(node, fmt.Sprintf("%016x", 0xa000+16*round+i)) })
+		for i, node := range w.nodeNames() {
+			jobs.Go(func() { w.checkJobServed(node, fmt.Sprintf("%016x", 0xa000+16*round+i)) })
 		}
 		time.Sleep(silentPause)
 	}
 	load.Wait()
 	jobs.Wait()
-	if n, _ := w.starts(w.lasting); n != 2 {
+	if n, _ := w.starts(w.longRunning); n != 2 {
 		t.Errorf("the lasting job's tasks were started %d times, want 2", n)
 	}
-	if now := w.owner(); w.perShard == cellWorkers && now != owner {
+	if now := w.owner(); w.workersPerShard == cellWorkers && now != owner {
 		t.Errorf("the shard moved from %s to %s", owner, now)
 	}
-	w.checkSettled()
-	w.checkJudged()
+	w.checkJobsSettled()
+	w.checkNoViolations()
 }
 
-// checkServed hands one job in at a node and checks how soon it is accepted and ends.
-func (w *world) checkServed(node, id string) {
+// checkJobServed hands one job in at a node and checks how soon it is accepted and ends.
+func (w *testEnv) checkJobServed(node, id string) {
 	body := w.encodeJob(urgentSpec, urgentSteps()...)
-	began := time.Now()
+	submittedAt := time.Now()
 	status, _ := w.call(node, http.MethodPost, "/urgent/"+id, body)
-	if took := time.Since(began); status != http.StatusOK || took > acceptedWithin {
+	if took := time.Since(submittedAt); status != http.StatusOK || took > acceptedWithin {
 		w.t.Errorf("%s answered %d after %s, want %d within %s", node, status, took, http.StatusOK, acceptedWithin)
 	}
 	for w.state("urgent", id) != "succeeded" {
-		if time.Since(began) > endedWithin {
+		if time.Since(submittedAt) > endedWithin {
 			w.t.Errorf("job %s handed in at %s is %q after %s", id, node, w.state("urgent", id), endedWithin)
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.t.Logf("job %s at %s ended after %s", id, node, time.Since(began))
+	w.t.Logf("job %s at %s ended after %s", id, node, time.Since(submittedAt))
 }
--- a/matrix/site/slow_test.go
+++ b/matrix/site/slow_test.go
@@ -31,20 +31,20 @@
 		{"100 times slower, in a rush", site.StoreFaults{Delay: 400 * time.Millisecond, PartBusy: 300 * time.Millisecond}, 12 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playSlowStore(t, c.slow, c.pause) })
+			synctest.Test(t, func(t *testing.T) { testSlowStore(t, c.slow, c.pause) })
 		})
 	}
 }
 
-func playSlowStore(t *testing.T, slow site.StoreFaults, pause time.Duration) {
-	const lasts = 4 * time.Second
-	w := newWorld(t)
+func testSlowStore(t *testing.T, slow site.StoreFaults, pause time.Duration) {
+	const duration = 4 * time.Second
+	w := newEnv(t)
 	defer w.close()
 	time.Sleep(4 * time.Second)
 	w.site.Store.SetFaults(slow)
 	body := w.encodeJob(urgentSpec, stepBody{Count: 1, CPU: 10, MemoryMB: 10, EstimateMS: 400})
 	var wg sync.WaitGroup
-	for i := range int(lasts / pause) {
+	for i := range int(duration / pause) {
 		wg.Go(func() {
 			began := time.Now()
 			node := fmt.Sprintf("n%d", i%cellNodes)
--- a/matrix/site/slowlink_test.go
+++ b/matrix/site/slowlink_test.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// slowLink is a link of 10 Mbit/s, in bytes a second, and slowNodes is how many
+	// slowLinkRate is a link of 10 Mbit/s, in bytes a second, and slowNodes is how many
 	// nodes have one, beside cellNodes with fast links.
-	slowLink  = 1_250_000
-	slowNodes = 9
-	// routesMore is by how many routes a large change makes the configuration longer:
+	slowLinkRate = 1_250_000
+	slowNodes    = 9
+	// extraRoutes is by how many routes a large change makes the configuration longer:
 	// on the wire a route takes some 250 bytes.
-	routesMore = 1400
-	// fromPeersMost is what a node may receive, in bytes, that has four versions of up to
+	extraRoutes = 1400
+	// maxPeerBytes is what a node may receive, in bytes, that has four versions of up to
 	// 4,203 routes from its peers: twice of what it does.
-	fromPeersMost = 600_000
-	// inForceWithin is by when a confirmed configuration has to be in force on all nodes.
-	inForceWithin = 3 * time.Second
+	maxPeerBytes = 600_000
+	// appliedWithin is by when a confirmed configuration has to be in force on all nodes.
+	appliedWithin = 3 * time.Second
 )
 
-// newSlowLinkWorld returns a world in which most nodes have slow links.
-func newSlowLinkWorld(t *testing.T) *world {
-	w := newWorld(t)
+// newSlowLinkEnv returns a world in which most nodes have slow links.
+func newSlowLinkEnv(t *testing.T) *testEnv {
+	w := newEnv(t)
 	for i := range slowNodes {
 		name := fmt.Sprintf("s%d", i)
-		w.net.SetBandwidth(name, slowLink)
+		w.net.SetBandwidth(name, slowLinkRate)
 		w.startNode(name)
 	}
 	return w
@@ -52,16 +52,16 @@
 
 // configure writes a version with n routes more, waits until inForceWithin is over and
 // checks that each node serves the version's own route, and no more that of the one before.
-func (w *world) configure(version int64, n int) {
+func (w *testEnv) configure(version int64, n int) {
 	w.t.Helper()
 	w.site.Configure(version, manyRoutes(version, n)...)
-	time.Sleep(inForceWithin)
-	for _, node := range w.names() {
+	time.Sleep(appliedWithin)
+	for _, node := range w.nodeNames() {
 		if status, _ := w.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version), ""); status != http.StatusOK {
-			w.t.Errorf("%s after version %d was written, %s answers %d for its new route, want %d", inForceWithin, version, node, status, http.StatusOK)
+			w.t.Errorf("%s after version %d was written, %s answers %d for its new route, want %d", appliedWithin, version, node, status, http.StatusOK)
 		}
 		if status, _ := w.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version-1), ""); status != http.StatusNotFound {
-			w.t.Errorf("%s after version %d was written, %s answers %d for a removed route, want %d", inForceWithin, version, node, status, http.StatusNotFound)
+			w.t.Errorf("%s after version %d was written, %s answers %d for a removed route, want %d", appliedWithin, version, node, status, http.StatusNotFound)
 		}
 	}
 }
@@ -83,13 +83,13 @@
 //	SB1710 configuration in force  source="store feed" bytes=802745 behind=18.511882381s
 func TestLargeConfigurationsOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkWorld(t)
+		w := newSlowLinkEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, routesMore)
-		w.configure(3, routesMore)
-		w.configure(4, 2*routesMore)
-		w.configure(5, 2*routesMore)
+		w.configure(2, extraRoutes)
+		w.configure(3, extraRoutes)
+		w.configure(4, 2*extraRoutes)
+		w.configure(5, 2*extraRoutes)
 	})
 }
 
@@ -105,48 +105,48 @@
 func TestLargeConfigurationsFromPeers(t *testing.T) {
 	const versions = 6
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkWorld(t)
+		w := newSlowLinkEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, routesMore)
+		w.configure(2, extraRoutes)
 		w.site.Store.SetFaults(site.StoreFaults{Deny: []string{"s0", "s1", "s2", "s3"}})
 		time.Sleep(time.Second)
 		before := w.net.ReceivedBytes("s0")
-		w.configure(3, 2*routesMore)
-		w.configure(4, 2*routesMore)
-		w.configure(5, 3*routesMore)
-		w.configure(versions, 3*routesMore)
+		w.configure(3, 2*extraRoutes)
+		w.configure(4, 2*extraRoutes)
+		w.configure(5, 3*extraRoutes)
+		w.configure(versions, 3*extraRoutes)
 		// Side by side there are two or three for each version.
 		if got := w.metric("s0", `switchbank_config_fetches_total{outcome="read"}`); got > versions {
 			t.Errorf("s0 fetched a configuration %v times, want %d at most", got, versions)
 		}
-		if got := w.net.ReceivedBytes("s0") - before; got > fromPeersMost {
-			t.Errorf("s0 received %d bytes, want at most %d", got, fromPeersMost)
+		if got := w.net.ReceivedBytes("s0") - before; got > maxPeerBytes {
+			t.Errorf("s0 received %d bytes, want at most %d", got, maxPeerBytes)
 		}
 	})
 }
 
-// TestUnchangedConfigurationIsNotReadAgain checks that a configuration of 1,403 routes
+// TestUnchangedConfigurationIsNotReread checks that a configuration of 1,403 routes
 // that doesn't change isn't read again and again: it was listed each second, which made
 // 465 kB a second on each node, and 14 without.
-func TestUnchangedConfigurationIsNotReadAgain(t *testing.T) {
+func TestUnchangedConfigurationIsNotReread(t *testing.T) {
 	const (
 		seconds = 20
-		// most is what a node without a shard may receive, in bytes a second: the
+		// maxRate is what a node without a shard may receive, in bytes a second: the
 		// target for all that a node does for control.
-		most = 18_000
+		maxRate = 18_000
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkWorld(t)
+		w := newSlowLinkEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, routesMore)
+		w.configure(2, extraRoutes)
 		before := w.net.ReceivedBytes("s0")
 		time.Sleep(seconds * time.Second)
-		got := (w.net.ReceivedBytes("s0") - before) / seconds
-		t.Logf("%d bytes a second", got)
-		if got > most {
-			t.Errorf("a node receives %d bytes a second while nothing changes, want at most %d", got, most)
+		rate := (w.net.ReceivedBytes("s0") - before) / seconds
+		t.Logf("%d bytes a second", rate)
+		if rate > maxRate {
+			t.Errorf("a node receives %d bytes a second while nothing changes, want at most %d", rate, maxRate)
 		}
 	})
 }
--- a/matrix/site/spoiltrows_test.go
+++ b/matrix/site/spoiltrows_test.go
@@ -12,60 +12,60 @@
 	"switchbank.example/switchbank/internal/owner"
 )
 
-// spoiltRow is a row that can't be read any more, and what it may cost.
-type spoiltRow struct {
+// corruptRow is a row that can't be read any more, and what it may cost.
+type corruptRow struct {
 	name             string
 	table, part, key string
-	// state is the state of the job that was handed in before, once the owner is
+	// wantState is the wantState of the job that was handed in before, once the owner is
 	// killed and its time has passed. That of its row is lost with the row.
-	state string
+	wantState string
 }
 
-// spoiltID is the job to which the rows belong.
-const spoiltID = "00000000000000ab"
+// corruptJobID is the job to which the rows belong.
+const corruptJobID = "00000000000000ab"
 
-// spoiltRows are the rows that a node reads, but for the directory's.
-func spoiltRows() []spoiltRow {
+// corruptRows are the rows that a node reads, but for the directory's.
+func corruptRows() []corruptRow {
 	shard := cluster.ShardID{Service: service}
-	part := owner.JobPart(service, spoiltID)
-	return []spoiltRow{
+	part := owner.JobPart(service, corruptJobID)
+	return []corruptRow{
 		{"the configuration", "op", "", "config", "succeeded"},
 		{"a member's row", "cell", "", "node/n0", "succeeded"},
 		{"the owner's row", "cell", "", "owner/" + shard.String(), "succeeded"},
 		{"the layout", "cell", "", "layout/" + service, "succeeded"},
 		{"the fence", owner.TableProgress, owner.ProgressPart(shard), owner.FenceRow(shard).Key, "succeeded"},
 		{"the list of workers", owner.TableProgress, owner.ProgressPart(shard), "!workers", "succeeded"},
-		{"the job's pin", owner.TablePins, part, spoiltID, "succeeded"},
-		{"the job's progress", owner.TableProgress, owner.ProgressPart(shard), spoiltID, "succeeded"},
-		{"the job's row", owner.TableJobs(shard), part, spoiltID, "running"},
+		{"the job's pin", owner.TablePins, part, corruptJobID, "succeeded"},
+		{"the job's progress", owner.TableProgress, owner.ProgressPart(shard), corruptJobID, "succeeded"},
+		{"the job's row", owner.TableJobs(shard), part, corruptJobID, "running"},
 	}
 }
 
-// TestSpoiltRows spoils each kind of row that nodes read, while a job runs, and then
+// TestCorruptRows spoils each kind of row that nodes read, while a job runs, and then
 // kills the owner: the shard is taken, the job ends, except if its own row is lost, and
 // new jobs are accepted and end. With a row of the owner that could not be read nobody
 // could take the shard: each try failed on the version of the row, which was skipped.
-func TestSpoiltRows(t *testing.T) {
-	for _, c := range spoiltRows() {
+func TestCorruptRows(t *testing.T) {
+	for _, c := range corruptRows() {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playSpoiltRow(t, c) })
+			synctest.Test(t, func(t *testing.T) { testCorruptRow(t, c) })
 		})
 	}
 }
 
-func playSpoiltRow(t *testing.T, c spoiltRow) {
-	w := newWorld(t)
+func testCorruptRow(t *testing.T, c corruptRow) {
+	w := newEnv(t)
 	defer w.close()
 	time.Sleep(4 * time.Second)
-	step := stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 3000, Saves: true}
-	w.handIn("n1", "batch", spoiltID, "3000 cpu=500", step)
+	step := stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 3000, Checkpoints: true}
+	w.submitTo("n1", "batch", corruptJobID, "3000 cpu=500", step)
 	time.Sleep(time.Second)
 	w.site.Store.PutRaw(c.table, c.part, c.key, []byte(`{"owner":5,"shards":"x"`))
 	time.Sleep(time.Second)
 	w.kill(w.site.Owner())
 	time.Sleep(12 * time.Second)
-	if got := w.state("batch", spoiltID); got != c.state {
-		t.Errorf("the job is %q, want %q", got, c.state)
+	if got := w.state("batch", corruptJobID); got != c.wantState {
+		t.Errorf("the job is %q, want %q", got, c.wantState)
 	}
 	id := w.submit("batch", "400 cpu=500", stepBody{Count: 1, CPU: 500, MemoryMB: 100, EstimateMS: 400})
 	time.Sleep(3 * time.Second)
@@ -74,24 +74,24 @@
 	}
 	w.site.Configure(2, routes()[:1]...)
 	time.Sleep(2 * time.Second)
-	for _, n := range w.names() {
+	for _, n := range w.nodeNames() {
 		if status, _ := w.call(n, http.MethodGet, "/batch/", ""); status != http.StatusNotFound {
 			t.Errorf("%s serves a queue that version 2 has removed: %d", n, status)
 		}
 	}
-	w.checkJudged()
+	w.checkNoViolations()
 }
 
-// TestSpoiltSpilledRows spoils all rows in which progress is spilled while its own part
+// TestCorruptSpilledRows spoils all rows in which progress is spilled while its own part
 // is away, and then kills the owner: the next one goes on from what the jobs' own rows and
 // the workers say, each accepted job ends, and the spoilt rows are removed.
-func TestSpoiltSpilledRows(t *testing.T) {
+func TestCorruptSpilledRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEnv(t)
 		defer w.close()
-		load := w.beginLoad(2*partsAway, partsAway/2)
+		load := w.startLoad(2*unavailableFor, unavailableFor/2)
 		w.site.Store.SetUnavailableParts(w.progressParts()...)
-		time.Sleep(partsAway / 2)
+		time.Sleep(unavailableFor / 2)
 		spilled := w.site.Store.Keys("spill")
 		if len(spilled) == 0 {
 			t.Fatal("nothing was spilled")
@@ -104,7 +104,7 @@
 		w.site.Store.SetUnavailableParts()
 		restart()
 		load.Wait()
-		w.checkSettled()
+		w.checkJobsSettled()
 		if left := w.site.Store.Keys("spill"); len(left) > 0 {
 			t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
 		}
--- a/matrix/site/stalled_test.go
+++ b/matrix/site/stalled_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestStalledOrderDoesNotAct lets orders to a worker be on their way for seconds, over
+// TestStalledOrderStartsNothing lets orders to a worker be on their way for seconds, over
 // connections that have taken them, while the worker announces that it leaves; then they
 // arrive. None may start there that late.
 //
@@ -16,16 +16,16 @@
 // a helper makes no call that is older; but bytes that a connection has taken arrive, even
 // if their sender has closed it. What a start carried then was the worker's lease, by which
 // it was good for 8 s.
-func TestStalledOrderDoesNotAct(t *testing.T) {
-	playInWorlds(t, func(t *testing.T, w *world) {
+func TestStalledOrderStartsNothing(t *testing.T) {
+	runInEnvs(t, func(t *testing.T, w *testEnv) {
 		const (
-			jobs    = 12
-			stalled = 5 * time.Second
+			jobs      = 12
+			stallTime = 5 * time.Second
 		)
 		defer w.close()
 		time.Sleep(4 * time.Second)
 		leaving := w.workers[0]
-		names := w.names()
+		names := w.nodeNames()
 		for _, n := range names {
 			w.net.Stall(n, "w0")
 		}
@@ -34,12 +34,12 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		leaving.Drain()
-		time.Sleep(stalled)
+		time.Sleep(stallTime)
 		for _, n := range names {
 			w.net.Release(n, "w0")
 		}
 		time.Sleep(30 * time.Second)
-		w.checkJudged()
-		w.checkJobsEnded()
+		w.checkNoViolations()
+		w.checkJobsSucceeded()
 	})
 }
--- a/matrix/site/sweep_test.go
+++ b/matrix/site/sweep_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// sweptJobs is how many jobs finish.
-	sweptJobs = 60
-	// sweptWithin is by when a finished job has left nothing behind: callers may ask
+	// finishedJobs is how many jobs finish.
+	finishedJobs = 60
+	// removedWithin is by when a finished job has left nothing behind: callers may ask
 	// for it for 120 s, then its pin and its progress go, each after a minute.
-	sweptWithin = 260 * time.Second
+	removedWithin = 260 * time.Second
 )
 
-// TestFinishedJobsLeaveNothing checks that callers learn the state of a finished job
+// TestFinishedJobsAreRemoved checks that callers learn the state of a finished job
 // for as long as they may ask, and that the store holds nothing of it later, also if
 // the owner is lost in between.
-func TestFinishedJobsLeaveNothing(t *testing.T) {
+func TestFinishedJobsAreRemoved(t *testing.T) {
 	for name, killAfter := range map[string]time.Duration{"one owner": 0, "owner killed while callers may ask": time.Minute, "owner killed in the removal": 190 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playSweep(t, killAfter) })
+			synctest.Test(t, func(t *testing.T) { testRemoval(t, killAfter) })
 		})
 	}
 }
 
-func playSweep(t *testing.T, killAfter time.Duration) {
-	w := newShardedWorld(t)
+func testRemoval(t *testing.T, killAfter time.Duration) {
+	w := newShardedEnv(t)
 	defer w.close()
 	time.Sleep(2 * time.Second)
 	var ids []string
-	for range sweptJobs {
+	for range finishedJobs {
 		ids = append(ids, w.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 100, MemoryMB: 10, EstimateMS: 400}))
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -47,10 +47,10 @@
 		time.Sleep(5 * time.Second)
 	}
 	if killAfter < 100*time.Second {
-		w.checkAll(ids, http.StatusOK)
+		w.checkStatuses(ids, http.StatusOK)
 	}
-	time.Sleep(sweptWithin)
-	w.checkAll(ids, http.StatusGone)
+	time.Sleep(removedWithin)
+	w.checkStatuses(ids, http.StatusGone)
 	for _, id := range ids {
 		part := owner.JobPart(service, id)
 		if w.site.Store.Version(owner.TablePins, part, id) != 0 {
@@ -68,11 +68,11 @@
 	}
 }
 
-// checkAll asks for the state of jobs and checks how that is answered.
-func (w *world) checkAll(ids []string, want int) {
+// checkStatuses asks for the state of jobs and checks how that is answered.
+func (w *testEnv) checkStatuses(ids []string, want int) {
 	w.t.Helper()
 	for _, id := range ids {
-		if status, body := w.call(w.names()[0], http.MethodGet, "/batch/"+id, ""); status != want {
+		if status, body := w.call(w.nodeNames()[0], http.MethodGet, "/batch/"+id, ""); status != want {
 			w.t.Errorf("job %s: %d %s, want %d", id, status, body, want)
 		}
 	}
--- a/matrix/site/unread_test.go
+++ b/matrix/site/unread_test.go
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// TestSuccessUnreadPastItsLease cuts a worker off while its task runs, for longer than its
+// TestUnreadSuccessAfterLeaseEnd cuts a worker off while its task runs, for longer than its
 // lease. The task succeeds there unread, and starts again elsewhere once the lease is over;
 // after that the worker is heard again. This is the one way in which a task may start after
 // a success that is confirmed later, and the verdict must not count it; within the lease
 // the task must wait for its worker.
-func TestSuccessUnreadPastItsLease(t *testing.T) {
-	for away, wantStarts := range map[time.Duration]int{3 * time.Second: 1, 20 * time.Second: 2} {
+func TestUnreadSuccessAfterLeaseEnd(t *testing.T) {
+	for cutOffFor, wantStarts := range map[time.Duration]int{3 * time.Second: 1, 20 * time.Second: 2} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t)
+			w := newEnv(t)
 			defer w.close()
 			time.Sleep(4 * time.Second)
 			id := w.submit("batch", "1000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 10, EstimateMS: 1000})
 			time.Sleep(300 * time.Millisecond)
 			_, worker := w.starts(id)
-			w.cutWorker(worker, true)
-			time.Sleep(away)
-			w.cutWorker(worker, false)
+			w.setWorkerPartitioned(worker, true)
+			time.Sleep(cutOffFor)
+			w.setWorkerPartitioned(worker, false)
 			time.Sleep(10 * time.Second)
 			if n, _ := w.starts(id); n != wantStarts {
-				t.Errorf("away for %s: %d starts, want %d (worker %s)", away, n, wantStarts, worker)
+				t.Errorf("away for %s: %d starts, want %d (worker %s)", cutOffFor, n, wantStarts, worker)
 			}
 			if state := w.state("batch", id); state != "succeeded" {
-				t.Errorf("away for %s: the job is %q", away, state)
+				t.Errorf("away for %s: the job is %q", cutOffFor, state)
 			}
-			w.checkJudged()
+			w.checkNoViolations()
 		})
 	}
 }
 
-// cutWorker cuts a worker off from all nodes, or mends that.
-func (w *world) cutWorker(id string, cut bool) {
+// setWorkerPartitioned cuts a worker off from all nodes, or mends that.
+func (w *testEnv) setWorkerPartitioned(id string, cutOff bool) {
 	for i, k := range w.workers {
 		if k.ID != id {
 			continue
 		}
-		for _, n := range w.names() {
-			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), cut)
+		for _, n := range w.nodeNames() {
+			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), cutOff)
 		}
 	}
 }
--- a/matrix/site/untold_test.go
+++ b/matrix/site/untold_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	untoldRounds = 6
-	untoldPause  = 5 * time.Second
-	// jobsAtOnce is how many jobs come in at each other node, so that some are handed
+	handoffRounds = 6
+	handoffPause  = 5 * time.Second
+	// jobsPerNode is how many jobs come in at each other node, so that some are handed
 	// over on a connection that was open before.
-	jobsAtOnce = 4
-	// toldWithin is by when an accepted job is at its shard's owner, though a call to
+	jobsPerNode = 4
+	// handedOffWithin is by when an accepted job is at its shard's owner, though a call to
 	// it is lost: the call's limit of 0.3 s, and a second one.
-	toldWithin = 500 * time.Millisecond
+	handedOffWithin = 500 * time.Millisecond
 )
 
 // TestSilentConnectionsKeepNoJob: all open connections go silent just before jobs come
@@ -37,31 +37,31 @@
 func TestSilentConnectionsKeepNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zapcore.InfoLevel)
-		w := newWorldWith(t, cellWorkers, cellWorkers, func(w *world) {
+		w := newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) {
 			w.log = zap.New(core)
 			w.site.Configure(1, routes()...)
 		})
 		defer w.close()
-		time.Sleep(untoldPause)
-		for round := range untoldRounds {
+		time.Sleep(handoffPause)
+		for round := range handoffRounds {
 			w.net.SilenceOpenConnections(callerHost)
-			w.handInBesideOwner(round)
-			time.Sleep(untoldPause)
+			w.submitToNonOwners(round)
+			time.Sleep(handoffPause)
 		}
 		w.checkTaken(logs)
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
 
-// handInBesideOwner hands jobs in at all nodes but the owner of the shard, at once.
-func (w *world) handInBesideOwner(round int) {
+// submitToNonOwners hands jobs in at all nodes but the owner of the shard, at once.
+func (w *testEnv) submitToNonOwners(round int) {
 	var calls sync.WaitGroup
 	owner, body := w.owner(), w.encodeJob(urgentSpec, urgentSteps()...)
-	for i, node := range w.names() {
+	for i, node := range w.nodeNames() {
 		if node == owner {
 			continue
 		}
-		for k := range jobsAtOnce {
+		for k := range jobsPerNode {
 			id := fmt.Sprintf("%016x", 0xe000+0x100*round+0x10*i+k)
 			calls.Go(func() {
 				if status, _ := w.call(node, http.MethodPost, "/urgent/"+id, body); status != http.StatusOK {
@@ -74,7 +74,7 @@
 }
 
 // checkTaken checks how soon after its acceptance each job was taken by its owner.
-func (w *world) checkTaken(logs *observer.ObservedLogs) {
+func (w *testEnv) checkTaken(logs *observer.ObservedLogs) {
 	taken := make(map[string]time.Time)
 	for _, e := range logs.FilterField(events.JobAdded).All() {
 		taken[e.ContextMap()["job"].(string)] = e.Time
@@ -85,11 +85,11 @@
 	}
 	for _, e := range accepted {
 		job := e.ContextMap()["job"].(string)
-		if at, ok := taken[job]; !ok || at.Sub(e.Time) > toldWithin {
-			w.t.Errorf("job %s was accepted at %s and taken at %s, want within %s", job, e.Time.Format(clockForm), at.Format(clockForm), toldWithin)
+		if at, ok := taken[job]; !ok || at.Sub(e.Time) > handedOffWithin {
+			w.t.Errorf("job %s was accepted at %s and taken at %s, want within %s", job, e.Time.Format(clockFormat), at.Format(clockFormat), handedOffWithin)
 		}
 	}
 }
 
-// clockForm is how times of a play are shown.
-const clockForm = "05.000"
+// clockFormat is how times of a play are shown.
+const clockFormat = "05.000"
--- a/matrix/site/verdict_test.go
+++ b/matrix/site/verdict_test.go
@@ -4,15 +4,15 @@
 
 import "switchbank.example/switchbank/standin/site"
 
-// judge holds what the workers saw against the promises.
-func (w *world) judge() []string {
-	return w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), OrdersDelayed: w.heldUp})
+// violations holds what the workers saw against the promises.
+func (w *testEnv) violations() []string {
+	return w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), OrdersDelayed: w.mayBeDelayed})
 }
 
-// checkJudged checks that no promise was broken.
-func (w *world) checkJudged() {
+// checkNoViolations checks that no promise was broken.
+func (w *testEnv) checkNoViolations() {
 	w.t.Helper()
-	for _, wrong := range w.judge() {
-		w.t.Error(wrong)
+	for _, violation := range w.violations() {
+		w.t.Error(violation)
 	}
 }
--- a/matrix/site/widegang_test.go
+++ b/matrix/site/widegang_test.go
@@ -18,48 +18,48 @@
 // that are left again and again, and starts nowhere, while most of the service is idle.
 func TestGangWiderThanItsShardsAllowedWorkers(t *testing.T) {
 	const (
-		jobs = 6
-		gang = 3
+		jobs     = 6
+		gangSize = 3
 		// rejectOneIn leaves two workers of one shard and three of the other, or less often
 		// three of both.
 		rejectOneIn = 3
-		tries       = 1000
-		// endsWithin is far more than the job's work of 0.8 s, on an idle service.
-		endsWithin = 20 * time.Second
+		maxIDs      = 1000
+		// endWithin is far more than the job's work of 0.8 s, on an idle service.
+		endWithin = 20 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedWorld(t)
+		w := newShardedEnv(t)
 		defer w.close()
 		w.site.SetRejectOneIn(rejectOneIn)
 		time.Sleep(4 * time.Second)
-		n := 0
-		for i := 0xe000; n < jobs && i < 0xe000+tries; i++ {
+		found := 0
+		for i := 0xe000; found < jobs && i < 0xe000+maxIDs; i++ {
 			id := fmt.Sprintf("%016x", i)
-			first, second := w.allowed(id+".0.1", 0), w.allowed(id+".0.1", perShard)
-			if min(first, second) >= gang || max(first, second) < gang {
+			first, second := w.allowedWorkers(id+".0.1", 0), w.allowedWorkers(id+".0.1", workersPerShard)
+			if min(first, second) >= gangSize || max(first, second) < gangSize {
 				continue
 			}
-			n++
-			w.handIn("n1", "urgent", id, "400 cpu=4000",
+			found++
+			w.submitTo("n1", "urgent", id, "400 cpu=4000",
 				stepBody{Count: 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400},
-				stepBody{Count: gang, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true, After: []int{0}})
-			time.Sleep(endsWithin)
+				stepBody{Count: gangSize, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true, DependsOn: []int{0}})
+			time.Sleep(endWithin)
 			if got := w.state("urgent", id); got != "succeeded" {
-				t.Errorf("a job whose gang may run on %d and %d workers of the shards is %q after %s", first, second, got, endsWithin)
+				t.Errorf("a job whose gang may run on %d and %d workers of the shards is %q after %s", first, second, got, endWithin)
 			}
 		}
-		if n < jobs {
-			t.Errorf("only %d jobs of the kind were found", n)
+		if found < jobs {
+			t.Errorf("only %d jobs of the kind were found", found)
 		}
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
 
-// allowed returns how many workers of one shard advice allows for a step: the first
+// allowedWorkers returns how many workers of one shard advice allows for a step: the first
 // perShard workers lie in one shard, the others in the other.
-func (w *world) allowed(step string, from int) int {
+func (w *testEnv) allowedWorkers(step string, firstWorker int) int {
 	n := 0
-	for _, k := range w.workers[from : from+perShard] {
+	for _, k := range w.workers[firstWorker : firstWorker+workersPerShard] {
 		if w.site.AdviceAllows(step, k.ID) {
 			n++
 		}
@@ -85,19 +85,19 @@
 //
 // All shards together have some 300 good workers.
 func TestGangWiderThanAnyShard(t *testing.T) {
-	const endsWithin = 20 * time.Second
+	const endWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedWorld(t)
+		w := newShardedEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
 		const id = "000000000000f000"
-		w.handIn("n1", "batch", id, "400 cpu=4000",
-			stepBody{Count: perShard + 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
-		time.Sleep(endsWithin)
+		w.submitTo("n1", "batch", id, "400 cpu=4000",
+			stepBody{Count: workersPerShard + 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
+		time.Sleep(endWithin)
 		if got := w.state("batch", id); got != "succeeded" {
-			t.Errorf("a gang of %d workers in a service of %d is %q after %s", perShard+1, shardedWorkers, got, endsWithin)
+			t.Errorf("a gang of %d workers in a service of %d is %q after %s", workersPerShard+1, shardedWorkers, got, endWithin)
 		}
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
 
@@ -115,19 +115,19 @@
 func TestGangThatFitsAnEmptyShardOnly(t *testing.T) {
 	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedWorld(t)
+		w := newShardedEnv(t)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		w.handIn("n1", "batch", "000000000000f001", "400 lasting cpu=500",
-			stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400, Lasts: true})
+		w.submitTo("n1", "batch", "000000000000f001", "400 lasting cpu=500",
+			stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400, LongRunning: true})
 		time.Sleep(2 * time.Second)
 		const id = "000000000000f002"
-		w.handIn("n1", "batch", id, "400 cpu=4000",
-			stepBody{Count: perShard, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
+		w.submitTo("n1", "batch", id, "400 cpu=4000",
+			stepBody{Count: workersPerShard, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
 		time.Sleep(endsWithin)
 		if got := w.state("batch", id); got != "succeeded" {
-			t.Errorf("a gang of %d workers is %q after %s in a service in which %d are empty", perShard, got, endsWithin, shardedWorkers-2)
+			t.Errorf("a gang of %d workers is %q after %s in a service in which %d are empty", workersPerShard, got, endsWithin, shardedWorkers-2)
 		}
-		w.checkJudged()
+		w.checkNoViolations()
 	})
 }
