--- a/standin/site/beat.go
+++ b/standin/site/announce.go
@@ -4,8 +4,8 @@
 
 import "cmp"
 
-// beat is a worker's entry in the directory.
-type beat struct {
+// directoryEntry is a worker's entry in the directory.
+type directoryEntry struct {
 	Upstream    string   `json:"Upstream"`
 	Address     string   `json:"Address"`
 	Zone        string   `json:"Zone"`
@@ -30,30 +30,30 @@
 // workerSlots is how many slots a worker says that it has.
 const workerSlots = 8
 
-// beat writes the worker's entry, if the store takes it.
-func (w *Worker) beat() {
-	if w.site.Store.down() {
+// announce writes the worker's entry, if the store takes it.
+func (w *Worker) announce() {
+	if w.site.Store.isDown() {
 		return
 	}
 	w.mu.Lock()
-	if w.unlisted || w.quiet {
+	if w.removed || w.paused {
 		w.mu.Unlock()
 		return
 	}
 	b := w.entry()
-	if w.drain {
-		b.State, b.RemainingMS = "draining", drainTime.Milliseconds()
-		w.site.noteDrained(w.ID)
+	if w.draining {
+		b.State, b.RemainingMS = "draining", drainDuration.Milliseconds()
+		w.site.recordDrained(w.ID)
 	}
 	w.mu.Unlock()
 	w.site.Store.Put("servers", w.ID, b)
 }
 
 // entry is what the worker says of itself. The caller holds mu.
-func (w *Worker) entry() beat {
-	return beat{
+func (w *Worker) entry() directoryEntry {
+	return directoryEntry{
 		Upstream: cmp.Or(w.cfg.Service, w.site.cfg.Service), Address: w.Address, Zone: "dc", Version: "v1", Slots: workerSlots, State: "ready",
-		Capacity: capacity{CPU: w.cfg.CPUMilli, MemoryMB: w.cfg.MemoryMB}, Labels: w.labels(), ClockMS: w.clock(), Seq: w.clock(), Born: w.born,
+		Capacity: capacity{CPU: w.cfg.CPUMilli, MemoryMB: w.cfg.MemoryMB}, Labels: w.labels(), ClockMS: w.clock(), Seq: w.clock(), Born: w.startTime,
 	}
 }
 
--- a/standin/site/entries.go
+++ b/standin/site/corrupt.go
@@ -104,12 +104,12 @@
 
 // SetAnnouncementsPaused keeps the worker from announcing itself, while its entry stays, or lets it
 // announce itself at once.
-func (w *Worker) SetAnnouncementsPaused(quiet bool) {
+func (w *Worker) SetAnnouncementsPaused(paused bool) {
 	w.mu.Lock()
-	w.quiet = quiet
+	w.paused = paused
 	w.mu.Unlock()
-	if !quiet {
-		w.beat()
+	if !paused {
+		w.announce()
 	}
 }
 
--- a/standin/site/gang.go
+++ b/standin/site/gang.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// aloneAfter is how long a member of a gang waits for the others.
-const aloneAfter = 3 * time.Second
+// gangTimeout is how long a member of a gang waits for the others.
+const gangTimeout = 3 * time.Second
 
 // gangSpec says that the members of one of a job's steps work only together. It is read
 // from the job's Spec: "gang=STEP:MEMBERS".
@@ -28,8 +28,8 @@
 	return gangSpec{step, n}
 }
 
-// has reports whether a task, ID.K.STEP.INDEX, is a member.
-func (g gangSpec) has(task string) bool {
+// includes reports whether a task, ID.K.STEP.INDEX, is a member.
+func (g gangSpec) includes(task string) bool {
 	parts := strings.Split(task, ".")
 	return g.members > 0 && len(parts) == 4 && parts[2] == g.step
 }
@@ -37,11 +37,11 @@
 // gangRun is one run of a gang, on any workers.
 type gangRun struct {
 	present []string
-	// wholeAt is since when all members are there; zero: they never were.
-	wholeAt time.Time
-	// done is set once a member has succeeded, and broken once one has ended otherwise
+	// completeAt is since when all members are there; zero: they never were.
+	completeAt time.Time
+	// succeeded is set once a member has succeeded, and broken once one has ended otherwise
 	// before that.
-	done, broken bool
+	succeeded, broken bool
 }
 
 // gangKey names a run of a gang.
@@ -50,62 +50,64 @@
 	run  int64
 }
 
-func keyOf(t *taskRun) gangKey { return gangKey{t.task[:strings.LastIndexByte(t.task, '.')], t.run} }
+func gangKeyOf(t *taskRun) gangKey {
+	return gangKey{t.task[:strings.LastIndexByte(t.task, '.')], t.run}
+}
 
 // joinGang notes that a member of a gang has begun.
 func (s *Site) joinGang(t *taskRun) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.gangs[keyOf(t)]
+	g := s.gangs[gangKeyOf(t)]
 	if g == nil {
 		g = &gangRun{}
-		s.gangs[keyOf(t)] = g
+		s.gangs[gangKeyOf(t)] = g
 	}
 	if !slices.Contains(g.present, t.task) {
 		g.present = append(g.present, t.task)
 	}
-	if len(g.present) == t.spec.gang.members && g.wholeAt.IsZero() && !g.broken {
-		g.wholeAt = time.Now()
+	if len(g.present) == t.spec.gang.members && g.completeAt.IsZero() && !g.broken {
+		g.completeAt = time.Now()
 	}
 }
 
 // leaveGang notes that a member of a gang has ended, with success or not.
-func (s *Site) leaveGang(t *taskRun, done bool) {
+func (s *Site) leaveGang(t *taskRun, succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.gangs[keyOf(t)]
-	g.done = g.done || done
-	g.broken = g.broken || !g.done
+	g := s.gangs[gangKeyOf(t)]
+	g.succeeded = g.succeeded || succeeded
+	g.broken = g.broken || !g.succeeded
 }
 
 // gang returns a member's gang.
 func (s *Site) gang(t *taskRun) gangRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return *s.gangs[keyOf(t)]
+	return *s.gangs[gangKeyOf(t)]
 }
 
-// gangEnd returns how a member of a gang ends because of the others, or "".
-func (w *Worker) gangEnd(t *taskRun) string {
+// gangOutcome returns how a member of a gang ends because of the others, or "".
+func (w *Worker) gangOutcome(t *taskRun) string {
 	g := w.site.gang(t)
 	switch {
-	case g.done:
+	case g.succeeded:
 		return "done"
-	case !g.wholeAt.IsZero() && g.broken:
+	case !g.completeAt.IsZero() && g.broken:
 		return "broken"
-	case g.wholeAt.IsZero() && time.Since(t.startedAt) > aloneAfter:
+	case g.completeAt.IsZero() && time.Since(t.startedAt) > gangTimeout:
 		return "alone"
 	}
 	return ""
 }
 
-// worked returns for how long a run has worked.
-func (w *Worker) worked(t *taskRun) time.Duration {
+// workedFor returns for how long a run has workedFor.
+func (w *Worker) workedFor(t *taskRun) time.Duration {
 	if !t.inGang {
 		return time.Since(t.startedAt)
 	}
-	if g := w.site.gang(t); !g.wholeAt.IsZero() {
-		return time.Since(g.wholeAt)
+	if g := w.site.gang(t); !g.completeAt.IsZero() {
+		return time.Since(g.completeAt)
 	}
 	return 0
 }
--- a/standin/site/lasting_test.go
+++ b/standin/site/longrunning_test.go
@@ -9,14 +9,14 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// TestLastingBreaches checks that only a task that is away for longer than the bound, within
+// TestLongRunningJobViolations checks that only a task that is away for longer than the bound, within
 // the time that is judged, counts.
-func TestLastingBreaches(t *testing.T) {
+func TestLongRunningJobViolations(t *testing.T) {
 	zero := time.Unix(100, 0)
 	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
 	for name, c := range map[string]struct {
-		sights []site.Event
-		wrong  int
+		events     []site.Event
+		violations int
 	}{
 		"runs all the while":       {[]site.Event{{At: at(-1), Task: "j.0.0.0", Kind: site.EventStart}}, 0},
 		"never runs":               {nil, 1},
@@ -27,9 +27,9 @@
 		"another task runs":        {[]site.Event{{At: at(0), Task: "j.0.0.1", Kind: site.EventStart}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wrong := site.LongRunningJob{Job: "j", Tasks: 1, From: at(0), Until: at(20)}.Violations(c.sights)
-			if len(wrong) != c.wrong {
-				t.Errorf("%d breaches, want %d: %v", len(wrong), c.wrong, wrong)
+			violations := site.LongRunningJob{Job: "j", Tasks: 1, From: at(0), Until: at(20)}.Violations(c.events)
+			if len(violations) != c.violations {
+				t.Errorf("%d breaches, want %d: %v", len(violations), c.violations, violations)
 			}
 		})
 	}
--- a/standin/site/orders.go
+++ b/standin/site/orders.go
@@ -45,39 +45,39 @@
 
 func (w *Worker) serveStart(rw http.ResponseWriter, r *http.Request) {
 	var req startRequest
-	if !read(rw, r, &req) {
+	if !decodeBody(rw, r, &req) {
 		return
 	}
 	w.mu.Lock()
 	if w.faults.Late > 0 {
 		w.faults.Late--
-		by := w.faults.LateBy
+		delay := w.faults.LateBy
 		w.mu.Unlock()
-		go w.takeLate(req, by)
-		silence(r)
+		go w.acceptStartLate(req, delay)
+		leaveUnanswered(r)
 		return
 	}
-	reason := w.take(req)
+	reason := w.acceptStart(req)
 	clock := w.clock()
 	w.mu.Unlock()
 	if reason != "" {
-		reply(rw, http.StatusConflict, orderReply{clock, reason})
+		writeJSON(rw, http.StatusConflict, orderReply{clock, reason})
 		return
 	}
-	reply(rw, http.StatusOK, orderReply{ClockMS: clock})
+	writeJSON(rw, http.StatusOK, orderReply{ClockMS: clock})
 }
 
-// takeLate carries a start out that got no answer.
-func (w *Worker) takeLate(req startRequest, by time.Duration) {
-	time.Sleep(by)
+// acceptStartLate carries a start out that got no answer.
+func (w *Worker) acceptStartLate(req startRequest, delay time.Duration) {
+	time.Sleep(delay)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.take(req)
+	w.acceptStart(req)
 }
 
-// take begins a run, or returns why not.
-func (w *Worker) take(req startRequest) string {
-	if w.dead {
+// acceptStart begins a run, or returns why not.
+func (w *Worker) acceptStart(req startRequest) string {
+	if w.terminated {
 		return "late"
 	}
 	if req.Fence < w.fence {
@@ -91,12 +91,12 @@
 	if t := w.running[req.Task]; t != nil && t.run == req.Run {
 		return ""
 	}
-	if req.Run <= w.over[req.Task] || w.running[req.Task] != nil {
+	if req.Run <= w.finishedRuns[req.Task] || w.running[req.Task] != nil {
 		return "old"
 	}
 	step := req.Task[:strings.LastIndexByte(req.Task, '.')]
-	if req.Ticket != "" && !ticketHolds(req.Ticket, step, w.ID, time.Now()) {
-		w.site.saw(w, req.Task, req.Run, EventInvalidTicket, req.Fence)
+	if req.Ticket != "" && !isValidTicket(req.Ticket, step, w.ID, time.Now()) {
+		w.site.record(w, req.Task, req.Run, EventInvalidTicket, req.Fence)
 		return "ticket"
 	}
 	w.begin(req)
@@ -105,56 +105,56 @@
 
 // begin runs a task from its checkpoint on, and notes what should not be.
 func (w *Worker) begin(req startRequest) {
-	t := &taskRun{task: req.Task, run: req.Run, spec: parseSpec(req.Spec), startedAt: time.Now(), stuck: w.faults.Stuck, doomed: w.failsNew}
+	t := &taskRun{task: req.Task, run: req.Run, spec: parseSpec(req.Spec), startedAt: time.Now(), stuck: w.faults.Stuck, failsOnWorker: w.failNewRuns}
 	if _, at, ok := strings.Cut(req.Checkpoint, "@"); ok {
 		n, err := strconv.Atoi(at)
 		if err == nil {
-			t.from = n
+			t.startPercent = n
 		}
 	}
-	if t.inGang = t.spec.gang.has(t.task); t.inGang {
+	if t.inGang = t.spec.gang.includes(t.task); t.inGang {
 		w.site.joinGang(t)
 	}
 	w.running[req.Task] = t
-	w.site.saw(w, req.Task, req.Run, EventStart, req.Fence)
-	if w.used() > w.cfg.CPUMilli {
-		w.site.saw(w, req.Task, req.Run, EventOverload, req.Fence)
+	w.site.record(w, req.Task, req.Run, EventStart, req.Fence)
+	if w.usedCPU() > w.cfg.CPUMilli {
+		w.site.record(w, req.Task, req.Run, EventOverload, req.Fence)
 	}
-	if w.drain {
-		w.site.saw(w, req.Task, req.Run, EventStartWhileDraining, req.Fence)
+	if w.draining {
+		w.site.record(w, req.Task, req.Run, EventStartWhileDraining, req.Fence)
 	}
 }
 
 func (w *Worker) serveStop(rw http.ResponseWriter, r *http.Request) {
 	var req startRequest
-	if !read(rw, r, &req) {
+	if !decodeBody(rw, r, &req) {
 		return
 	}
-	if !w.takeStop(req) {
-		reply(rw, http.StatusConflict, orderReply{w.clock(), "fence"})
+	if !w.acceptStop(req) {
+		writeJSON(rw, http.StatusConflict, orderReply{w.clock(), "fence"})
 		return
 	}
-	reply(rw, http.StatusOK, orderReply{ClockMS: w.clock()})
+	writeJSON(rw, http.StatusOK, orderReply{ClockMS: w.clock()})
 }
 
-// takeStop ends a run, or keeps it from beginning later.
-func (w *Worker) takeStop(req startRequest) bool {
+// acceptStop ends a run, or keeps it from beginning later.
+func (w *Worker) acceptStop(req startRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if req.Fence < w.fence {
 		return false
 	}
 	w.fence = req.Fence
-	w.over[req.Task] = max(w.over[req.Task], req.Run)
+	w.finishedRuns[req.Task] = max(w.finishedRuns[req.Task], req.Run)
 	if t := w.running[req.Task]; t != nil && t.run <= req.Run {
-		w.end(t, "stopped")
+		w.endRun(t, "stopped")
 	}
 	return true
 }
 
 func (w *Worker) servePace(rw http.ResponseWriter, r *http.Request) {
 	var req startRequest
-	if read(rw, r, &req) {
-		reply(rw, http.StatusOK, orderReply{ClockMS: w.clock()})
+	if decodeBody(rw, r, &req) {
+		writeJSON(rw, http.StatusOK, orderReply{ClockMS: w.clock()})
 	}
 }
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -43,19 +43,19 @@
 
 // Site is a stand-in platform.
 type Site struct {
-	cfg     Config
-	Store   *Store
-	advice  *advice
-	mu      sync.Mutex
-	workers []*Worker
-	sights  []Event
-	// drained is when the store took each worker's announcement that it drains.
-	drained map[string]time.Time
+	cfg           Config
+	Store         *Store
+	adviceService *adviceService
+	mu            sync.Mutex
+	workers       []*Worker
+	events        []Event
+	// drainedAt is when the store took each worker's announcement that it drains.
+	drainedAt map[string]time.Time
 	// gangs are the runs of gangs, by step and run.
-	gangs map[gangKey]*gangRun
-	lives int
-	owner string
-	stops []func()
+	gangs        map[gangKey]*gangRun
+	incarnations int
+	owner        string
+	stops        []func()
 }
 
 // Event is something that a worker saw.
@@ -86,21 +86,21 @@
 
 // New returns a site whose store, advice and machines are served.
 func New(cfg Config) *Site {
-	s := &Site{cfg: cfg, Store: NewStore(), advice: newAdvice(cfg.RejectOneIn), drained: make(map[string]time.Time), gangs: make(map[gangKey]*gangRun)}
+	s := &Site{cfg: cfg, Store: NewStore(), adviceService: newAdvice(cfg.RejectOneIn), drainedAt: make(map[string]time.Time), gangs: make(map[gangKey]*gangRun)}
 	s.stops = []func(){
 		cfg.Serve(cfg.StoreAddress, s.Store.Handler()),
-		cfg.Serve(cfg.AdviceAddress, s.advice),
+		cfg.Serve(cfg.AdviceAddress, s.adviceService),
 		cfg.Serve(cfg.MachinesAddress, http.HandlerFunc(s.serveMachines)),
 	}
 	return s
 }
 
-// noteDrained notes when the store first takes a worker's announcement that it drains.
-func (s *Site) noteDrained(worker string) {
+// recordDrained notes when the store first takes a worker's announcement that it drains.
+func (s *Site) recordDrained(worker string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.drained[worker]; !ok {
-		s.drained[worker] = time.Now()
+	if _, ok := s.drainedAt[worker]; !ok {
+		s.drainedAt[worker] = time.Now()
 	}
 }
 
@@ -108,7 +108,7 @@
 func (s *Site) DrainedAt() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.drained)
+	return maps.Clone(s.drainedAt)
 }
 
 // Close ends the store, the advice service, the list of machines and all workers.
@@ -131,7 +131,7 @@
 	return s.owner
 }
 
-func (s *Site) tookOrder(from string) {
+func (s *Site) recordOrderFrom(from string) {
 	s.mu.Lock()
 	s.owner = from
 	s.mu.Unlock()
@@ -141,19 +141,19 @@
 func (s *Site) Events() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Event(nil), s.sights...)
+	return append([]Event(nil), s.events...)
 }
 
-func (s *Site) saw(w *Worker, task string, run int64, what string, fence int64) {
-	s.note(Event{Worker: w.ID, Task: task, Run: run, Kind: what, Fence: fence})
+func (s *Site) record(w *Worker, task string, run int64, kind string, fence int64) {
+	s.addEvent(Event{Worker: w.ID, Task: task, Run: run, Kind: kind, Fence: fence})
 }
 
-// note keeps a sight of this moment.
-func (s *Site) note(e Event) {
+// addEvent keeps a sight of this moment.
+func (s *Site) addEvent(e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.At = time.Now()
-	s.sights = append(s.sights, e)
+	s.events = append(s.events, e)
 }
 
 // Route is one queue of the configuration.
@@ -224,7 +224,7 @@
 		}
 		list.Machines = append(list.Machines, m)
 	}
-	reply(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 type problem struct {
@@ -238,19 +238,19 @@
 	return address
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTxnBytes))
 	if err == nil {
 		err = json.Unmarshal(body, v)
 	}
 	if err != nil {
-		reply(w, http.StatusBadRequest, problem{err.Error()})
+		writeJSON(w, http.StatusBadRequest, problem{err.Error()})
 		return false
 	}
 	return true
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic("site: a reply can't be encoded: " + err.Error())
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -16,8 +16,8 @@
 	changes []storeRow
 	version int64
 	faults  StoreFaults
-	// away are the parts that don't answer while others do.
-	away []string
+	// unavailableParts are the parts that don't answer while others do.
+	unavailableParts []string
 	// changed is closed and replaced with each change.
 	changed chan struct{}
 	calls   int64
@@ -135,7 +135,7 @@
 			return
 		}
 		if f.Down {
-			silence(r)
+			leaveUnanswered(r)
 			return
 		}
 		mux.ServeHTTP(w, r)
--- a/standin/site/storefaults.go
+++ b/standin/site/storefaults.go
@@ -43,11 +43,11 @@
 func (s *Store) SetUnavailableParts(parts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = parts
+	s.unavailableParts = parts
 }
 
-// down reports whether no call is answered or done.
-func (s *Store) down() bool {
+// isDown reports whether no call is answered or done.
+func (s *Store) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Down
@@ -60,21 +60,21 @@
 	return s.faults.AnswerDelay
 }
 
-// isAway reports whether one of the parts doesn't answer.
-func (s *Store) isAway(parts ...string) bool {
+// hasUnavailable reports whether one of the parts doesn't answer.
+func (s *Store) hasUnavailable(parts ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(parts, func(p string) bool { return slices.Contains(s.away, p) })
+	return slices.ContainsFunc(parts, func(p string) bool { return slices.Contains(s.unavailableParts, p) })
 }
 
-// silenceMost bounds how long a call is held: no caller waits so long.
-const silenceMost = 30 * time.Second
+// maxSilence bounds how long a call is held: no caller waits so long.
+const maxSilence = 30 * time.Second
 
-// silence holds a call until its caller gives up, and breaks the connection. The
+// leaveUnanswered holds a call until its caller gives up, and breaks the connection. The
 // server notices that only once the body is read.
-func silence(r *http.Request) {
+func leaveUnanswered(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	sleep(r, silenceMost)
+	sleep(r, maxSilence)
 	panic(http.ErrAbortHandler)
 }
 
--- a/standin/site/storeread.go
+++ b/standin/site/storeread.go
@@ -14,15 +14,15 @@
 // serveList answers with rows of a part.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	if s.isAway(q.Get("part")) {
-		silence(r)
+	if s.hasUnavailable(q.Get("part")) {
+		leaveUnanswered(r)
 		return
 	}
 	limit := maxListRows
 	if n, err := strconv.Atoi(q.Get("limit")); err == nil && n > 0 {
 		limit = min(n, maxListRows)
 	}
-	reply(w, http.StatusOK, s.list(q, limit))
+	writeJSON(w, http.StatusOK, s.list(q, limit))
 }
 
 // list returns the rows that a list asks for, in the order of their keys.
@@ -66,24 +66,24 @@
 	after, err := strconv.ParseInt(q.Get("DependsOn"), 10, 64)
 	waitMS, err2 := strconv.ParseInt(q.Get("WaitMs"), 10, 64)
 	if err != nil || err2 != nil || waitMS < 0 || waitMS > maxWaitMS {
-		reply(w, http.StatusBadRequest, problem{"DependsOn or WaitMs"})
+		writeJSON(w, http.StatusBadRequest, problem{"DependsOn or WaitMs"})
 		return
 	}
 	deadline := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
 		res, changed, ok := s.changesAfter(q.Get("table"), after)
 		if !ok {
-			reply(w, http.StatusGone, problem{"history"})
+			writeJSON(w, http.StatusGone, problem{"history"})
 			return
 		}
 		if len(res.Rows) > 0 {
-			reply(w, http.StatusOK, res)
+			writeJSON(w, http.StatusOK, res)
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			reply(w, http.StatusOK, res)
+			writeJSON(w, http.StatusOK, res)
 			return
 		case <-r.Context().Done():
 			return
--- a/standin/site/storetxn.go
+++ b/standin/site/storetxn.go
@@ -18,25 +18,25 @@
 // serveTxn answers a write.
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn storeTxn
-	if !read(w, r, &txn) {
+	if !decodeBody(w, r, &txn) {
 		return
 	}
-	if why := txn.wrong(); why != "" {
-		reply(w, http.StatusBadRequest, problem{why})
+	if why := txn.invalidReason(); why != "" {
+		writeJSON(w, http.StatusBadRequest, problem{why})
 		return
 	}
-	if s.isAway(txn.parts()...) {
-		silence(r)
+	if s.hasUnavailable(txn.parts()...) {
+		leaveUnanswered(r)
 		return
 	}
-	s.awaitTurn(r, &txn)
+	s.waitForPart(r, &txn)
 	res, status, answered := s.commit(txn)
 	if !answered {
-		silence(r)
+		leaveUnanswered(r)
 		return
 	}
 	sleep(r, s.answerDelay())
-	reply(w, status, res)
+	writeJSON(w, status, res)
 }
 
 // commit does a write, now or late, and returns its answer; answered is false if the
@@ -50,7 +50,7 @@
 		return storeRows{}, 0, false
 	}
 	status = http.StatusOK
-	if current := s.differing(txn); len(current) > 0 {
+	if current := s.failedConditions(txn); len(current) > 0 {
 		res.Rows, status = current, http.StatusPreconditionFailed
 	} else {
 		s.apply(txn)
@@ -64,11 +64,11 @@
 }
 
 // commitLate does a write after a while if its conditions hold then.
-func (s *Store) commitLate(txn storeTxn, by time.Duration) {
-	time.Sleep(by)
+func (s *Store) commitLate(txn storeTxn, delay time.Duration) {
+	time.Sleep(delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.differing(txn)) == 0 {
+	if len(s.failedConditions(txn)) == 0 {
 		s.apply(txn)
 	}
 }
@@ -82,8 +82,8 @@
 	return parts
 }
 
-// awaitTurn lets a write wait for those of its part that came before, and for its own time.
-func (s *Store) awaitTurn(r *http.Request, t *storeTxn) {
+// waitForPart lets a write wait for those of its part that came before, and for its own time.
+func (s *Store) waitForPart(r *http.Request, t *storeTxn) {
 	s.mu.Lock()
 	busy, part := s.faults.PartBusy, t.part()
 	if busy == 0 {
@@ -112,8 +112,8 @@
 // rows returns all rows that the write names.
 func (t *storeTxn) rows() []storeRow { return slices.Concat(t.If, t.Put, t.Remove) }
 
-// wrong returns what the platform would refuse in the write, or "".
-func (t *storeTxn) wrong() string {
+// invalidReason returns what the platform would refuse in the write, or "".
+func (t *storeTxn) invalidReason() string {
 	all := t.rows()
 	if len(all) > maxTxnEntries {
 		return "too many entries"
@@ -130,9 +130,9 @@
 	return ""
 }
 
-// differing returns the conditioned rows as they stand if one has another version.
+// failedConditions returns the conditioned rows as they stand if one has another version.
 // The caller holds mu.
-func (s *Store) differing(t storeTxn) []storeRow {
+func (s *Store) failedConditions(t storeTxn) []storeRow {
 	var current []storeRow
 	differs := false
 	for _, c := range t.If {
--- a/standin/site/task.go
+++ b/standin/site/task.go
@@ -17,49 +17,49 @@
 	task string
 	run  int64
 	spec taskSpec
-	// from is the percent at which the run began, from its checkpoint.
-	from      int
-	startedAt time.Time
-	stuck     bool
-	// doomed is set for a run that fails because of its worker.
-	doomed bool
+	// startPercent is the percent at which the run began, startPercent its checkpoint.
+	startPercent int
+	startedAt    time.Time
+	stuck        bool
+	// failsOnWorker is set for a run that fails because of its worker.
+	failsOnWorker bool
 	// inGang is set for a member of a gang.
 	inGang bool
 }
 
 // runEnd is the end of a run, until the owner confirms it.
 type runEnd struct {
-	n          int64
+	number     int64
 	task       string
 	run        int64
-	how        string
+	outcome    string
 	checkpoint string
 	at         time.Time
 }
 
 // taskSpec is what a job's Spec says of its tasks.
 type taskSpec struct {
-	takes time.Duration
-	fails bool
-	lasts bool
-	// failsAfter is the mean time after which a task that lasts fails; 0: never.
-	failsAfter time.Duration
-	cpu        int64
-	gang       gangSpec
+	duration    time.Duration
+	fails       bool
+	longRunning bool
+	// meanTimeToFailure is the mean time after which a task that lasts fails; 0: never.
+	meanTimeToFailure time.Duration
+	cpu               int64
+	gang              gangSpec
 }
 
 // parseSpec reads a job's Spec; what it doesn't say stays as it is by default.
 func parseSpec(s string) taskSpec {
-	spec := taskSpec{takes: time.Second}
+	spec := taskSpec{duration: time.Second}
 	for i, f := range strings.Fields(s) {
 		ms, err := strconv.Atoi(f)
 		switch {
 		case i == 0 && err == nil:
-			spec.takes = time.Duration(ms) * time.Millisecond
+			spec.duration = time.Duration(ms) * time.Millisecond
 		case f == "failing":
 			spec.fails = true
 		case f == "lasting":
-			spec.lasts = true
+			spec.longRunning = true
 		case strings.HasPrefix(f, "gang="):
 			spec.gang = parseGang(f[len("gang="):])
 		case strings.HasPrefix(f, "cpu="):
@@ -70,17 +70,17 @@
 		case strings.HasPrefix(f, "fails_after="):
 			n, err := strconv.Atoi(f[len("fails_after="):])
 			if err == nil {
-				spec.failsAfter = time.Duration(n) * time.Millisecond
+				spec.meanTimeToFailure = time.Duration(n) * time.Millisecond
 			}
 		}
 	}
 	return spec
 }
 
-// life returns after what time the run of a task that lasts fails; 0: never. It is drawn
+// timeToFailure returns after what time the run of a task that lasts fails; 0: never. It is drawn
 // from the task and the run, so that plays repeat.
-func (t *taskRun) life() time.Duration {
-	if t.spec.failsAfter == 0 {
+func (t *taskRun) timeToFailure() time.Duration {
+	if t.spec.meanTimeToFailure == 0 {
 		return 0
 	}
 	h := fnv.New64a()
@@ -89,28 +89,28 @@
 		panic("site: a hash takes all bytes: " + err.Error())
 	}
 	rng := rand.New(rand.NewPCG(h.Sum64(), 0)) //nolint:gosec // The same run must have the same life in each play.
-	return time.Duration(rng.ExpFloat64() * float64(t.spec.failsAfter))
+	return time.Duration(rng.ExpFloat64() * float64(t.spec.meanTimeToFailure))
 }
 
 // percent returns how far the run has come.
 func (w *Worker) percent(t *taskRun) int {
-	if t.spec.lasts {
+	if t.spec.longRunning {
 		return 100
 	}
 	if t.stuck {
-		return t.from
+		return t.startPercent
 	}
-	return min(100, t.from+int(100*w.worked(t)/t.spec.takes))
+	return min(100, t.startPercent+int(100*w.workedFor(t)/t.spec.duration))
 }
 
-// failsNow reports whether a run whose task fails is halfway, or would be done: one that
+// mustFailNow reports whether a run whose task fails is halfway, or would be done: one that
 // goes on from a checkpoint has less than half of its time left.
-func (w *Worker) failsNow(t *taskRun) bool {
-	return t.spec.fails && (w.worked(t) > t.spec.takes/2 || w.percent(t) >= 100)
+func (w *Worker) mustFailNow(t *taskRun) bool {
+	return t.spec.fails && (w.workedFor(t) > t.spec.duration/2 || w.percent(t) >= 100)
 }
 
-// advance ends, under mu, what has run its time, and everything once the lease is over.
-func (w *Worker) advance() {
+// endDueRuns ends, under mu, what has run its time, and everything once the lease is over.
+func (w *Worker) endDueRuns() {
 	if w.deadline > 0 && w.clock() > w.deadline {
 		w.lapsedAt = time.Now()
 	}
@@ -118,51 +118,51 @@
 		t := w.running[name]
 		switch {
 		case w.deadline > 0 && w.clock() > w.deadline:
-			w.end(t, "lapsed")
-		case t.inGang && w.gangEnd(t) != "":
-			w.end(t, w.gangEnd(t))
+			w.endRun(t, "lapsed")
+		case t.inGang && w.gangOutcome(t) != "":
+			w.endRun(t, w.gangOutcome(t))
 		case t.stuck:
-		case t.doomed:
-			w.end(t, "failed")
-		case t.spec.lasts:
-			if life := t.life(); life > 0 && time.Since(t.startedAt) > life {
-				w.end(t, "failed")
+		case t.failsOnWorker:
+			w.endRun(t, "failed")
+		case t.spec.longRunning:
+			if timeToFailure := t.timeToFailure(); timeToFailure > 0 && time.Since(t.startedAt) > timeToFailure {
+				w.endRun(t, "failed")
 			}
-		case w.faults.FailAll || w.failsNow(t):
-			w.end(t, "failed")
+		case w.faults.FailAll || w.mustFailNow(t):
+			w.endRun(t, "failed")
 		case w.percent(t) >= 100:
-			w.end(t, "done")
+			w.endRun(t, "done")
 		}
 	}
 }
 
-// end notes that a run has ended and wakes the holds that wait for an end.
-func (w *Worker) end(t *taskRun, how string) {
-	w.ends++
+// endRun notes that a run has ended and wakes the holds that wait for an endRun.
+func (w *Worker) endRun(t *taskRun, outcome string) {
+	w.lastEnd++
 	checkpoint := ""
-	if how == "stopped" {
+	if outcome == "stopped" {
 		checkpoint = t.task + "@" + strconv.Itoa(w.percent(t))
 	}
-	w.ended = append(w.ended, runEnd{w.ends, t.task, t.run, how, checkpoint, time.Now()})
-	w.over[t.task] = max(w.over[t.task], t.run)
+	w.ended = append(w.ended, runEnd{w.lastEnd, t.task, t.run, outcome, checkpoint, time.Now()})
+	w.finishedRuns[t.task] = max(w.finishedRuns[t.task], t.run)
 	delete(w.running, t.task)
 	if t.inGang {
-		w.site.leaveGang(t, how == "done")
+		w.site.leaveGang(t, outcome == "done")
 	}
-	saw := EventEnd
-	switch how {
+	kind := EventEnd
+	switch outcome {
 	case "done":
-		saw = EventSuccess
+		kind = EventSuccess
 	case "alone":
-		saw = EventGangTimeout
+		kind = EventGangTimeout
 	}
-	w.site.note(Event{Worker: w.ID, Task: t.task, Run: t.run, Kind: saw, Fence: w.fence, Failed: how == "failed"})
+	w.site.addEvent(Event{Worker: w.ID, Task: t.task, Run: t.run, Kind: kind, Fence: w.fence, Failed: outcome == "failed"})
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// used returns the processor that the running tasks take, as their Spec says.
-func (w *Worker) used() int64 {
+// usedCPU returns the processor that the running tasks take, as their Spec says.
+func (w *Worker) usedCPU() int64 {
 	sum := int64(0)
 	for _, t := range w.running {
 		sum += t.spec.cpu
--- a/standin/site/task_test.go
+++ b/standin/site/task_test.go
@@ -13,8 +13,8 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// playTask starts a task on a worker, prepared by a test, and returns its end after a second.
-func playTask(t *testing.T, order string, prepare func(*site.Worker)) (end site.Event) {
+// runTask starts a task on a worker, prepared by a test, and returns its end after a second.
+func runTask(t *testing.T, order string, prepare func(*site.Worker)) (end site.Event) {
 	synctest.Test(t, func(t *testing.T) {
 		var worker http.Handler
 		s := site.New(site.Config{
@@ -55,21 +55,21 @@
 	for name, checkpoint := range map[string]string{"from the start": "", "from a checkpoint": "j.0.0.0@60"} {
 		t.Run(name, func(t *testing.T) {
 			order := `{"Task":"j.0.0.0","Run":1,"Spec":"300 failing","DeadlineMs":5000,"Fence":1,"Checkpoint":"` + checkpoint + `"}`
-			if end := playTask(t, order, func(*site.Worker) {}); !end.Failed {
+			if end := runTask(t, order, func(*site.Worker) {}); !end.Failed {
 				t.Errorf("the run ends so: %+v", end)
 			}
 		})
 	}
 }
 
-// TestWorkerFailsNew checks that a worker that fails all that starts there does so to
+// TestWorkerFailsNewRuns checks that a worker that fails all that starts there does so to
 // tasks that last too.
-func TestWorkerFailsNew(t *testing.T) {
+func TestWorkerFailsNewRuns(t *testing.T) {
 	const order = `{"Task":"j.0.0.0","Run":1,"Spec":"100 lasting","DeadlineMs":5000,"Fence":1}`
-	if end := playTask(t, order, func(w *site.Worker) { w.SetFailNewRuns(true) }); !end.Failed {
+	if end := runTask(t, order, func(w *site.Worker) { w.SetFailNewRuns(true) }); !end.Failed {
 		t.Errorf("the run ends so: %+v", end)
 	}
-	if end := playTask(t, order, func(*site.Worker) {}); end.Failed {
+	if end := runTask(t, order, func(*site.Worker) {}); end.Failed {
 		t.Errorf("the run on a sound worker ends so: %+v", end)
 	}
 }
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -25,39 +25,39 @@
 // run: "MS", "MS failing" (halfway) or "MS lasting" (until it is stopped); the
 // step's room is read from "cpu=N" behind it.
 type Worker struct {
-	ID      string
-	Address string
-	machine string
-	site    *Site
-	cfg     WorkerConfig
-	n       int
-	stop    func()
-	began   time.Time
-	// born is the time of day at the start of this life, in Unix milliseconds, as its
+	ID        string
+	Address   string
+	machine   string
+	site      *Site
+	cfg       WorkerConfig
+	index     int
+	stop      func()
+	startedAt time.Time
+	// startTime is the time of day at the start of this life, in Unix milliseconds, as its
 	// host's clock has it; 0: it doesn't tell.
-	born int64
+	startTime int64
 
 	mu       sync.Mutex
 	fence    int64
 	deadline int64
 	running  map[string]*taskRun
-	// over holds the highest run of a task that ended or was stopped here.
-	over    map[string]int64
-	ended   []runEnd
-	ends    int64
-	seen    int64
-	changed chan struct{}
+	// finishedRuns holds the highest run of a task that ended or was stopped here.
+	finishedRuns map[string]int64
+	ended        []runEnd
+	lastEnd      int64
+	confirmedEnd int64
+	changed      chan struct{}
 	// lapsedAt is when the lease was last seen to be over.
-	lapsedAt time.Time
-	dead     bool
-	drain    bool
-	// unlisted is set once it leaves without a word.
-	unlisted bool
-	// quiet is set while the worker doesn't announce itself, and its entry stays.
-	quiet  bool
+	lapsedAt   time.Time
+	terminated bool
+	draining   bool
+	// removed is set once it leaves without a word.
+	removed bool
+	// paused is set while the worker doesn't announce itself, and its entry stays.
+	paused bool
 	faults WorkerFaults
-	// failsNew is set while all that starts here fails.
-	failsNew bool
+	// failNewRuns is set while all that starts here fails.
+	failNewRuns bool
 }
 
 // WorkerFaults are the ways in which a worker can fail.
@@ -74,38 +74,38 @@
 func (s *Site) AddWorker(cfg WorkerConfig) *Worker {
 	s.mu.Lock()
 	n := len(s.workers)
-	w := s.newLife(cfg, n)
+	w := s.newIncarnation(cfg, n)
 	s.workers = append(s.workers, w)
 	s.mu.Unlock()
 	w.start()
 	return w
 }
 
-func (s *Site) newLife(cfg WorkerConfig, n int) *Worker {
-	s.lives++
+func (s *Site) newIncarnation(cfg WorkerConfig, index int) *Worker {
+	s.incarnations++
 	w := &Worker{
-		ID: "i-" + strconv.Itoa(s.lives), Address: s.cfg.WorkerAddress(n), machine: "m-" + strconv.Itoa(n), site: s, cfg: cfg, n: n,
-		running: make(map[string]*taskRun), over: make(map[string]int64), changed: make(chan struct{}), began: time.Now(),
+		ID: "i-" + strconv.Itoa(s.incarnations), Address: s.cfg.WorkerAddress(index), machine: "m-" + strconv.Itoa(index), site: s, cfg: cfg, index: index,
+		running: make(map[string]*taskRun), finishedRuns: make(map[string]int64), changed: make(chan struct{}), startedAt: time.Now(),
 	}
 	if cfg.ReportStartTime {
-		w.born = w.began.UnixMilli()
+		w.startTime = w.startedAt.UnixMilli()
 	}
 	return w
 }
 
 // Restart begins a new life on the machine of a crashed worker, under a new ID.
-func (s *Site) Restart(old *Worker) *Worker { return s.restart(old, s.newLife) }
+func (s *Site) Restart(old *Worker) *Worker { return s.restart(old, s.newIncarnation) }
 
 // RestartSameID begins a new life on the machine of a crashed worker under the ID that it had. Its
 // host's clock may have been set meanwhile, by that much.
-func (s *Site) RestartSameID(old *Worker, clockSet time.Duration) *Worker {
+func (s *Site) RestartSameID(old *Worker, clockShift time.Duration) *Worker {
 	return s.restart(old, func(cfg WorkerConfig, n int) *Worker {
-		w := s.newLife(cfg, n)
+		w := s.newIncarnation(cfg, n)
 		w.ID = old.ID
 		if cfg.ReportStartTime {
-			w.born += clockSet.Milliseconds()
-			if w.born == old.born {
-				w.born++
+			w.startTime += clockShift.Milliseconds()
+			if w.startTime == old.startTime {
+				w.startTime++
 			}
 		}
 		return w
@@ -114,8 +114,8 @@
 
 func (s *Site) restart(old *Worker, next func(WorkerConfig, int) *Worker) *Worker {
 	s.mu.Lock()
-	w := next(old.cfg, old.n)
-	s.workers[old.n] = w
+	w := next(old.cfg, old.index)
+	s.workers[old.index] = w
 	s.mu.Unlock()
 	w.start()
 	return w
@@ -126,29 +126,29 @@
 func (w *Worker) ReportsStartTime() bool { return w.cfg.ReportStartTime }
 
 const (
-	// beatEvery is how often a worker announces itself.
-	beatEvery = 1500 * time.Millisecond
-	// drainTime is the time that a draining worker says is left to it.
-	drainTime = 5 * time.Second
+	// announceInterval is how often a worker announces itself.
+	announceInterval = 1500 * time.Millisecond
+	// drainDuration is the time that a draining worker says is left to it.
+	drainDuration = 5 * time.Second
 )
 
 func (w *Worker) start() {
 	w.stop = w.site.cfg.Serve(w.Address, w.handler())
-	w.beat()
-	go w.live()
+	w.announce()
+	go w.loop()
 }
 
-// live beats, and ends what is due.
-func (w *Worker) live() {
+// loop beats, and ends what is due.
+func (w *Worker) loop() {
 	const tick = 50 * time.Millisecond
-	for next := time.Now().Add(beatEvery); !w.Crashed(); {
+	for next := time.Now().Add(announceInterval); !w.Crashed(); {
 		time.Sleep(tick)
 		w.mu.Lock()
-		w.advance()
+		w.endDueRuns()
 		w.mu.Unlock()
 		if now := time.Now(); now.After(next) {
-			next = now.Add(beatEvery)
-			w.beat()
+			next = now.Add(announceInterval)
+			w.announce()
 		}
 	}
 }
@@ -156,16 +156,16 @@
 // Drain announces that the worker leaves.
 func (w *Worker) Drain() {
 	w.mu.Lock()
-	w.drain = true
+	w.draining = true
 	w.mu.Unlock()
-	w.beat()
+	w.announce()
 }
 
 // RemoveFromDirectory lets the worker's entry go, as of one that leaves without saying so: it
 // serves on, but announces itself no more.
 func (w *Worker) RemoveFromDirectory() {
 	w.mu.Lock()
-	w.unlisted = true
+	w.removed = true
 	w.mu.Unlock()
 	w.site.Store.Remove("servers", w.ID)
 }
@@ -173,12 +173,12 @@
 // Crash ends the life: nothing runs there any more, and the directory drops it.
 func (w *Worker) Crash() {
 	w.mu.Lock()
-	w.dead = true
+	w.terminated = true
 	for _, t := range w.running {
 		if t.inGang {
 			w.site.leaveGang(t, false)
 		}
-		w.site.saw(w, t.task, t.run, EventEnd, w.fence)
+		w.site.record(w, t.task, t.run, EventEnd, w.fence)
 	}
 	clear(w.running)
 	w.mu.Unlock()
@@ -189,7 +189,7 @@
 // Stop ends the worker's process, at the end of a test.
 func (w *Worker) Stop() {
 	w.mu.Lock()
-	w.dead = true
+	w.terminated = true
 	w.mu.Unlock()
 	w.stop()
 }
@@ -198,7 +198,7 @@
 func (w *Worker) Crashed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.dead
+	return w.terminated
 }
 
 // SetFaults replaces the faults in force; tasks that run get stuck or go on.
@@ -216,7 +216,7 @@
 func (w *Worker) SetFailNewRuns(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failsNew = fails
+	w.failNewRuns = fails
 }
 
 // RunningTasks returns how many tasks run.
@@ -226,4 +226,4 @@
 	return len(w.running)
 }
 
-func (w *Worker) clock() int64 { return time.Since(w.began).Milliseconds() }
+func (w *Worker) clock() int64 { return time.Since(w.startedAt).Milliseconds() }
