--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -175,10 +175,10 @@
 	}
 }
 
-// TestHeldFillerResumes checks that a filler that was held because the serving task beside it
-// exceeded its latency target resumes while that task stays at 0.7 of the target. If it needed
-// the latency to fall below 0.6 of the target, a serving task that is above that by itself would
-// hold it forever.
+// TestHeldFillerResumes checks that a filler, a task that uses only CPU time that others leave,
+// resumes after it was held because the serving task beside it exceeded its latency target, while
+// that task stays at 0.7 of the target. If the latency had to fall below 0.6 of the target, a
+// serving task that is above that by itself would hold the filler forever.
 func TestHeldFillerResumes(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -293,8 +293,9 @@
 	return paces
 }
 
-// TestFillersArePaced checks that a filler is slowed down while the serving task beside it
-// exceeds its latency target, and gets its pace back afterwards.
+// TestFillersArePaced checks that a filler, a task that uses only CPU time that others leave, is
+// slowed down while the serving task beside it exceeds its latency target, and gets its pace back
+// afterwards.
 func TestFillersArePaced(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
