--- a/standin/site/advice.go
+++ b/standin/site/advice.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// adviceService says which workers may run a step. It takes the calls of one host in turn.
+// adviceService decides which workers may run a step and issues tickets for them. It handles
+// the calls of one host one after the other.
 type adviceService struct {
 	mu sync.Mutex
-	// slots holds a turn for each calling host: a channel and not a mutex, which
-	// would keep virtual time from passing.
+	// slots lets one call of each host through at a time. A slot is a channel because a call
+	// that waits for a mutex would stop virtual time in tests.
 	slots map[string]chan struct{}
-	// rejectOneIn is of how many workers one is rejected for a step.
+	// rejectOneIn means that one in so many workers is rejected for a step.
 	rejectOneIn int
 }
 
 const (
-	// adviceDuration is how long a call takes, and adviceValid how long a ticket is good.
+	// adviceDuration is how long a call takes, and ticketValidity how long a ticket is valid.
 	adviceDuration = 20 * time.Millisecond
 	ticketValidity = 2500 * time.Millisecond
-	// defaultRejectOneIn lets every step run on three in four workers.
+	// defaultRejectOneIn lets a step run on three in four workers.
 	defaultRejectOneIn = 4
 )
 
@@ -45,7 +46,7 @@
 	ValidMS int64       `json:"valid_ms"`
 }
 
-// ServeHTTP answers for a step.
+// ServeHTTP answers a call with tickets for the workers that may run the step.
 func (a *adviceService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var req adviceRequest
 	if !decodeBody(w, r, &req) {
@@ -71,7 +72,8 @@
 	writeJSON(w, http.StatusOK, res)
 }
 
-// allows reports whether a step may run on a worker; the answer never changes.
+// allows reports whether a step may run on a worker. It is a hash of both, so that the
+// decision never changes.
 func (a *adviceService) allows(step, worker string) bool {
 	sum := 0
 	for _, c := range step + worker {
@@ -96,8 +98,9 @@
 	return now.Sub(time.UnixMilli(ms)) <= ticketValidity
 }
 
-// SetRejectOneIn sets of how many workers advice rejects one for a step, before it is asked.
+// SetRejectOneIn makes the advice service reject one in n workers for a step. It must be
+// called before the first call of the service.
 func (s *Site) SetRejectOneIn(n int) { s.adviceService.rejectOneIn = n }
 
-// AdviceAllows reports whether the advice service lets a step run on a worker.
+// AdviceAllows reports whether the advice service allows a step to run on a worker.
 func (s *Site) AdviceAllows(step, worker string) bool { return s.adviceService.allows(step, worker) }
--- a/standin/site/announce.go
+++ b/standin/site/announce.go
@@ -27,10 +27,10 @@
 	GPU      int64 `json:"Gpu"`
 }
 
-// workerSlots is how many slots a worker says that it has.
+// workerSlots is the number of slots that every worker announces.
 const workerSlots = 8
 
-// announce writes the worker's entry, if the store takes it.
+// announce writes the worker's entry to the directory, unless the store is down.
 func (w *Worker) announce() {
 	if w.site.Store.isDown() {
 		return
@@ -49,7 +49,7 @@
 	w.site.Store.Put("servers", w.ID, b)
 }
 
-// entry is what the worker says of itself. The caller holds mu.
+// entry returns the worker's entry in the directory. The caller holds mu.
 func (w *Worker) entry() directoryEntry {
 	return directoryEntry{
 		Upstream: cmp.Or(w.cfg.Service, w.site.cfg.Service), Address: w.Address, Zone: "dc", Version: "v1", Slots: workerSlots, State: "ready",
@@ -57,7 +57,7 @@
 	}
 }
 
-// labels are the worker's kind, its rack and its own label.
+// labels returns the worker's kind, its rack and, if it has one, its own label.
 func (w *Worker) labels() []string {
 	labels := []string{"a", w.cfg.Rack}
 	if w.cfg.Label != "" {
--- a/standin/site/corrupt.go
+++ b/standin/site/corrupt.go
@@ -7,33 +7,33 @@
 	"math/rand/v2"
 )
 
-// CorruptEntry is an entry of the directory as another writer may leave it: it names no
-// worker to use.
+// CorruptEntry is an entry of the directory that another program has corrupted: nodes must
+// not use it as a worker.
 type CorruptEntry struct {
-	// Name says what is wrong with it.
+	// Name says what is wrong with the entry.
 	Name string
-	// Field is the member that is wrong, "" for an entry that can't be read at all.
+	// Field is the invalid field, or "" for an entry that can't be decoded at all.
 	Field string
-	// value replaces the member; nil: it is missing.
+	// value replaces the value of the field; nil: the field is missing.
 	value any
-	// raw is the whole entry, if it isn't a worker's with one member changed.
+	// raw is the whole entry if Field is "".
 	raw string
 }
 
-// CorruptEntries are the ways in which an entry can be spoilt.
+// CorruptEntries returns an entry for each way in which one can be corrupt.
 func CorruptEntries() []CorruptEntry {
 	list := []CorruptEntry{
 		{Name: "empty", raw: ""},
 		{Name: "bytes that can't be read", raw: "\xff\x00{"},
-		{Name: "cut short", raw: `{"Upstream":"billing","Addr`},
+		{Name: "truncated", raw: `{"Upstream":"billing","Addr`},
 		{Name: "a list", raw: "[]"},
-		{Name: "nothing in it", raw: "{}"},
+		{Name: "an empty object", raw: "{}"},
 		{Name: "null", raw: "null"},
 		{Name: "an unknown state", Field: "State", value: "retired"},
 		{Name: "an empty state", Field: "State", value: ""},
 		{Name: "a number for the state", Field: "State", value: 1},
 		{Name: "no port", Field: "Address", value: "10.0.0.1"},
-		{Name: "a port that is none", Field: "Address", value: "10.0.0.1:70000"},
+		{Name: "a port that is out of range", Field: "Address", value: "10.0.0.1:70000"},
 		{Name: "no host", Field: "Address", value: ":80"},
 		{Name: "an address with blanks", Field: "Address", value: "some where:80"},
 		{Name: "a list for the address", Field: "Address", value: []string{"10.0.0.1:80"}},
@@ -55,21 +55,21 @@
 	return list
 }
 
-// CorruptStartTimes are the ways in which the start that an entry tells can be spoilt.
+// CorruptStartTimes returns an entry for each way in which a start time can be invalid.
 func CorruptStartTimes() []CorruptEntry {
 	return []CorruptEntry{
 		{Name: "a text for the start", Field: "born", value: "1764742000000"},
 		{Name: "a fraction for the start", Field: "born", value: 1764742000000.5},
 		{Name: "a negative start", Field: "born", value: -1},
 		{Name: "a start that is too large", Field: "born", value: 1e300},
-		{Name: "a start beyond all numbers", Field: "born", value: json.RawMessage("1e999")},
+		{Name: "a start that is out of range", Field: "born", value: json.RawMessage("1e999")},
 		{Name: "a list for the start", Field: "born", value: []int64{1764742000000}},
 		{Name: "null for the start", Field: "born", value: json.RawMessage("null")},
 		{Name: "an object for the start", Field: "born", value: map[string]any{}},
 	}
 }
 
-// Encode returns the worker's entry, spoilt.
+// Encode returns the worker's entry, corrupted in this way.
 func (s CorruptEntry) Encode(w *Worker) []byte {
 	if s.Field == "" {
 		return []byte(s.raw)
@@ -77,33 +77,33 @@
 	w.mu.Lock()
 	entry := w.entry()
 	w.mu.Unlock()
-	var members map[string]any
-	if err := json.Unmarshal(encode(entry), &members); err != nil {
-		panic("site: an entry is an object: " + err.Error())
+	var fields map[string]any
+	if err := json.Unmarshal(encode(entry), &fields); err != nil {
+		panic("site: entry can't be decoded: " + err.Error())
 	}
-	members[s.Field] = s.value
+	fields[s.Field] = s.value
 	if s.value == nil {
-		delete(members, s.Field)
+		delete(fields, s.Field)
 	}
-	return encode(members)
+	return encode(fields)
 }
 
 func encode(v any) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic("site: a row can't be encoded: " + err.Error())
+		panic("site: row can't be encoded: " + err.Error())
 	}
 	return body
 }
 
-// OverwriteEntry writes over the worker's entry as another writer does. Unless the worker is
-// quiet, it writes its own again with the next announcement.
+// OverwriteEntry replaces the worker's entry by a corrupt one, as another program may. The
+// worker's next announcement restores it, unless its announcements are paused.
 func (w *Worker) OverwriteEntry(s CorruptEntry) {
 	w.site.Store.PutRaw("servers", "", w.ID, s.Encode(w))
 }
 
-// SetAnnouncementsPaused keeps the worker from announcing itself, while its entry stays, or lets it
-// announce itself at once.
+// SetAnnouncementsPaused stops the worker's announcements, while its entry stays, or resumes
+// them with one at once.
 func (w *Worker) SetAnnouncementsPaused(paused bool) {
 	w.mu.Lock()
 	w.paused = paused
@@ -113,29 +113,29 @@
 	}
 }
 
-// CorruptSomeEntries is another writer at work: it spoils the entry of one worker in four, and
-// as often writes one under a name that no worker has.
+// CorruptSomeEntries acts as another program that writes to the directory: it corrupts the
+// entries of one worker in four, and as often adds a corrupt entry under an ID that no worker
+// has.
 func (s *Site) CorruptSomeEntries(rng *rand.Rand) {
 	const oneIn = 4
 	s.mu.Lock()
 	workers := append([]*Worker(nil), s.workers...)
 	s.mu.Unlock()
-	kinds := CorruptEntries()
+	entries := CorruptEntries()
 	for _, w := range workers {
-		kind := kinds[rng.IntN(len(kinds))]
+		entry := entries[rng.IntN(len(entries))]
 		switch rng.IntN(2 * oneIn) {
 		case 0, 1:
 			if !w.Crashed() {
-				w.OverwriteEntry(kind)
+				w.OverwriteEntry(entry)
 			}
 		case 2, 3:
-			s.Store.PutRaw("servers", "", "i-of-nobody-"+w.ID, kind.Encode(w))
+			s.Store.PutRaw("servers", "", "i-of-nobody-"+w.ID, entry.Encode(w))
 		}
 	}
 }
 
-// UnknownServiceEntry is an entry that can be read, and names a service which no
-// configuration does.
+// UnknownServiceEntry returns a valid entry for a service that isn't in the configuration.
 func UnknownServiceEntry() CorruptEntry {
 	return CorruptEntry{Name: "another service", Field: "Upstream", value: "of-nobody"}
 }
--- a/standin/site/gang.go
+++ b/standin/site/gang.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// gangTimeout is how long a member of a gang waits for the others.
+// gangTimeout is how long a member of a gang waits for the others to start.
 const gangTimeout = 3 * time.Second
 
-// gangSpec says that the members of one of a job's steps work only together. It is read
-// from the job's Spec: "gang=STEP:MEMBERS".
+// gangSpec makes the tasks of one of a job's steps a gang, whose members work only while all
+// of them run. It is given in the job's Spec as "gang=STEP:MEMBERS".
 type gangSpec struct {
 	step    string
 	members int
@@ -28,23 +28,23 @@
 	return gangSpec{step, n}
 }
 
-// includes reports whether a task, ID.K.STEP.INDEX, is a member.
+// includes reports whether a task, whose ID has the form JOB.REPEAT.STEP.INDEX, is a member.
 func (g gangSpec) includes(task string) bool {
 	parts := strings.Split(task, ".")
 	return g.members > 0 && len(parts) == 4 && parts[2] == g.step
 }
 
-// gangRun is one run of a gang, on any workers.
+// gangRun is one run of a gang, whose members may run on different workers.
 type gangRun struct {
 	present []string
-	// completeAt is since when all members are there; zero: they never were.
+	// completeAt is when the last member started; zero: not all have started.
 	completeAt time.Time
-	// succeeded is set once a member has succeeded, and broken once one has ended otherwise
-	// before that.
+	// succeeded is set once a member has succeeded, and broken once a member has ended in
+	// another way before any has succeeded.
 	succeeded, broken bool
 }
 
-// gangKey names a run of a gang.
+// gangKey identifies a run of a gang.
 type gangKey struct {
 	step string
 	run  int64
@@ -54,7 +54,7 @@
 	return gangKey{t.task[:strings.LastIndexByte(t.task, '.')], t.run}
 }
 
-// joinGang notes that a member of a gang has begun.
+// joinGang records that a member of a gang has started.
 func (s *Site) joinGang(t *taskRun) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// leaveGang notes that a member of a gang has ended, with success or not.
+// leaveGang records that a member of a gang has ended.
 func (s *Site) leaveGang(t *taskRun, succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,14 +80,15 @@
 	g.broken = g.broken || !g.succeeded
 }
 
-// gang returns a member's gang.
+// gang returns the state of a member's gang.
 func (s *Site) gang(t *taskRun) gangRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return *s.gangs[gangKeyOf(t)]
 }
 
-// gangOutcome returns how a member of a gang ends because of the others, or "".
+// gangOutcome returns the outcome with which a member of a gang must end because of the other
+// members, or "" if it may go on.
 func (w *Worker) gangOutcome(t *taskRun) string {
 	g := w.site.gang(t)
 	switch {
@@ -101,7 +102,8 @@
 	return ""
 }
 
-// workedFor returns for how long a run has workedFor.
+// workedFor returns for how long a run has worked. A member of a gang works only once all
+// members have started.
 func (w *Worker) workedFor(t *taskRun) time.Duration {
 	if !t.inGang {
 		return time.Since(t.startedAt)
--- a/standin/site/hold.go
+++ b/standin/site/hold.go
@@ -36,7 +36,7 @@
 		return
 	}
 	w.fence = req.Fence
-	w.site.recordOrderFrom(hostOf(r.RemoteAddr))
+	w.site.recordOwner(hostOf(r.RemoteAddr))
 	w.deadline = max(w.deadline, req.DeadlineMS)
 	w.confirmedEnd = max(w.confirmedEnd, req.LastSeen)
 	w.dropConfirmedEnds()
@@ -46,9 +46,10 @@
 	writeJSON(rw, http.StatusOK, res)
 }
 
-// dropConfirmedEnds drops the ends that were confirmed. A number that was confirmed once stands for
-// the whole life: an end that gets it later is forgotten too. A success is not noted if the
-// lease has lapsed since: its task may have been started elsewhere.
+// dropConfirmedEnds drops the ends that were confirmed. A confirmed number stays confirmed
+// for the whole incarnation: an end that gets it later is dropped too. The confirmation of a
+// success isn't recorded if the lease has lapsed since the run ended, because the task may
+// have been started elsewhere.
 func (w *Worker) dropConfirmedEnds() {
 	w.ended = slices.DeleteFunc(w.ended, func(e runEnd) bool {
 		if e.number > w.confirmedEnd {
@@ -61,8 +62,8 @@
 	})
 }
 
-// waitForEnd waits until a run has ended, but no longer than that. It is called
-// under mu, which it lets go while it waits.
+// waitForEnd waits until there is an unconfirmed end, but at most maxWait. The caller holds
+// mu, which is released while it waits.
 func (w *Worker) waitForEnd(ctx context.Context, maxWait time.Duration) {
 	deadline := time.After(maxWait)
 	for len(w.ended) == 0 && maxWait > 0 {
@@ -83,8 +84,8 @@
 	}
 }
 
-// report lists what runs, without the checkpoints that an end carries, and the
-// ends that are not confirmed.
+// report lists the runs, without checkpoints, which only ends contain, and the unconfirmed
+// ends. The caller holds mu.
 func (w *Worker) report() holdReply {
 	res := holdReply{ClockMS: w.clock(), Born: w.startTime, Running: []json.RawMessage{}, Ended: []json.RawMessage{}}
 	for _, name := range sortedKeys(w.running) {
@@ -100,7 +101,7 @@
 func jsonArray(values ...any) json.RawMessage {
 	body, err := json.Marshal(values)
 	if err != nil {
-		panic("site: an entry can't be encoded: " + err.Error())
+		panic("site: array can't be encoded: " + err.Error())
 	}
 	return body
 }
--- a/standin/site/longrunning.go
+++ b/standin/site/longrunning.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// maxGap is the platform's bound for tasks that last: within it from the end of
-// its last run, each runs again as long as there is room.
+// maxGap is the platform's bound for long-running tasks: as long as there is room, each runs
+// again within this time of the end of its last run.
 const maxGap = 6 * time.Second
 
-// LongRunningJob is a job of one step whose tasks last, and a time without faults in which all
-// of them have room.
+// LongRunningJob is a job of one step whose tasks run until they are stopped, with an interval
+// without faults in which there is room for all of them.
 type LongRunningJob struct {
 	Job         string
 	Tasks       int
 	From, Until time.Time
 }
 
-// Violations describes the times for which a task ran nowhere for longer than the bound.
+// Violations describes each time that a task ran nowhere for longer than the bound.
 func (l LongRunningJob) Violations(events []Event) []string {
 	var violations []string
 	for i := range l.Tasks {
 		task := fmt.Sprintf("%s.0.0.%d", l.Job, i)
 		for _, gap := range l.gaps(task, events) {
 			if gap > maxGap {
-				violations = append(violations, fmt.Sprintf("%s lasts, and ran nowhere for %s", task, gap))
+				violations = append(violations, fmt.Sprintf("long-running task %s ran nowhere for %s", task, gap))
 			}
 		}
 	}
 	return violations
 }
 
-// gaps returns for how long a task ran nowhere, each time.
+// gaps returns the durations for which a task ran nowhere within the interval.
 func (l LongRunningJob) gaps(task string, events []Event) []time.Duration {
 	var list []time.Duration
 	notRunning, since := true, l.From
--- a/standin/site/longrunning_test.go
+++ b/standin/site/longrunning_test.go
@@ -9,8 +9,8 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// TestLongRunningJobViolations checks that only a task that is away for longer than the bound, within
-// the time that is judged, counts.
+// TestLongRunningJobViolations checks that a task counts as a violation only if it runs
+// nowhere for longer than the bound within the interval of the job.
 func TestLongRunningJobViolations(t *testing.T) {
 	zero := time.Unix(100, 0)
 	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			violations := site.LongRunningJob{Job: "j", Tasks: 1, From: at(0), Until: at(20)}.Violations(c.events)
 			if len(violations) != c.violations {
-				t.Errorf("%d breaches, want %d: %v", len(violations), c.violations, violations)
+				t.Errorf("%d violations, want %d: %v", len(violations), c.violations, violations)
 			}
 		})
 	}
--- a/standin/site/orders.go
+++ b/standin/site/orders.go
@@ -32,7 +32,7 @@
 	mux.HandleFunc("POST /api/pace", w.servePace)
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if w.Crashed() {
-			// A connection from before the crash may still be open; nobody answers on it.
+			// A connection from before the crash may still be open, but gets no answer.
 			panic(http.ErrAbortHandler)
 		}
 		if id := r.Header.Get("X-Switchbank-Expect-Instance"); id != "" && id != w.ID {
@@ -67,7 +67,7 @@
 	writeJSON(rw, http.StatusOK, orderReply{ClockMS: clock})
 }
 
-// acceptStartLate carries a start out that got no answer.
+// acceptStartLate carries out a start after a delay; its caller has got no answer.
 func (w *Worker) acceptStartLate(req startRequest, delay time.Duration) {
 	time.Sleep(delay)
 	w.mu.Lock()
@@ -75,7 +75,7 @@
 	w.acceptStart(req)
 }
 
-// acceptStart begins a run, or returns why not.
+// acceptStart starts a run, or returns the reason why it is refused. The caller holds mu.
 func (w *Worker) acceptStart(req startRequest) string {
 	if w.terminated {
 		return "late"
@@ -103,7 +103,8 @@
 	return ""
 }
 
-// begin runs a task from its checkpoint on, and notes what should not be.
+// begin starts a task from its checkpoint, and records an overload or a start on a draining
+// worker. The caller holds mu.
 func (w *Worker) begin(req startRequest) {
 	t := &taskRun{task: req.Task, run: req.Run, spec: parseSpec(req.Spec), startedAt: time.Now(), stuck: w.faults.Stuck, failsOnWorker: w.failNewRuns}
 	if _, at, ok := strings.Cut(req.Checkpoint, "@"); ok {
@@ -137,7 +138,8 @@
 	writeJSON(rw, http.StatusOK, orderReply{ClockMS: w.clock()})
 }
 
-// acceptStop ends a run, or keeps it from beginning later.
+// acceptStop stops a run, or keeps it from starting later. It returns false for an outdated
+// fence.
 func (w *Worker) acceptStop(req startRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -1,16 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package site is a small stand-in for the users' platform, for tests and for
-// the local run: the table service, workers, the advice service and the list of
-// machines, as far as the product uses them. It speaks the platform's protocol,
-// and can be told to fail in the ways in which the platform fails.
+// Package site is a stand-in for the users' platform, for tests and for running
+// the scheduler locally: the table service, workers, the advice service and the
+// list of machines, as far as the scheduler uses them. It speaks the platform's
+// protocol, can be made to fail as the platform does, and records what happens on
+// its workers, so that tests can check it against the platform's guarantees.
 //
 // # Usage
 //
 //	s := site.New(site.Config{Service: "billing", Serve: serve})
 //	w := s.AddWorker(site.WorkerConfig{Rack: "r1-1", CPUMilli: 16000, MemoryMB: 32000})
 //	s.Store.SetFaults(site.StoreFaults{Down: true})
-//	for _, seen := range s.Sights() { … } // what the workers saw
+//	for _, e := range s.Events() { … } // what happened on the workers
+//	for _, text := range s.Violations(site.Expectations{}) { … } // broken guarantees
 package site
 
 import (
@@ -25,19 +27,21 @@
 	"time"
 )
 
-// Serve makes a handler reachable under an address until stop is called.
+// Serve makes a handler reachable at an address until stop is called.
 type Serve func(address string, h http.Handler) (stop func())
 
-// Config is what a site consists of.
+// Config describes a site.
 type Config struct {
 	// Service is the name of the pool of workers.
 	Service string
 	Serve   Serve
-	// StoreAddress, AdviceAddress and MachinesAddress are where these are served.
+	// StoreAddress, AdviceAddress and MachinesAddress are the addresses of the table service,
+	// the advice service and the list of machines.
 	StoreAddress, AdviceAddress, MachinesAddress string
-	// RejectOneIn is of how many workers advice rejects one for a step; 0: of four.
+	// RejectOneIn makes the advice service reject one in so many workers for a step; 0: one
+	// in four.
 	RejectOneIn int
-	// WorkerAddress returns the address for the n-th worker.
+	// WorkerAddress returns the address of the n-th worker.
 	WorkerAddress func(n int) string
 }
 
@@ -49,7 +53,7 @@
 	mu            sync.Mutex
 	workers       []*Worker
 	events        []Event
-	// drainedAt is when the store took each worker's announcement that it drains.
+	// drainedAt is when each worker's announcement that it is draining was stored.
 	drainedAt map[string]time.Time
 	// gangs are the runs of gangs, by step and run.
 	gangs        map[gangKey]*gangRun
@@ -58,7 +62,7 @@
 	stops        []func()
 }
 
-// Event is something that a worker saw.
+// Event is something that happened on a worker.
 type Event struct {
 	At     time.Time
 	Worker string
@@ -66,13 +70,15 @@
 	Run    int64
 	Kind   string
 	Fence  int64
-	// Failed is set for the end of a run that failed, by itself or with its worker.
+	// Failed is set for the end of a run that failed by itself or because of its worker.
 	Failed bool
 }
 
-// What a worker can see. EventSuccess is an end with success, EventGangTimeout that of a member of a
-// gang which has waited in vain for the others, and EventSuccessConfirmed that the worker was told
-// that a success has been read.
+// The kinds of event. EventSuccess is the end of a run that succeeded, EventGangTimeout the
+// end of a gang member that waited in vain for the others, and EventEnd any other end.
+// EventSuccessConfirmed says that the owner has confirmed a success. The last three are a
+// start beyond the worker's capacity, one with an invalid ticket, and one on a worker that
+// is draining.
 const (
 	EventStart              = "start"
 	EventEnd                = "end"
@@ -84,7 +90,8 @@
 	EventStartWhileDraining = "start_while_draining"
 )
 
-// New returns a site whose store, advice and machines are served.
+// New returns a site without workers that serves the table service, the advice service and
+// the list of machines.
 func New(cfg Config) *Site {
 	s := &Site{cfg: cfg, Store: NewStore(), adviceService: newAdvice(cfg.RejectOneIn), drainedAt: make(map[string]time.Time), gangs: make(map[gangKey]*gangRun)}
 	s.stops = []func(){
@@ -95,7 +102,7 @@
 	return s
 }
 
-// recordDrained notes when the store first takes a worker's announcement that it drains.
+// recordDrained records when a worker's announcement that it is draining is first stored.
 func (s *Site) recordDrained(worker string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,14 +111,14 @@
 	}
 }
 
-// DrainedAt returns when the store took each worker's announcement that it drains.
+// DrainedAt returns when each worker's announcement that it is draining was stored.
 func (s *Site) DrainedAt() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.drainedAt)
 }
 
-// Close ends the store, the advice service, the list of machines and all workers.
+// Close stops all workers and the services of the site.
 func (s *Site) Close() {
 	s.mu.Lock()
 	workers := append([]*Worker(nil), s.workers...)
@@ -124,20 +131,20 @@
 	}
 }
 
-// Owner returns the host from which a worker last took an order under its fence.
+// Owner returns the host that last renewed a worker's lease with a valid fence.
 func (s *Site) Owner() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.owner
 }
 
-func (s *Site) recordOrderFrom(from string) {
+func (s *Site) recordOwner(from string) {
 	s.mu.Lock()
 	s.owner = from
 	s.mu.Unlock()
 }
 
-// Events returns what the workers saw so far, in order.
+// Events returns what has happened on the workers so far, in order.
 func (s *Site) Events() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +155,7 @@
 	s.addEvent(Event{Worker: w.ID, Task: task, Run: run, Kind: kind, Fence: fence})
 }
 
-// addEvent keeps a sight of this moment.
+// addEvent records an event at the current time.
 func (s *Site) addEvent(e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +163,7 @@
 	s.events = append(s.events, e)
 }
 
-// Route is one queue of the configuration.
+// Route is a queue of the configuration.
 type Route struct {
 	Name        string      `json:"Name"`
 	Host        string      `json:"Host"`
@@ -186,13 +193,13 @@
 	Name string `json:"Name"`
 }
 
-// Configure writes a version of the configuration. It names the site's service and
-// those of the routes.
+// Configure stores a version of the configuration with the routes, their services and the
+// site's own service.
 func (s *Site) Configure(version int64, routes ...Route) {
 	services := []service{{s.cfg.Service}}
 	for _, r := range routes {
-		if named := (service{r.Upstream}); !slices.Contains(services, named) {
-			services = append(services, named)
+		if upstream := (service{r.Upstream}); !slices.Contains(services, upstream) {
+			services = append(services, upstream)
 		}
 	}
 	s.Store.Put("op", "config", config{version, routes, services})
@@ -208,7 +215,7 @@
 	Pool    string `json:"pool"`
 	State   string `json:"State"`
 	ID      string `json:"Id"`
-	// Labels are those of its worker: they name its rack.
+	// Labels are those of the worker on the machine; one of them names the rack.
 	Labels []string `json:"Labels"`
 }
 
@@ -217,9 +224,9 @@
 	workers := append([]*Worker(nil), s.workers...)
 	s.mu.Unlock()
 	list := machines{Machines: []machine{}}
-	for _, k := range workers {
-		m := machine{Machine: k.machine, Pool: cmp.Or(k.cfg.Service, s.cfg.Service), State: "up", ID: k.ID, Labels: k.labels()}
-		if k.Crashed() {
+	for _, worker := range workers {
+		m := machine{Machine: worker.machine, Pool: cmp.Or(worker.cfg.Service, s.cfg.Service), State: "up", ID: worker.ID, Labels: worker.labels()}
+		if worker.Crashed() {
 			m.State, m.ID = "down", ""
 		}
 		list.Machines = append(list.Machines, m)
@@ -253,10 +260,10 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic("site: a reply can't be encoded: " + err.Error())
+		panic("site: answer can't be encoded: " + err.Error())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has gone can't be told.
+	// An error means that the caller has disconnected: nobody is left to report it to.
 	_, _ = w.Write(body)
 }
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Store is the table service.
+// Store is the table service. It keeps all rows and changes in memory.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[storeKey]storeRow
 	changes []storeRow
 	version int64
 	faults  StoreFaults
-	// unavailableParts are the parts that don't answer while others do.
+	// unavailableParts are the parts whose calls get no answer, while those of other parts do.
 	unavailableParts []string
 	// changed is closed and replaced with each change.
 	changed chan struct{}
 	calls   int64
-	// busyUntil is when the writes that have come so far leave a part free.
+	// busyUntil is when a part will have finished the writes that it has received so far.
 	busyUntil map[string]time.Time
 }
 
 type storeKey struct{ table, part, key string }
 
-// storeRow is a row in the platform's words.
+// storeRow is a row in the platform's protocol.
 type storeRow struct {
 	Table   string `json:"table"`
 	Part    string `json:"part,omitempty"`
@@ -59,7 +59,7 @@
 	return &Store{rows: make(map[storeKey]storeRow), changed: make(chan struct{}), busyUntil: make(map[string]time.Time)}
 }
 
-// Calls returns how many calls have come.
+// Calls returns how many calls the store has received.
 func (s *Store) Calls() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,29 +94,29 @@
 	return keys
 }
 
-// Put writes a row as the operator or a worker does.
+// Put writes a row of the empty part with value encoded as JSON, as operators and workers do.
 func (s *Store) Put(table, key string, value any) {
 	s.PutRaw(table, "", key, encode(value))
 }
 
-// PutRaw writes any bytes as a row.
+// PutRaw writes a row with any bytes as its value.
 func (s *Store) PutRaw(table, part, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(storeTxn{Put: []storeRow{{Table: table, Part: part, Key: key, Value: value}}})
 }
 
-// Remove drops a row of the empty part.
+// Remove deletes a row of the empty part.
 func (s *Store) Remove(table, key string) { s.RemoveIn(table, "", key) }
 
-// RemoveIn drops a row.
+// RemoveIn deletes a row of a part.
 func (s *Store) RemoveIn(table, part, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(storeTxn{Remove: []storeRow{{Table: table, Part: part, Key: key}}})
 }
 
-// Handler serves the store.
+// Handler returns the handler that serves the store's calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/rows-tx", s.serveTxn)
--- a/standin/site/storefaults.go
+++ b/standin/site/storefaults.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// StoreFaults are the ways in which the store can fail.
+// StoreFaults are the faults that the store simulates.
 type StoreFaults struct {
-	// Down: no call is answered or done. Busy answers 503 instead of nothing.
+	// Down: no call takes effect or is answered. With Busy the answer is 503 instead.
 	Down bool
 	Busy bool
-	// Deny names the hosts that are turned away with 503 while others are served.
+	// Deny are the hosts whose calls are refused with 503, while others are served.
 	Deny []string
-	// Delay is added before each call.
+	// Delay is how long each call waits before it is handled.
 	Delay time.Duration
-	// AnswerDelay is how long a write's answer takes after the write has taken effect.
+	// AnswerDelay is the time between a write's effect and its answer.
 	AnswerDelay time.Duration
-	// PartBusy is how long a write keeps its part busy; others of the part wait.
+	// PartBusy is how long each write occupies its part, while other writes to it wait.
 	PartBusy time.Duration
-	// LoseReplies is how many of the next writes are done and not answered.
+	// LoseReplies is how many of the next writes take effect but get no answer.
 	LoseReplies int
-	// Late is how many of the next writes are not answered and done after LateBy.
+	// Late is how many of the next writes get no answer and take effect only after LateBy.
 	Late   int
 	LateBy time.Duration
-	// NoHistory makes every feed answer that its history is gone.
+	// NoHistory makes every feed answer that the history of changes has been deleted.
 	NoHistory bool
 }
 
@@ -38,47 +38,48 @@
 	s.faults = f
 }
 
-// SetUnavailableParts replaces the parts that don't answer while others do, which goes on beside
-// the faults in force.
+// SetUnavailableParts replaces the set of parts whose calls get no answer. It is independent
+// of the other faults.
 func (s *Store) SetUnavailableParts(parts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailableParts = parts
 }
 
-// isDown reports whether no call is answered or done.
+// isDown reports whether the store is down.
 func (s *Store) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Down
 }
 
-// answerDelay returns how long a write's answer takes.
+// answerDelay returns the time between a write's effect and its answer.
 func (s *Store) answerDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.AnswerDelay
 }
 
-// hasUnavailable reports whether one of the parts doesn't answer.
+// hasUnavailable reports whether one of the parts is unavailable.
 func (s *Store) hasUnavailable(parts ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(parts, func(p string) bool { return slices.Contains(s.unavailableParts, p) })
 }
 
-// maxSilence bounds how long a call is held: no caller waits so long.
+// maxSilence bounds how long an unanswered call is kept open; no caller waits that long.
 const maxSilence = 30 * time.Second
 
-// leaveUnanswered holds a call until its caller gives up, and breaks the connection. The
-// server notices that only once the body is read.
+// leaveUnanswered keeps a call open until its caller gives up, and then closes the
+// connection. It reads the body first, since the server detects that a caller has gone only
+// after that.
 func leaveUnanswered(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	sleep(r, maxSilence)
 	panic(http.ErrAbortHandler)
 }
 
-// sleep waits for d, or until the caller gives up.
+// sleep waits for d or until the caller gives up.
 func sleep(r *http.Request, d time.Duration) {
 	select {
 	case <-r.Context().Done():
--- a/standin/site/storeread.go
+++ b/standin/site/storeread.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// serveList answers with rows of a part.
+// serveList answers a call with rows of a part.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if s.hasUnavailable(q.Get("part")) {
@@ -25,7 +25,7 @@
 	writeJSON(w, http.StatusOK, s.list(q, limit))
 }
 
-// list returns the rows that a list asks for, in the order of their keys.
+// list returns at most limit of the rows that a query selects, in the order of their keys.
 func (s *Store) list(q url.Values, limit int) storeRows {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +43,8 @@
 	return res
 }
 
-// changesAfter returns the changes of a table after a version, and what is closed with
-// the next change; ok is false if the history is gone.
+// changesAfter returns the changes of a table after a version, and a channel that is closed
+// with the next change. Ok is false if the history has been deleted.
 func (s *Store) changesAfter(table string, after int64) (res storeRows, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,8 @@
 	return res, s.changed, true
 }
 
-// serveFeed answers with a table's changes, once there are any or the wait is over.
+// serveFeed answers a call with the changes of a table, as soon as there are any or the time
+// to wait is over.
 func (s *Store) serveFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseInt(q.Get("DependsOn"), 10, 64)
--- a/standin/site/storetxn.go
+++ b/standin/site/storetxn.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// storeTxn is a write in the platform's words.
+// storeTxn is a transaction in the platform's protocol.
 type storeTxn struct {
 	If     []storeRow `json:"ExpectedRev"`
 	Put    []storeRow `json:"put"`
 	Remove []storeRow `json:"Remove"`
 }
 
-// serveTxn answers a write.
+// serveTxn commits a transaction and answers the call.
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn storeTxn
 	if !decodeBody(w, r, &txn) {
 		return
 	}
-	if why := txn.invalidReason(); why != "" {
-		writeJSON(w, http.StatusBadRequest, problem{why})
+	if reason := txn.invalidReason(); reason != "" {
+		writeJSON(w, http.StatusBadRequest, problem{reason})
 		return
 	}
 	if s.hasUnavailable(txn.parts()...) {
@@ -39,8 +39,8 @@
 	writeJSON(w, status, res)
 }
 
-// commit does a write, now or late, and returns its answer; answered is false if the
-// faults in force keep that from the caller.
+// commit applies a transaction, now or late, and returns its result. Answered is false if a
+// simulated fault keeps the answer from the caller.
 func (s *Store) commit(txn storeTxn) (res storeRows, status int, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return res, status, true
 }
 
-// commitLate does a write after a while if its conditions hold then.
+// commitLate applies a transaction after a delay, if its conditions hold then.
 func (s *Store) commitLate(txn storeTxn, delay time.Duration) {
 	time.Sleep(delay)
 	s.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// parts returns the parts of all rows that the write names.
+// parts returns the parts of all rows of the transaction.
 func (t *storeTxn) parts() []string {
 	var parts []string
 	for _, r := range t.rows() {
@@ -82,7 +82,7 @@
 	return parts
 }
 
-// waitForPart lets a write wait for those of its part that came before, and for its own time.
+// waitForPart waits until a busy part has finished the writes that came before and this one.
 func (s *Store) waitForPart(r *http.Request, t *storeTxn) {
 	s.mu.Lock()
 	busy, part := s.faults.PartBusy, t.part()
@@ -101,7 +101,7 @@
 	sleep(r, done.Sub(now))
 }
 
-// part returns the part of the write's first row.
+// part returns the part of the transaction's first row.
 func (t *storeTxn) part() string {
 	if all := t.rows(); len(all) > 0 {
 		return all[0].Part
@@ -109,10 +109,10 @@
 	return ""
 }
 
-// rows returns all rows that the write names.
+// rows returns all rows of the transaction: conditions, puts and removals.
 func (t *storeTxn) rows() []storeRow { return slices.Concat(t.If, t.Put, t.Remove) }
 
-// invalidReason returns what the platform would refuse in the write, or "".
+// invalidReason returns why the platform would refuse the transaction, or "".
 func (t *storeTxn) invalidReason() string {
 	all := t.rows()
 	if len(all) > maxTxnEntries {
@@ -122,7 +122,7 @@
 		if r.Table == "" || r.Key == "" || len(r.Key) > maxKeyBytes || len(r.Value) > maxRowBytes {
 			return "a row's table, key or value"
 		}
-		// Some sites take rows of several parts when asked to: not all do.
+		// Not all sites accept rows of several parts in one transaction.
 		if r.Part != all[0].Part {
 			return "several parts"
 		}
@@ -130,8 +130,8 @@
 	return ""
 }
 
-// failedConditions returns the conditioned rows as they stand if one has another version.
-// The caller holds mu.
+// failedConditions returns the current rows of all conditions if one of them doesn't hold,
+// and nil otherwise. The caller holds mu.
 func (s *Store) failedConditions(t storeTxn) []storeRow {
 	var current []storeRow
 	differs := false
@@ -149,7 +149,7 @@
 	return current
 }
 
-// apply does a write, and wakes the feeds. The caller holds mu.
+// apply applies a transaction and wakes the feeds. The caller holds mu.
 func (s *Store) apply(t storeTxn) {
 	s.version++
 	for _, r := range t.Put {
--- a/standin/site/task.go
+++ b/standin/site/task.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// taskRun is a run of a task on the worker.
+// taskRun is a run of a task on a worker.
 type taskRun struct {
 	task string
 	run  int64
 	spec taskSpec
-	// startPercent is the percent at which the run began, startPercent its checkpoint.
+	// startPercent is the progress in percent at which the run started, from its checkpoint.
 	startPercent int
 	startedAt    time.Time
 	stuck        bool
-	// failsOnWorker is set for a run that fails because of its worker.
+	// failsOnWorker is set for a run that fails because its worker fails all new runs.
 	failsOnWorker bool
 	// inGang is set for a member of a gang.
 	inGang bool
 }
 
-// runEnd is the end of a run, until the owner confirms it.
+// runEnd is the end of a run that the owner hasn't confirmed yet.
 type runEnd struct {
 	number     int64
 	task       string
@@ -37,18 +37,18 @@
 	at         time.Time
 }
 
-// taskSpec is what a job's Spec says of its tasks.
+// taskSpec says how the tasks of a job behave.
 type taskSpec struct {
 	duration    time.Duration
 	fails       bool
 	longRunning bool
-	// meanTimeToFailure is the mean time after which a task that lasts fails; 0: never.
+	// meanTimeToFailure is the mean time after which a long-running task fails; 0: never.
 	meanTimeToFailure time.Duration
 	cpu               int64
 	gang              gangSpec
 }
 
-// parseSpec reads a job's Spec; what it doesn't say stays as it is by default.
+// parseSpec parses a job's Spec. A task takes a second unless the Spec says otherwise.
 func parseSpec(s string) taskSpec {
 	spec := taskSpec{duration: time.Second}
 	for i, f := range strings.Fields(s) {
@@ -77,8 +77,8 @@
 	return spec
 }
 
-// timeToFailure returns after what time the run of a task that lasts fails; 0: never. It is drawn
-// from the task and the run, so that plays repeat.
+// timeToFailure returns the time after which the run of a long-running task fails; 0: never.
+// It is random, but derived from the task and the run, so that a test can be repeated.
 func (t *taskRun) timeToFailure() time.Duration {
 	if t.spec.meanTimeToFailure == 0 {
 		return 0
@@ -86,13 +86,13 @@
 	h := fnv.New64a()
 	_, err := fmt.Fprintf(h, "%s %d", t.task, t.run)
 	if err != nil {
-		panic("site: a hash takes all bytes: " + err.Error())
+		panic("site: hash can't be written: " + err.Error())
 	}
-	rng := rand.New(rand.NewPCG(h.Sum64(), 0)) //nolint:gosec // The same run must have the same life in each play.
+	rng := rand.New(rand.NewPCG(h.Sum64(), 0)) //nolint:gosec // The same run must fail after the same time whenever a test is repeated.
 	return time.Duration(rng.ExpFloat64() * float64(t.spec.meanTimeToFailure))
 }
 
-// percent returns how far the run has come.
+// percent returns the progress of a run.
 func (w *Worker) percent(t *taskRun) int {
 	if t.spec.longRunning {
 		return 100
@@ -103,13 +103,15 @@
 	return min(100, t.startPercent+int(100*w.workedFor(t)/t.spec.duration))
 }
 
-// mustFailNow reports whether a run whose task fails is halfway, or would be done: one that
-// goes on from a checkpoint has less than half of its time left.
+// mustFailNow reports whether a run of a failing task has worked for half of its duration or
+// would be done. A run from a checkpoint may be done before the former, since less than half
+// of its work may be left.
 func (w *Worker) mustFailNow(t *taskRun) bool {
 	return t.spec.fails && (w.workedFor(t) > t.spec.duration/2 || w.percent(t) >= 100)
 }
 
-// endDueRuns ends, under mu, what has run its time, and everything once the lease is over.
+// endDueRuns ends the runs that are done or have to fail, and all runs once the lease has
+// lapsed. The caller holds mu.
 func (w *Worker) endDueRuns() {
 	if w.deadline > 0 && w.clock() > w.deadline {
 		w.lapsedAt = time.Now()
@@ -136,7 +138,8 @@
 	}
 }
 
-// endRun notes that a run has ended and wakes the holds that wait for an endRun.
+// endRun records that a run has ended and wakes the holds that wait for an end. The caller
+// holds mu.
 func (w *Worker) endRun(t *taskRun, outcome string) {
 	w.lastEnd++
 	checkpoint := ""
@@ -161,7 +164,8 @@
 	w.changed = make(chan struct{})
 }
 
-// usedCPU returns the processor that the running tasks take, as their Spec says.
+// usedCPU returns the processor capacity that the running tasks take according to their Spec.
+// The caller holds mu.
 func (w *Worker) usedCPU() int64 {
 	sum := int64(0)
 	for _, t := range w.running {
--- a/standin/site/task_test.go
+++ b/standin/site/task_test.go
@@ -13,7 +13,8 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// runTask starts a task on a worker, prepared by a test, and returns its end after a second.
+// runTask starts a task on a worker that the test has prepared, waits for a second, and
+// returns the last event of the run other than its start.
 func runTask(t *testing.T, order string, prepare func(*site.Worker)) (end site.Event) {
 	synctest.Test(t, func(t *testing.T) {
 		var worker http.Handler
@@ -29,7 +30,7 @@
 		})
 		defer func() {
 			s.Close()
-			// The worker's own goroutine sees that its life is over.
+			// Within this time the worker's goroutine notices that the worker was stopped.
 			time.Sleep(time.Second)
 		}()
 		w := s.AddWorker(site.WorkerConfig{Rack: "r1-0", CPUMilli: 1000, MemoryMB: 1000})
@@ -37,7 +38,7 @@
 		rec := httptest.NewRecorder()
 		worker.ServeHTTP(rec, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/api/run-start", strings.NewReader(order)))
 		if rec.Code != http.StatusOK {
-			t.Fatalf("the start is answered with %d", rec.Code)
+			t.Fatalf("start: status %d", rec.Code)
 		}
 		time.Sleep(time.Second)
 		for _, e := range s.Events() {
@@ -49,27 +50,28 @@
 	return end
 }
 
-// TestFailingTaskNeverSucceeds checks that a task that fails does so from a checkpoint too:
-// from 60% it was done before it was halfway, and its job ended as succeeded.
+// TestFailingTaskNeverSucceeds checks that a failing task also fails if it starts from a
+// checkpoint. At 60% it has less than half of its work left, so that it succeeds if it
+// fails only after half of its duration.
 func TestFailingTaskNeverSucceeds(t *testing.T) {
 	for name, checkpoint := range map[string]string{"from the start": "", "from a checkpoint": "j.0.0.0@60"} {
 		t.Run(name, func(t *testing.T) {
 			order := `{"Task":"j.0.0.0","Run":1,"Spec":"300 failing","DeadlineMs":5000,"Fence":1,"Checkpoint":"` + checkpoint + `"}`
 			if end := runTask(t, order, func(*site.Worker) {}); !end.Failed {
-				t.Errorf("the run ends so: %+v", end)
+				t.Errorf("the run did not fail: %+v", end)
 			}
 		})
 	}
 }
 
-// TestWorkerFailsNewRuns checks that a worker that fails all that starts there does so to
-// tasks that last too.
+// TestWorkerFailsNewRuns checks that a worker that fails all new runs also fails those of
+// long-running tasks.
 func TestWorkerFailsNewRuns(t *testing.T) {
 	const order = `{"Task":"j.0.0.0","Run":1,"Spec":"100 lasting","DeadlineMs":5000,"Fence":1}`
 	if end := runTask(t, order, func(w *site.Worker) { w.SetFailNewRuns(true) }); !end.Failed {
-		t.Errorf("the run ends so: %+v", end)
+		t.Errorf("the run did not fail: %+v", end)
 	}
 	if end := runTask(t, order, func(*site.Worker) {}); end.Failed {
-		t.Errorf("the run on a sound worker ends so: %+v", end)
+		t.Errorf("the run on a healthy worker failed: %+v", end)
 	}
 }
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -8,22 +8,25 @@
 	"time"
 )
 
-// WorkerConfig is what a worker has.
+// WorkerConfig describes a worker.
 type WorkerConfig struct {
 	Rack string
-	// Label is carried beside the kind and the rack; "": none.
+	// Label is an additional label beside those of the kind and the rack; "": none.
 	Label    string
 	CPUMilli int64
 	MemoryMB int64
-	// Service is the worker's pool; "": the site's.
+	// Service is the name of the worker's pool; "": that of the site.
 	Service string
-	// ReportStartTime lets the worker tell when its life began, in its entry and its lists of runs.
+	// ReportStartTime makes the worker report when its incarnation started, in its directory
+	// entry and in its answers to holds.
 	ReportStartTime bool
 }
 
-// Worker is one life of a stand-in worker. The Spec of a job tells how its tasks
-// run: "MS", "MS failing" (halfway) or "MS lasting" (until it is stopped); the
-// step's room is read from "cpu=N" behind it.
+// Worker is one incarnation of a stand-in worker. The Spec of a job says how its tasks
+// behave: "MS" (done after MS milliseconds), "MS failing" (failed after half of that) or "MS
+// lasting" (running until stopped), followed by any of "cpu=N" (the processor capacity that a
+// task takes), "fails_after=MS" (the mean time after which a lasting task fails) and
+// "gang=STEP:MEMBERS".
 type Worker struct {
 	ID        string
 	Address   string
@@ -33,39 +36,40 @@
 	index     int
 	stop      func()
 	startedAt time.Time
-	// startTime is the time of day at the start of this life, in Unix milliseconds, as its
-	// host's clock has it; 0: it doesn't tell.
+	// startTime is the start time of this incarnation by the clock of its host, in Unix
+	// milliseconds; 0: the worker doesn't report it.
 	startTime int64
 
 	mu       sync.Mutex
 	fence    int64
 	deadline int64
 	running  map[string]*taskRun
-	// finishedRuns holds the highest run of a task that ended or was stopped here.
+	// finishedRuns holds for each task the highest run that has ended or was stopped here.
 	finishedRuns map[string]int64
 	ended        []runEnd
 	lastEnd      int64
 	confirmedEnd int64
 	changed      chan struct{}
-	// lapsedAt is when the lease was last seen to be over.
+	// lapsedAt is when the lease was last found to have lapsed.
 	lapsedAt   time.Time
 	terminated bool
 	draining   bool
-	// removed is set once it leaves without a word.
+	// removed is set once the worker has left the directory for good.
 	removed bool
-	// paused is set while the worker doesn't announce itself, and its entry stays.
+	// paused is set while the worker's announcements are paused.
 	paused bool
 	faults WorkerFaults
-	// failNewRuns is set while all that starts here fails.
+	// failNewRuns is set while all new runs fail.
 	failNewRuns bool
 }
 
-// WorkerFaults are the ways in which a worker can fail.
+// WorkerFaults are the faults that a worker simulates.
 type WorkerFaults struct {
-	// Late is how many of the next starts are not answered and done after LateBy.
+	// Late is how many of the next starts get no answer and take effect only after LateBy.
 	Late   int
 	LateBy time.Duration
-	// Stuck tasks make no progress, FailAll tasks fail at once.
+	// Stuck: tasks make no progress. FailAll: all tasks other than long-running ones fail at
+	// once.
 	Stuck   bool
 	FailAll bool
 }
@@ -93,11 +97,11 @@
 	return w
 }
 
-// Restart begins a new life on the machine of a crashed worker, under a new ID.
+// Restart starts a new incarnation on the machine of a crashed worker, under a new ID.
 func (s *Site) Restart(old *Worker) *Worker { return s.restart(old, s.newIncarnation) }
 
-// RestartSameID begins a new life on the machine of a crashed worker under the ID that it had. Its
-// host's clock may have been set meanwhile, by that much.
+// RestartSameID starts a new incarnation on the machine of a crashed worker, under the same
+// ID. The clock of its host has meanwhile been shifted by clockShift.
 func (s *Site) RestartSameID(old *Worker, clockShift time.Duration) *Worker {
 	return s.restart(old, func(cfg WorkerConfig, n int) *Worker {
 		w := s.newIncarnation(cfg, n)
@@ -121,14 +125,14 @@
 	return w
 }
 
-// ReportsStartTime reports whether the worker tells when its life began. One that doesn't never has
-// its ID again.
+// ReportsStartTime reports whether the worker reports its start time. One that doesn't must
+// not restart under the same ID.
 func (w *Worker) ReportsStartTime() bool { return w.cfg.ReportStartTime }
 
 const (
 	// announceInterval is how often a worker announces itself.
 	announceInterval = 1500 * time.Millisecond
-	// drainDuration is the time that a draining worker says is left to it.
+	// drainDuration is the remaining time that a draining worker announces.
 	drainDuration = 5 * time.Second
 )
 
@@ -138,7 +142,7 @@
 	go w.loop()
 }
 
-// loop beats, and ends what is due.
+// loop announces the worker and ends due runs until the worker is stopped.
 func (w *Worker) loop() {
 	const tick = 50 * time.Millisecond
 	for next := time.Now().Add(announceInterval); !w.Crashed(); {
@@ -153,7 +157,7 @@
 	}
 }
 
-// Drain announces that the worker leaves.
+// Drain makes the worker announce that it is draining.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.draining = true
@@ -161,8 +165,8 @@
 	w.announce()
 }
 
-// RemoveFromDirectory lets the worker's entry go, as of one that leaves without saying so: it
-// serves on, but announces itself no more.
+// RemoveFromDirectory deletes the worker's entry, as if the worker had left without draining.
+// The worker keeps serving, but doesn't announce itself any more.
 func (w *Worker) RemoveFromDirectory() {
 	w.mu.Lock()
 	w.removed = true
@@ -170,7 +174,7 @@
 	w.site.Store.Remove("servers", w.ID)
 }
 
-// Crash ends the life: nothing runs there any more, and the directory drops it.
+// Crash ends the incarnation: all its runs end, and its entry is removed from the directory.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	w.terminated = true
@@ -186,7 +190,7 @@
 	w.site.Store.Remove("servers", w.ID)
 }
 
-// Stop ends the worker's process, at the end of a test.
+// Stop stops the worker at the end of a test, without recording events.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.terminated = true
@@ -194,14 +198,14 @@
 	w.stop()
 }
 
-// Crashed reports whether the life is over.
+// Crashed reports whether the worker has crashed or was stopped.
 func (w *Worker) Crashed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.terminated
 }
 
-// SetFaults replaces the faults in force; tasks that run get stuck or go on.
+// SetFaults replaces the faults in force. Stuck applies to the tasks that run already, too.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,15 +215,15 @@
 	}
 }
 
-// SetFailNewRuns lets all that starts from now on fail at once, also tasks that last, and
-// leaves alone what runs already; other faults go on beside it.
+// SetFailNewRuns makes all runs fail at once that start from now on, including those of
+// long-running tasks. Earlier runs and other faults aren't affected.
 func (w *Worker) SetFailNewRuns(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failNewRuns = fails
 }
 
-// RunningTasks returns how many tasks run.
+// RunningTasks returns the number of tasks that run on the worker.
 func (w *Worker) RunningTasks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/site/worker_test.go
+++ b/standin/site/worker_test.go
@@ -10,8 +10,8 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// TestCrashedWorkerIsSilent checks that a worker whose life is over answers nothing,
-// also on a connection that outlived it.
+// TestCrashedWorkerIsSilent checks that a crashed worker answers no call, not even on a
+// connection that is still open.
 func TestCrashedWorkerIsSilent(t *testing.T) {
 	var url string
 	s := site.New(site.Config{
@@ -40,7 +40,7 @@
 		return res.StatusCode, res.Body.Close()
 	}
 	if status, err := ask(); status != http.StatusMisdirectedRequest {
-		t.Errorf("a living worker answers %d, %v", status, err)
+		t.Errorf("a running worker answers %d, %v", status, err)
 	}
 	w.Crash()
 	if status, err := ask(); err == nil {
