--- a/matrix/site/entries_test.go
+++ b/matrix/site/entries_test.go
@@ -64,8 +64,8 @@
 	if n := w.startsOn(victim.ID, detectedAt); n != 0 {
 		t.Errorf("%d runs started on a worker whose entry is not usable", n)
 	}
-	if n, now := w.starts(longRunning); n != 1 || now != victim.ID || victim.RunningTasks() != 1 {
-		t.Errorf("the long-running task was started %d times, last on %s, and %d tasks run there; want it to go on running on %s", n, now, victim.RunningTasks(), victim.ID)
+	if n, lastWorker := w.starts(longRunning); n != 1 || lastWorker != victim.ID || victim.RunningTasks() != 1 {
+		t.Errorf("the long-running task was started %d times, last on %s, and %d tasks run there; want it to go on running on %s", n, lastWorker, victim.RunningTasks(), victim.ID)
 	}
 	victim.SetAnnouncementsPaused(false)
 	repairedAt := time.Now()
--- a/matrix/site/env_test.go
+++ b/matrix/site/env_test.go
@@ -193,22 +193,22 @@
 // nothing that it sends from now on arrives.
 func (w *testEnv) kill(name string) {
 	w.mu.Lock()
-	live := w.nodes[name]
+	node := w.nodes[name]
 	delete(w.nodes, name)
 	w.mu.Unlock()
 	w.net.SetPartitioned(name, "*", true)
 	w.net.ResetConnections(name)
-	live.stop()
+	node.stop()
 }
 
 // drain shuts a node down gracefully and waits until it has ended.
 func (w *testEnv) drain(name string) {
 	w.mu.Lock()
-	live := w.nodes[name]
+	node := w.nodes[name]
 	delete(w.nodes, name)
 	w.mu.Unlock()
-	live.stop()
-	<-live.done
+	node.stop()
+	<-node.done
 }
 
 // nodeNames returns the names of the running nodes in order.
--- a/matrix/site/leaving_test.go
+++ b/matrix/site/leaving_test.go
@@ -34,7 +34,7 @@
 	runInEnvs(t, func(t *testing.T, w *testEnv) {
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		leaving := w.worker(0)
+		removed := w.worker(0)
 		loadStart := time.Now()
 		done := make(chan struct{})
 		go func() {
@@ -42,13 +42,13 @@
 			w.load(removalLoad)
 		}()
 		time.Sleep(removalLoad / 3)
-		if w.startsOn(leaving.ID, loadStart) == 0 {
+		if w.startsOn(removed.ID, loadStart) == 0 {
 			t.Fatal("no run started on the worker before its removal")
 		}
-		leaving.RemoveFromDirectory()
+		removed.RemoveFromDirectory()
 		removedAt := time.Now()
 		<-done
-		if n := w.startsOn(leaving.ID, removedAt.Add(removalDelay)); n != 0 {
+		if n := w.startsOn(removed.ID, removedAt.Add(removalDelay)); n != 0 {
 			t.Errorf("%d runs started on a worker that had been removed from the directory", n)
 		}
 		w.checkJobsSettled()
--- a/matrix/site/movemark_test.go
+++ b/matrix/site/movemark_test.go
@@ -44,11 +44,11 @@
 func (w *testEnv) pinnedShard() cluster.ShardID {
 	w.t.Helper()
 	value := w.site.Store.Value(owner.TablePins, owner.JobPart(service, movingID), movingID)
-	at, err := owner.ParsePin(service, tables.Row{Key: movingID, Value: value})
-	if err != nil || len(at) != 1 {
+	shards, err := owner.ParsePin(service, tables.Row{Key: movingID, Value: value})
+	if err != nil || len(shards) != 1 {
 		w.t.Fatalf("the pin holds %s: %v", value, err)
 	}
-	return at[0]
+	return shards[0]
 }
 
 // markMoving marks the job as moving in the progress of a shard.
--- a/matrix/site/moveunavailable_test.go
+++ b/matrix/site/moveunavailable_test.go
@@ -19,7 +19,7 @@
 // It guards against moving a shard's jobs one after the other, each waiting until its pin is read:
 // one unavailable part of the store kept all other jobs of the shard from moving.
 func TestMovesDoNotWaitForEachOther(t *testing.T) {
-	const endWithin = 15 * time.Second
+	const endsWithin = 15 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newShardedEnv(t)
 		defer w.close()
@@ -33,14 +33,14 @@
 		}
 		w.site.Store.SetUnavailableParts(unavailable...)
 		w.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
-		time.Sleep(endWithin)
+		time.Sleep(endsWithin)
 		for _, id := range ids {
 			if n, _ := w.starts(id); n != 1 && !slices.Contains(unavailable, owner.JobPart(service, id)) {
-				t.Errorf("job %s was started %d times within %v, want once: its part of the store is available", id, n, endWithin)
+				t.Errorf("job %s was started %d times within %v, want once: its part of the store is available", id, n, endsWithin)
 			}
 		}
 		w.site.Store.SetUnavailableParts()
-		time.Sleep(endWithin)
+		time.Sleep(endsWithin)
 		for _, id := range ids {
 			if state := w.state("batch", id); state != "succeeded" {
 				t.Errorf("job %s is %q once all parts are available again", id, state)
--- a/matrix/site/overload_test.go
+++ b/matrix/site/overload_test.go
@@ -69,9 +69,9 @@
 	var wg sync.WaitGroup
 	var ids []string
 	step := stepBody{Count: 10, CPU: 1000, MemoryMB: 500, EstimateMS: 1000}
-	next := step
-	next.DependsOn = []int{0}
-	body := w.encodeJob("1000 cpu=1000 "+strings.Repeat("text ", 150), step, next)
+	second := step
+	second.DependsOn = []int{0}
+	body := w.encodeJob("1000 cpu=1000 "+strings.Repeat("text ", 150), step, second)
 	for i := range perSecond * int(d/time.Second) {
 		wg.Go(func() {
 			id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprint(i)))
--- a/matrix/site/peers_test.go
+++ b/matrix/site/peers_test.go
@@ -16,7 +16,7 @@
 // again until it restarted. After a longer partition two nodes considered each other down for ever,
 // and neither sent advice calls or orders through the other nor accepted it as a successor.
 func TestNodesFindEachOtherAfterLongCut(t *testing.T) {
-	const cutFor, foundWithin = 30 * time.Second, 30 * time.Second
+	const partitionedFor, foundWithin = 30 * time.Second, 30 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newEnv(t)
 		defer w.close()
@@ -31,14 +31,14 @@
 		for _, name := range others {
 			w.net.SetPartitioned(isolated, name, true)
 		}
-		time.Sleep(cutFor)
+		time.Sleep(partitionedFor)
 		for _, name := range others {
 			w.net.SetPartitioned(isolated, name, false)
 		}
 		time.Sleep(foundWithin)
 		for _, name := range w.nodeNames() {
 			if up := w.metric(name, "switchbank_peers_up"); int(up) != len(others) {
-				t.Errorf("%s considers %v other nodes up %v after %s was partitioned for %v, want %d", name, up, foundWithin, isolated, cutFor, len(others))
+				t.Errorf("%s considers %v other nodes up %v after %s was partitioned for %v, want %d", name, up, foundWithin, isolated, partitionedFor, len(others))
 			}
 		}
 	})
--- a/matrix/site/stalled_test.go
+++ b/matrix/site/stalled_test.go
@@ -23,7 +23,7 @@
 		)
 		defer w.close()
 		time.Sleep(4 * time.Second)
-		leaving := w.workers[0]
+		draining := w.workers[0]
 		names := w.nodeNames()
 		for _, n := range names {
 			w.net.Stall(n, "w0")
@@ -32,7 +32,7 @@
 			w.submit("batch", "3000 cpu=1000", stepBody{Count: 4, CPU: 1000, MemoryMB: 10, EstimateMS: 3000})
 			time.Sleep(10 * time.Millisecond)
 		}
-		leaving.Drain()
+		draining.Drain()
 		time.Sleep(stallTime)
 		for _, n := range names {
 			w.net.Release(n, "w0")
--- a/matrix/site/unreadsuccess_test.go
+++ b/matrix/site/unreadsuccess_test.go
@@ -15,7 +15,7 @@
 // case in which a task may start again after a success that is confirmed later, and it must not be
 // reported as a violation. Within the lease the task must wait for its worker.
 func TestUnreadSuccessAfterLeaseEnd(t *testing.T) {
-	for cutOffFor, wantStarts := range map[time.Duration]int{3 * time.Second: 1, 20 * time.Second: 2} {
+	for partitionedFor, wantStarts := range map[time.Duration]int{3 * time.Second: 1, 20 * time.Second: 2} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newEnv(t)
 			defer w.close()
@@ -24,14 +24,14 @@
 			time.Sleep(300 * time.Millisecond)
 			_, worker := w.starts(id)
 			w.setWorkerPartitioned(worker, true)
-			time.Sleep(cutOffFor)
+			time.Sleep(partitionedFor)
 			w.setWorkerPartitioned(worker, false)
 			time.Sleep(10 * time.Second)
 			if n, _ := w.starts(id); n != wantStarts {
-				t.Errorf("partitioned for %s: %d starts, want %d (worker %s)", cutOffFor, n, wantStarts, worker)
+				t.Errorf("partitioned for %s: %d starts, want %d (worker %s)", partitionedFor, n, wantStarts, worker)
 			}
 			if state := w.state("batch", id); state != "succeeded" {
-				t.Errorf("partitioned for %s: the job is %q", cutOffFor, state)
+				t.Errorf("partitioned for %s: the job is %q", partitionedFor, state)
 			}
 			w.checkNoViolations()
 		})
@@ -39,13 +39,13 @@
 }
 
 // setWorkerPartitioned partitions a worker from all nodes, or ends that.
-func (w *testEnv) setWorkerPartitioned(id string, cutOff bool) {
+func (w *testEnv) setWorkerPartitioned(id string, partitioned bool) {
 	for i, k := range w.workers {
 		if k.ID != id {
 			continue
 		}
 		for _, n := range w.nodeNames() {
-			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), cutOff)
+			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), partitioned)
 		}
 	}
 }
--- a/matrix/site/widegang_test.go
+++ b/matrix/site/widegang_test.go
@@ -24,8 +24,8 @@
 		// of both.
 		rejectOneIn = 3
 		maxIDs      = 1000
-		// endWithin is far more than the 0.8 s that the job takes on an idle service.
-		endWithin = 20 * time.Second
+		// endsWithin is far more than the 0.8 s that the job takes on an idle service.
+		endsWithin = 20 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		w := newShardedEnv(t)
@@ -43,9 +43,9 @@
 			w.submitTo("n1", "urgent", id, "400 cpu=4000",
 				stepBody{Count: 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400},
 				stepBody{Count: gangSize, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true, DependsOn: []int{0}})
-			time.Sleep(endWithin)
+			time.Sleep(endsWithin)
 			if got := w.state("urgent", id); got != "succeeded" {
-				t.Errorf("a job whose gang may run on %d and %d workers of the shards is %q after %s", first, second, got, endWithin)
+				t.Errorf("a job whose gang may run on %d and %d workers of the shards is %q after %s", first, second, got, endsWithin)
 			}
 		}
 		if found < jobs {
@@ -75,7 +75,7 @@
 // for 90 to 118 members on its idle workers, though all shards together have some 300 allowed
 // workers.
 func TestGangWiderThanAnyShard(t *testing.T) {
-	const endWithin = 20 * time.Second
+	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newShardedEnv(t)
 		defer w.close()
@@ -83,9 +83,9 @@
 		const id = "000000000000f000"
 		w.submitTo("n1", "batch", id, "400 cpu=4000",
 			stepBody{Count: workersPerShard + 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
-		time.Sleep(endWithin)
+		time.Sleep(endsWithin)
 		if got := w.state("batch", id); got != "succeeded" {
-			t.Errorf("a gang of %d workers in a service of %d is %q after %s", workersPerShard+1, shardedWorkers, got, endWithin)
+			t.Errorf("a gang of %d workers in a service of %d is %q after %s", workersPerShard+1, shardedWorkers, got, endsWithin)
 		}
 		w.checkNoViolations()
 	})
--- a/matrix/site/workerrestart_test.go
+++ b/matrix/site/workerrestart_test.go
@@ -260,7 +260,7 @@
 func TestLongRunningTasksRestartWithWorkers(t *testing.T) {
 	const (
 		longRunningTasks = 2 * shardedWorkers
-		within           = 3 * time.Second
+		restartedWithin  = 3 * time.Second
 	)
 	for _, pause := range []time.Duration{0, 10 * time.Millisecond, 500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -275,9 +275,9 @@
 			for i := range shardedWorkers / 2 {
 				go w.crashAndRestart(2*i, pause, time.Duration(i-2)*time.Second)
 			}
-			time.Sleep(within)
+			time.Sleep(restartedWithin)
 			if n := w.runningTasks(id); n != longRunningTasks {
-				t.Errorf("%s after workers started again after %s, %d of %d tasks run", within, pause, n, longRunningTasks)
+				t.Errorf("%s after workers started again after %s, %d of %d tasks run", restartedWithin, pause, n, longRunningTasks)
 			}
 			w.checkNoViolations()
 		})
