--- a/matrix/site/coldstart_test.go
+++ b/matrix/site/coldstart_test.go
@@ -29,24 +29,24 @@
 // TestColdStartTakesEachShardOnce checks that after the loss of all nodes each shard is taken soon,
 // and only once: no node takes a shard from a node that has just taken it.
 func TestColdStartTakesEachShardOnce(t *testing.T) {
-	testColdStarts(t, func(w *testEnv, round int) {
+	testColdStarts(t, func(env *testEnv, round int) {
 		owned := 0
-		for _, n := range w.nodeNames() {
-			owned += w.ownedShards(n)
+		for _, n := range env.nodeNames() {
+			owned += env.ownedShards(n)
 		}
 		if owned != smallShardCount {
 			t.Errorf("round %d: %d shards are owned after %s, want %d", round, owned, takenWithin, smallShardCount)
 		}
-		w.checkEpochs(int64(round + 2))
+		env.checkEpochs(int64(round + 2))
 	})
 }
 
 // TestColdStartSpreadsShards checks that after the loss of all nodes no node takes more than its
 // share of the shards, even if it is the first to reach all of them.
 func TestColdStartSpreadsShards(t *testing.T) {
-	testColdStarts(t, func(w *testEnv, round int) {
-		for _, n := range w.nodeNames() {
-			if k := w.ownedShards(n); k > maxOwned {
+	testColdStarts(t, func(env *testEnv, round int) {
+		for _, n := range env.nodeNames() {
+			if k := env.ownedShards(n); k > maxOwned {
 				t.Errorf("round %d: %s took %d shards", round, n, k)
 			}
 		}
@@ -55,43 +55,43 @@
 
 // testColdStarts kills all nodes and starts them again, in several rounds, and calls check
 // takenWithin after each start.
-func testColdStarts(t *testing.T, check func(w *testEnv, round int)) {
+func testColdStarts(t *testing.T, check func(env *testEnv, round int)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnvWith(t, shardedWorkers, smallShardWorkers, func(w *testEnv) { w.site.Configure(1, routes()...) })
-		defer w.close()
+		env := newEnvWith(t, shardedWorkers, smallShardWorkers, func(env *testEnv) { env.site.Configure(1, routes()...) })
+		defer env.close()
 		time.Sleep(2 * time.Second)
 		for round := range coldStartRounds {
-			names := w.killAll()
+			names := env.killAll()
 			// The connections of a killed node must be gone before its partition is lifted.
 			time.Sleep(closeTime)
 			for _, n := range names {
-				w.net.SetPartitioned(n, "*", false)
-				w.startNode(n)
+				env.net.SetPartitioned(n, "*", false)
+				env.startNode(n)
 			}
 			time.Sleep(takenWithin)
-			check(w, round)
+			check(env, round)
 		}
 	})
 }
 
 // checkEpochs checks the epoch of each shard.
-func (w *testEnv) checkEpochs(want int64) {
-	w.t.Helper()
+func (env *testEnv) checkEpochs(want int64) {
+	env.t.Helper()
 	for i := range smallShardCount {
-		w.checkEpoch(cluster.ShardID{Service: service, Index: i}, want)
+		env.checkEpoch(cluster.ShardID{Service: service, Index: i}, want)
 	}
 }
 
 // checkEpoch checks the epoch of a shard.
-func (w *testEnv) checkEpoch(shard cluster.ShardID, want int64) {
-	w.t.Helper()
-	if got := w.epoch(shard); got != want {
-		w.t.Errorf("shard %s has epoch %d, want %d", shard, got, want)
+func (env *testEnv) checkEpoch(shard cluster.ShardID, want int64) {
+	env.t.Helper()
+	if got := env.epoch(shard); got != want {
+		env.t.Errorf("shard %s has epoch %d, want %d", shard, got, want)
 	}
 }
 
 // epoch returns the epoch of a shard.
-func (w *testEnv) epoch(shard cluster.ShardID) int64 { return w.ownerRow(shard).Epoch }
+func (env *testEnv) epoch(shard cluster.ShardID) int64 { return env.ownerRow(shard).Epoch }
 
 // ownerRow is the stored row that names a shard's owner.
 type ownerRow struct {
@@ -102,26 +102,26 @@
 }
 
 // ownerRow returns the stored row that names a shard's owner.
-func (w *testEnv) ownerRow(shard cluster.ShardID) (rec ownerRow) {
-	w.t.Helper()
-	if err := json.Unmarshal(w.site.Store.Value(cell.TableCell, "", "owner/"+shard.String()), &rec); err != nil {
-		w.t.Errorf("owner row of shard %s: %v", shard, err)
+func (env *testEnv) ownerRow(shard cluster.ShardID) (rec ownerRow) {
+	env.t.Helper()
+	if err := json.Unmarshal(env.site.Store.Value(cell.TableCell, "", "owner/"+shard.String()), &rec); err != nil {
+		env.t.Errorf("owner row of shard %s: %v", shard, err)
 	}
 	return rec
 }
 
 // ownedShards asks a node how many shards it owns.
-func (w *testEnv) ownedShards(node string) int {
-	r, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost, "http://"+node+":3/peer/v2/ping", bytes.NewReader([]byte("{}")))
+func (env *testEnv) ownedShards(node string) int {
+	r, err := http.NewRequestWithContext(env.t.Context(), http.MethodPost, "http://"+node+":3/peer/v2/ping", bytes.NewReader([]byte("{}")))
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	var reply struct {
 		Owns []json.RawMessage `json:"owns"`
 	}
-	status, body := w.send(r)
+	status, body := env.send(r)
 	if err := json.Unmarshal(body, &reply); status != http.StatusOK || err != nil {
-		w.t.Errorf("%s: ping: %d, %v", node, status, err)
+		env.t.Errorf("%s: ping: %d, %v", node, status, err)
 	}
 	return len(reply.Owns)
 }
--- a/matrix/site/corruptrows_test.go
+++ b/matrix/site/corruptrows_test.go
@@ -56,32 +56,32 @@
 }
 
 func testCorruptRow(t *testing.T, c corruptRow) {
-	w := newEnv(t)
-	defer w.close()
+	env := newEnv(t)
+	defer env.close()
 	time.Sleep(4 * time.Second)
 	step := stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 3000, Checkpoints: true}
-	w.submitTo("n1", "batch", corruptJobID, "3000 cpu=500", step)
+	env.submitTo("n1", "batch", corruptJobID, "3000 cpu=500", step)
 	time.Sleep(time.Second)
-	w.site.Store.PutRaw(c.table, c.part, c.key, []byte(`{"owner":5,"shards":"x"`))
+	env.site.Store.PutRaw(c.table, c.part, c.key, []byte(`{"owner":5,"shards":"x"`))
 	time.Sleep(time.Second)
-	w.kill(w.site.Owner())
+	env.kill(env.site.Owner())
 	time.Sleep(12 * time.Second)
-	if got := w.state("batch", corruptJobID); got != c.wantState {
+	if got := env.state("batch", corruptJobID); got != c.wantState {
 		t.Errorf("the job is %q, want %q", got, c.wantState)
 	}
-	id := w.submit("batch", "400 cpu=500", stepBody{Count: 1, CPU: 500, MemoryMB: 100, EstimateMS: 400})
+	id := env.submit("batch", "400 cpu=500", stepBody{Count: 1, CPU: 500, MemoryMB: 100, EstimateMS: 400})
 	time.Sleep(3 * time.Second)
-	if got := w.state("batch", id); got != "succeeded" {
+	if got := env.state("batch", id); got != "succeeded" {
 		t.Errorf("a new job is %q", got)
 	}
-	w.site.Configure(2, routes()[:1]...)
+	env.site.Configure(2, routes()[:1]...)
 	time.Sleep(2 * time.Second)
-	for _, n := range w.nodeNames() {
-		if status, _ := w.call(n, http.MethodGet, "/batch/", ""); status != http.StatusNotFound {
+	for _, n := range env.nodeNames() {
+		if status, _ := env.call(n, http.MethodGet, "/batch/", ""); status != http.StatusNotFound {
 			t.Errorf("%s serves a queue that version 2 has removed: %d", n, status)
 		}
 	}
-	w.checkNoViolations()
+	env.checkNoViolations()
 }
 
 // TestCorruptSpilledRows corrupts all rows to which progress is spilled while its own part is
@@ -89,25 +89,25 @@
 // the reports of the workers, each accepted job must end, and the corrupt rows must be removed.
 func TestCorruptSpilledRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
-		load := w.startLoad(2*unavailableFor, unavailableFor/2)
-		w.site.Store.SetUnavailableParts(w.progressParts()...)
+		env := newEnv(t)
+		defer env.close()
+		load := env.startLoad(2*unavailableFor, unavailableFor/2)
+		env.site.Store.SetUnavailableParts(env.progressParts()...)
 		time.Sleep(unavailableFor / 2)
-		spilled := w.site.Store.Keys("spill")
+		spilled := env.site.Store.Keys("spill")
 		if len(spilled) == 0 {
 			t.Fatal("nothing was spilled")
 		}
 		for _, key := range spilled {
-			w.site.Store.PutRaw("spill", "", key, []byte("nonsense"))
+			env.site.Store.PutRaw("spill", "", key, []byte("nonsense"))
 		}
-		restart := w.killOwner()
+		restart := env.killOwner()
 		time.Sleep(time.Second)
-		w.site.Store.SetUnavailableParts()
+		env.site.Store.SetUnavailableParts()
 		restart()
 		load.Wait()
-		w.checkJobsSettled()
-		if left := w.site.Store.Keys("spill"); len(left) > 0 {
+		env.checkJobsSettled()
+		if left := env.site.Store.Keys("spill"); len(left) > 0 {
 			t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
 		}
 	})
--- a/matrix/site/entries_test.go
+++ b/matrix/site/entries_test.go
@@ -46,47 +46,47 @@
 }
 
 func testCorruptEntry(t *testing.T, kind site.CorruptEntry, listed bool) {
-	w := newEnv(t)
-	defer w.close()
+	env := newEnv(t)
+	defer env.close()
 	time.Sleep(4 * time.Second)
-	longRunning := w.submit("batch", "100 lasting cpu=200", stepBody{Count: 1, CPU: 200, MemoryMB: 100, LongRunning: true})
+	longRunning := env.submit("batch", "100 lasting cpu=200", stepBody{Count: 1, CPU: 200, MemoryMB: 100, LongRunning: true})
 	time.Sleep(time.Second)
-	_, workerID := w.starts(longRunning)
-	victim := w.workers[slices.IndexFunc(w.workers, func(k *site.Worker) bool { return k.ID == workerID })]
+	_, workerID := env.starts(longRunning)
+	victim := env.workers[slices.IndexFunc(env.workers, func(k *site.Worker) bool { return k.ID == workerID })]
 	if listed {
-		w.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
+		env.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
 	}
 	victim.SetAnnouncementsPaused(true)
 	victim.OverwriteEntry(kind)
 	time.Sleep(detectedWithin)
 	detectedAt := time.Now().Add(-time.Millisecond)
-	w.runOnAllWorkers()
-	if n := w.startsOn(victim.ID, detectedAt); n != 0 {
+	env.runOnAllWorkers()
+	if n := env.startsOn(victim.ID, detectedAt); n != 0 {
 		t.Errorf("%d runs started on a worker whose entry is not usable", n)
 	}
-	if n, lastWorker := w.starts(longRunning); n != 1 || lastWorker != victim.ID || victim.RunningTasks() != 1 {
+	if n, lastWorker := env.starts(longRunning); n != 1 || lastWorker != victim.ID || victim.RunningTasks() != 1 {
 		t.Errorf("the long-running task was started %d times, last on %s, and %d tasks run there; want it to go on running on %s", n, lastWorker, victim.RunningTasks(), victim.ID)
 	}
 	victim.SetAnnouncementsPaused(false)
 	repairedAt := time.Now()
 	time.Sleep(detectedWithin)
-	w.runOnAllWorkers()
-	if w.startsOn(victim.ID, repairedAt) == 0 {
+	env.runOnAllWorkers()
+	if env.startsOn(victim.ID, repairedAt) == 0 {
 		t.Error("no run started on the worker after its entry was valid again")
 	}
-	w.site.Store.SetFaults(site.StoreFaults{})
-	w.checkNoViolations()
+	env.site.Store.SetFaults(site.StoreFaults{})
+	env.checkNoViolations()
 }
 
 // runOnAllWorkers submits a job that takes all the remaining CPU of the workers, and checks that it
 // succeeds within jobTime.
-func (w *testEnv) runOnAllWorkers() {
-	w.t.Helper()
+func (env *testEnv) runOnAllWorkers() {
+	env.t.Helper()
 	const tasks = cellWorkers*workerCores/1000 - 1
-	id := w.submit("batch", "400 cpu=1000", stepBody{Count: tasks, CPU: 1000, MemoryMB: 100, EstimateMS: 400})
+	id := env.submit("batch", "400 cpu=1000", stepBody{Count: tasks, CPU: 1000, MemoryMB: 100, EstimateMS: 400})
 	time.Sleep(jobTime)
-	if got := w.state("batch", id); got != "succeeded" {
-		w.t.Errorf("a job for all workers is %q", got)
+	if got := env.state("batch", id); got != "succeeded" {
+		env.t.Errorf("a job for all workers is %q", got)
 	}
 }
 
@@ -94,28 +94,28 @@
 // corrupt only once, however often the entry is listed or written again.
 func TestCorruptEntryIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		owner := w.site.Owner()
+		owner := env.site.Owner()
 		const refused = `switchbank_worker_entries_refused_total{reason="invalid"}`
 		bad := site.CorruptEntries()
 		bad = slices.DeleteFunc(bad, func(s site.CorruptEntry) bool { return s.Name != "an unknown state" })
-		w.workers[0].SetAnnouncementsPaused(true)
-		w.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
+		env.workers[0].SetAnnouncementsPaused(true)
+		env.site.Store.SetFaults(site.StoreFaults{NoHistory: true})
 		for range 5 {
-			w.workers[0].OverwriteEntry(bad[0])
+			env.workers[0].OverwriteEntry(bad[0])
 			time.Sleep(2 * time.Second)
 		}
-		if got := w.metric(owner, refused); got != 1 {
+		if got := env.metric(owner, refused); got != 1 {
 			t.Errorf("an entry that stays corrupt is counted %v times, want once", got)
 		}
-		w.workers[0].SetAnnouncementsPaused(false)
+		env.workers[0].SetAnnouncementsPaused(false)
 		time.Sleep(2 * time.Second)
-		w.workers[0].SetAnnouncementsPaused(true)
-		w.workers[0].OverwriteEntry(bad[0])
+		env.workers[0].SetAnnouncementsPaused(true)
+		env.workers[0].OverwriteEntry(bad[0])
 		time.Sleep(2 * time.Second)
-		if got := w.metric(owner, refused); got != 2 {
+		if got := env.metric(owner, refused); got != 2 {
 			t.Errorf("an entry that is corrupted again is counted %v times, want twice", got)
 		}
 	})
@@ -132,21 +132,21 @@
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newShardedEnv(t)
-				defer w.close()
+				env := newShardedEnv(t)
+				defer env.close()
 				rng := rand.New(rand.NewPCG(seed, seed)) //nolint:gosec // The same seed must give the same run.
 				time.Sleep(4 * time.Second)
-				load := w.startLoad(duration, pause)
+				load := env.startLoad(duration, pause)
 				for elapsed := time.Duration(0); elapsed < duration; elapsed += pause {
-					w.site.CorruptSomeEntries(rng)
+					env.site.CorruptSomeEntries(rng)
 					if elapsed == duration/2 {
-						w.kill(w.site.Owner())
+						env.kill(env.site.Owner())
 					}
 					time.Sleep(pause)
 				}
 				load.Wait()
-				w.checkJobsSettled()
-				w.checkNoViolations()
+				env.checkJobsSettled()
+				env.checkNoViolations()
 			})
 		})
 	}
@@ -157,28 +157,28 @@
 func TestUnconfiguredService(t *testing.T) {
 	const later = "later"
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
-		worker := w.site.AddWorker(site.WorkerConfig{Rack: "r9-9", CPUMilli: workerCores, MemoryMB: 32000, Service: later})
-		w.workers = append(w.workers, worker)
+		env := newEnv(t)
+		defer env.close()
+		worker := env.site.AddWorker(site.WorkerConfig{Rack: "r9-9", CPUMilli: workerCores, MemoryMB: 32000, Service: later})
+		env.workers = append(env.workers, worker)
 		time.Sleep(6 * time.Second)
-		for _, key := range w.site.Store.Keys("cell") {
+		for _, key := range env.site.Store.Keys("cell") {
 			if key == "layout/"+later || key == "owner/"+later+"/0" {
 				t.Errorf("row %s exists for a service without a configuration", key)
 			}
 		}
-		w.submit("urgent", urgentSpec, urgentSteps()...)
+		env.submit("urgent", urgentSpec, urgentSteps()...)
 		route := site.Route{Name: later, Host: "h", PathPrefix: "/later/", MaxAttempts: 3, Stretch: 2, TargetMS: 1200, Upstream: later}
-		w.site.Configure(2, append(routes(), route)...)
+		env.site.Configure(2, append(routes(), route)...)
 		time.Sleep(3 * time.Second)
-		id := w.submit(later, "400 cpu=500", stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400})
+		id := env.submit(later, "400 cpu=500", stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400})
 		time.Sleep(3 * time.Second)
-		if got := w.state(later, id); got != "succeeded" {
+		if got := env.state(later, id); got != "succeeded" {
 			t.Errorf("a job of the service is %q once it is configured", got)
 		}
-		if w.startsOn(worker.ID, time.Time{}) == 0 {
+		if env.startsOn(worker.ID, time.Time{}) == 0 {
 			t.Error("no run started on the service's worker")
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
--- a/matrix/site/env_test.go
+++ b/matrix/site/env_test.go
@@ -85,12 +85,12 @@
 }
 
 func newEnv(t *testing.T) *testEnv {
-	return newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) { w.site.Configure(1, routes()...) })
+	return newEnvWith(t, cellWorkers, cellWorkers, func(env *testEnv) { env.site.Configure(1, routes()...) })
 }
 
 // newShardedEnv returns an environment whose service has two shards.
 func newShardedEnv(t *testing.T) *testEnv {
-	return newEnvWith(t, shardedWorkers, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
+	return newEnvWith(t, shardedWorkers, workersPerShard, func(env *testEnv) { env.site.Configure(1, routes()...) })
 }
 
 // envBuilders build an environment whose service has one shard, one with two shards, and one in
@@ -100,21 +100,21 @@
 // newRelayedEnv returns an environment of nodes so small that their owners call workers, and read
 // from the store, through other nodes.
 func newRelayedEnv(t *testing.T) *testEnv {
-	return newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) {
-		w.limits, w.relayed = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
-		w.site.Configure(1, routes()...)
+	return newEnvWith(t, cellWorkers, cellWorkers, func(env *testEnv) {
+		env.limits, env.relayed = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
+		env.site.Configure(1, routes()...)
 	})
 }
 
 // runInEnvs runs a test in virtual time in each of the environments.
-func runInEnvs(t *testing.T, run func(t *testing.T, w *testEnv)) {
+func runInEnvs(t *testing.T, run func(t *testing.T, env *testEnv)) {
 	for name, build := range envBuilders {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { run(t, build(t)) }) })
 	}
 }
 
 // newEnvWith returns an environment in which configure is the only action of the operators.
-func newEnvWith(t *testing.T, workers, workersPerShard int, configure func(w *testEnv)) *testEnv {
+func newEnvWith(t *testing.T, workers, workersPerShard int, configure func(env *testEnv)) *testEnv {
 	log := zap.NewNop()
 	if os.Getenv("SITE_LOG") != "" {
 		var err error
@@ -122,23 +122,23 @@
 			t.Fatal(err)
 		}
 	}
-	w := &testEnv{
+	env := &testEnv{
 		t: t, workersPerShard: workersPerShard, limits: settings.Limits{CPUShare: 0.4, CoreSpeed: 1}, net: network.New(), nodes: make(map[string]*runningNode), log: log,
 		cancelled: make(map[string]time.Time), refused: make(map[string]bool), succeeded: make(map[string]bool),
 	}
-	w.site = site.New(site.Config{
-		Service: service, Serve: w.serve, StoreAddress: storeHost + ":1", AdviceAddress: "advice:1", MachinesAddress: "machines:1",
+	env.site = site.New(site.Config{
+		Service: service, Serve: env.serve, StoreAddress: storeHost + ":1", AdviceAddress: "advice:1", MachinesAddress: "machines:1",
 		WorkerAddress: func(n int) string { return fmt.Sprintf("w%d:1", n) },
 	})
-	w.client = &http.Client{Transport: &http.Transport{DialContext: w.net.Dial(callerHost)}}
-	configure(w)
+	env.client = &http.Client{Transport: &http.Transport{DialContext: env.net.Dial(callerHost)}}
+	configure(env)
 	for i := range workers {
-		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000}))
+		env.workers = append(env.workers, env.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000}))
 	}
 	for i := range cellNodes {
-		w.startNode(fmt.Sprintf("n%d", i))
+		env.startNode(fmt.Sprintf("n%d", i))
 	}
-	return w
+	return env
 }
 
 // routes returns an urgent queue, whose steps need tickets, and a batch queue.
@@ -150,73 +150,73 @@
 	}
 }
 
-func (w *testEnv) serve(address string, h http.Handler) func() {
-	l := w.net.Listen(address)
+func (env *testEnv) serve(address string, h http.Handler) func() {
+	l := env.net.Listen(address)
 	s := &http.Server{Handler: h}
 	go func() { _ = s.Serve(l) }()
 	return func() {
 		_ = s.Close()
-		w.net.ResetConnections(network.HostOf(address))
+		env.net.ResetConnections(network.HostOf(address))
 	}
 }
 
-func (w *testEnv) startNode(name string) {
+func (env *testEnv) startNode(name string) {
 	cfg := settings.Settings{
 		Node: name, DataCentre: "dc", Store: storeHost + ":1", Advice: "advice:1", Machines: "machines:1",
 		Listen: settings.Listen{Callers: name + ":1", Ready: name + ":2", Peers: name + ":3", PeersAt: name + ":3", Metrics: name + ":4"},
 		Seeds:  []string{"n0:3", "n1:3"},
 		Bounds: settings.Bounds{LeaseMostMS: 10_000, StopMS: 200, GraceMS: 6000, KeepStateMS: 120_000},
-		Limits: w.limits, WorkersPerShard: w.workersPerShard,
+		Limits: env.limits, WorkersPerShard: env.workersPerShard,
 	}
-	dial := w.net.Dial(name)
-	transport := conns.Network{Dial: dial, Log: w.log.Named(name)}
+	dial := env.net.Dial(name)
+	transport := conns.Network{Dial: dial, Log: env.log.Named(name)}
 	n := cell.New(cfg, cell.Deps{
 		Store: platform.NewStore(cfg.Store, transport), Workers: platform.NewWorkers(transport), Advice: platform.NewAdvice(cfg.Advice, transport),
 		Machines: platform.NewMachines(cfg.Machines, transport), Directory: platform.Directory{}, Configs: platform.Configs{},
-		Callers: platform.NewCallerHandler, Log: w.log.Named(name), Dial: dial,
-		Listen: func(_ context.Context, _, address string) (net.Listener, error) { return w.net.Listen(address), nil },
+		Callers: platform.NewCallerHandler, Log: env.log.Named(name), Dial: dial,
+		Listen: func(_ context.Context, _, address string) (net.Listener, error) { return env.net.Listen(address), nil },
 	})
-	ctx, stop := context.WithCancel(w.t.Context())
+	ctx, stop := context.WithCancel(env.t.Context())
 	node := &runningNode{name: name, stop: stop, done: make(chan struct{})}
-	w.mu.Lock()
-	w.nodes[name] = node
-	w.mu.Unlock()
+	env.mu.Lock()
+	env.nodes[name] = node
+	env.mu.Unlock()
 	go func() {
 		defer close(node.done)
 		if err := n.Run(ctx); err != nil && ctx.Err() == nil {
-			w.t.Errorf("node %s ended: %v", name, err)
+			env.t.Errorf("node %s ended: %v", name, err)
 		}
 	}()
 }
 
 // kill ends a node as a crash of its process does: it is partitioned from all hosts first, so that
 // nothing that it sends from now on arrives.
-func (w *testEnv) kill(name string) {
-	w.mu.Lock()
-	node := w.nodes[name]
-	delete(w.nodes, name)
-	w.mu.Unlock()
-	w.net.SetPartitioned(name, "*", true)
-	w.net.ResetConnections(name)
+func (env *testEnv) kill(name string) {
+	env.mu.Lock()
+	node := env.nodes[name]
+	delete(env.nodes, name)
+	env.mu.Unlock()
+	env.net.SetPartitioned(name, "*", true)
+	env.net.ResetConnections(name)
 	node.stop()
 }
 
 // drain shuts a node down gracefully and waits until it has ended.
-func (w *testEnv) drain(name string) {
-	w.mu.Lock()
-	node := w.nodes[name]
-	delete(w.nodes, name)
-	w.mu.Unlock()
+func (env *testEnv) drain(name string) {
+	env.mu.Lock()
+	node := env.nodes[name]
+	delete(env.nodes, name)
+	env.mu.Unlock()
 	node.stop()
 	<-node.done
 }
 
 // nodeNames returns the names of the running nodes in order.
-func (w *testEnv) nodeNames() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *testEnv) nodeNames() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var names []string
-	for n := range w.nodes {
+	for n := range env.nodes {
 		names = append(names, n)
 	}
 	slices.Sort(names)
@@ -224,33 +224,33 @@
 }
 
 // get sends a GET request to any listener of a node.
-func (w *testEnv) get(address, path string) (int, []byte) {
-	r, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+address+path, nil)
+func (env *testEnv) get(address, path string) (int, []byte) {
+	r, err := http.NewRequestWithContext(env.t.Context(), http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	return w.send(r)
+	return env.send(r)
 }
 
 // metric returns the value of one of a node's metrics.
-func (w *testEnv) metric(node, name string) float64 {
-	w.t.Helper()
-	_, page := w.get(node+":4", "/metrics")
+func (env *testEnv) metric(node, name string) float64 {
+	env.t.Helper()
+	_, page := env.get(node+":4", "/metrics")
 	for line := range strings.Lines(string(page)) {
 		if value, ok := strings.CutPrefix(line, name+" "); ok {
 			f, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 			if err != nil {
-				w.t.Fatal(err)
+				env.t.Fatal(err)
 			}
 			return f
 		}
 	}
-	w.t.Fatalf("%s has no metric %s", node, name)
+	env.t.Fatalf("%s has no metric %s", node, name)
 	return 0
 }
 
-func (w *testEnv) send(r *http.Request) (int, []byte) {
-	res, err := w.client.Do(r)
+func (env *testEnv) send(r *http.Request) (int, []byte) {
+	res, err := env.client.Do(r)
 	if err != nil {
 		return 0, nil
 	}
@@ -263,16 +263,16 @@
 }
 
 // call sends a caller's request to a node; status 0 means that there was no response.
-func (w *testEnv) call(node, method, path, body string) (int, []byte) {
-	ctx, cancel := context.WithTimeout(w.t.Context(), callDeadline)
+func (env *testEnv) call(node, method, path, body string) (int, []byte) {
+	ctx, cancel := context.WithTimeout(env.t.Context(), callDeadline)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+node+":1"+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	r.Host = "h"
 	r.Header.Set("X-Switchbank-Deadline-Ms", "3000")
-	return w.send(r)
+	return env.send(r)
 }
 
 type jobBody struct {
@@ -281,19 +281,19 @@
 }
 
 // encodeJob returns the request body that submits a job.
-func (w *testEnv) encodeJob(spec string, steps ...stepBody) string {
+func (env *testEnv) encodeJob(spec string, steps ...stepBody) string {
 	body, err := json.Marshal(jobBody{spec, steps})
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	return string(body)
 }
 
 // submitTo submits a job to a node, once, and checks that it is accepted.
-func (w *testEnv) submitTo(node, queue, id, spec string, steps ...stepBody) {
-	w.t.Helper()
-	if status, _ := w.call(node, http.MethodPost, "/"+queue+"/"+id, w.encodeJob(spec, steps...)); status != http.StatusOK {
-		w.t.Fatalf("submission answered with status %d", status)
+func (env *testEnv) submitTo(node, queue, id, spec string, steps ...stepBody) {
+	env.t.Helper()
+	if status, _ := env.call(node, http.MethodPost, "/"+queue+"/"+id, env.encodeJob(spec, steps...)); status != http.StatusOK {
+		env.t.Fatalf("submission answered with status %d", status)
 	}
 }
 
@@ -312,42 +312,42 @@
 }
 
 // submit submits a job until it is accepted or the attempts are used up.
-func (w *testEnv) submit(queue, spec string, steps ...stepBody) string {
-	w.mu.Lock()
-	w.jobs++
-	id := fmt.Sprintf("%016x", w.jobs)
-	w.mu.Unlock()
-	body := w.encodeJob(spec, steps...)
+func (env *testEnv) submit(queue, spec string, steps ...stepBody) string {
+	env.mu.Lock()
+	env.jobs++
+	id := fmt.Sprintf("%016x", env.jobs)
+	env.mu.Unlock()
+	body := env.encodeJob(spec, steps...)
 	const tries = 5
 	rejected := true
 	for i := range tries {
-		names := w.nodeNames()
+		names := env.nodeNames()
 		if len(names) == 0 {
 			time.Sleep(time.Second)
 			continue
 		}
-		status, _ := w.call(names[(len(id)+i)%len(names)], http.MethodPost, "/"+queue+"/"+id, body)
+		status, _ := env.call(names[(len(id)+i)%len(names)], http.MethodPost, "/"+queue+"/"+id, body)
 		if status == http.StatusOK {
-			w.mu.Lock()
-			w.accepted = append(w.accepted, id)
-			w.mu.Unlock()
+			env.mu.Lock()
+			env.accepted = append(env.accepted, id)
+			env.mu.Unlock()
 			return id
 		}
 		rejected = rejected && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests)
 		time.Sleep(time.Second)
 	}
 	if rejected {
-		w.mu.Lock()
-		w.refused[id] = true
-		w.mu.Unlock()
+		env.mu.Lock()
+		env.refused[id] = true
+		env.mu.Unlock()
 	}
 	return id
 }
 
 // state returns a job's state as the first node that responds reports it.
-func (w *testEnv) state(queue, id string) string {
-	for _, n := range w.nodeNames() {
-		status, data := w.call(n, http.MethodGet, "/"+queue+"/"+id, "")
+func (env *testEnv) state(queue, id string) string {
+	for _, n := range env.nodeNames() {
+		status, data := env.call(n, http.MethodGet, "/"+queue+"/"+id, "")
 		if status == http.StatusGone {
 			return "unknown"
 		}
@@ -360,19 +360,19 @@
 }
 
 // killAll kills all nodes and returns their names.
-func (w *testEnv) killAll() []string {
-	names := w.nodeNames()
+func (env *testEnv) killAll() []string {
+	names := env.nodeNames()
 	for _, n := range names {
-		w.kill(n)
+		env.kill(n)
 	}
 	return names
 }
 
 // close ends all nodes and workers, so that the synctest bubble can end.
-func (w *testEnv) close() {
-	w.killAll()
-	w.client.CloseIdleConnections()
-	w.site.Close()
+func (env *testEnv) close() {
+	env.killAll()
+	env.client.CloseIdleConnections()
+	env.site.Close()
 	time.Sleep(closeTime)
 }
 
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -19,37 +19,37 @@
 type fault struct {
 	name string
 	// begin starts the fault and returns a function that ends it, or nil.
-	begin func(w *testEnv) func()
+	begin func(env *testEnv) func()
 }
 
 // faultDuration is how long a fault lasts.
 const faultDuration = 5 * time.Second
 
 func storeFault(name string, f site.StoreFaults) fault {
-	return fault{name, func(w *testEnv) func() {
-		w.site.Store.SetFaults(f)
-		return func() { w.site.Store.SetFaults(site.StoreFaults{}) }
+	return fault{name, func(env *testEnv) func() {
+		env.site.Store.SetFaults(f)
+		return func() { env.site.Store.SetFaults(site.StoreFaults{}) }
 	}}
 }
 
-func ownerPartition(name string, hosts func(w *testEnv, owner string) []string) fault {
-	return fault{name, func(w *testEnv) func() {
-		owner := w.owner()
-		others := hosts(w, owner)
+func ownerPartition(name string, hosts func(env *testEnv, owner string) []string) fault {
+	return fault{name, func(env *testEnv) func() {
+		owner := env.owner()
+		others := hosts(env, owner)
 		for _, o := range others {
-			w.net.SetPartitioned(owner, o, true)
+			env.net.SetPartitioned(owner, o, true)
 		}
 		return func() {
 			for _, o := range others {
-				w.net.SetPartitioned(owner, o, false)
+				env.net.SetPartitioned(owner, o, false)
 			}
 		}
 	}}
 }
 
-func otherNodes(w *testEnv, owner string) []string {
+func otherNodes(env *testEnv, owner string) []string {
 	var others []string
-	for _, n := range w.nodeNames() {
+	for _, n := range env.nodeNames() {
 		if n != owner {
 			others = append(others, n)
 		}
@@ -66,29 +66,29 @@
 func nodeFaults() []fault {
 	return []fault{
 		{"no fault", func(*testEnv) func() { return nil }},
-		{"owner killed", func(w *testEnv) func() { return w.killOwner() }},
-		{"owner drained", func(w *testEnv) func() {
-			if owner := w.liveOwner(); owner != "" {
-				w.drain(owner)
-				return func() { w.startNode(owner + "x") }
+		{"owner killed", func(env *testEnv) func() { return env.killOwner() }},
+		{"owner drained", func(env *testEnv) func() {
+			if owner := env.liveOwner(); owner != "" {
+				env.drain(owner)
+				return func() { env.startNode(owner + "x") }
 			}
 			return nil
 		}},
-		{"all nodes killed", func(w *testEnv) func() {
-			names := w.killAll()
+		{"all nodes killed", func(env *testEnv) func() {
+			names := env.killAll()
 			return func() {
 				for _, n := range names {
-					w.startNode(n + "x")
+					env.startNode(n + "x")
 				}
 			}
 		}},
-		{"owner paused", func(w *testEnv) func() {
-			owner := w.owner()
-			w.net.Pause(owner)
-			return func() { w.net.Resume(owner) }
+		{"owner paused", func(env *testEnv) func() {
+			owner := env.owner()
+			env.net.Pause(owner)
+			return func() { env.net.Resume(owner) }
 		}},
-		{"open connections go silent", func(w *testEnv) func() {
-			w.net.SilenceOpenConnections(callerHost)
+		{"open connections go silent", func(env *testEnv) func() {
+			env.net.SilenceOpenConnections(callerHost)
 			return nil
 		}},
 	}
@@ -99,7 +99,7 @@
 	return []fault{
 		ownerPartition("owner partitioned from the store", func(*testEnv, string) []string { return []string{storeHost} }),
 		ownerPartition("owner partitioned from the other nodes", otherNodes),
-		ownerPartition("owner partitioned from nodes and store", func(w *testEnv, owner string) []string { return append(otherNodes(w, owner), storeHost) }),
+		ownerPartition("owner partitioned from nodes and store", func(env *testEnv, owner string) []string { return append(otherNodes(env, owner), storeHost) }),
 		ownerPartition("owner partitioned from half of the workers", func(*testEnv, string) []string { return []string{"w0", "w1", "w2"} }),
 	}
 }
@@ -114,9 +114,9 @@
 		storeFault("store loses replies", site.StoreFaults{LoseReplies: 10}),
 		storeFault("store writes late", site.StoreFaults{Late: 10, LateBy: 3 * time.Second}),
 		storeFault("store without history", site.StoreFaults{NoHistory: true}),
-		{"some of the store's parts unavailable", func(w *testEnv) func() {
-			w.site.Store.SetUnavailableParts(append(w.progressParts(), everyThirdJobPart()...)...)
-			return func() { w.site.Store.SetUnavailableParts() }
+		{"some of the store's parts unavailable", func(env *testEnv) func() {
+			env.site.Store.SetUnavailableParts(append(env.progressParts(), everyThirdJobPart()...)...)
+			return func() { env.site.Store.SetUnavailableParts() }
 		}},
 	}
 }
@@ -136,34 +136,34 @@
 // and a crash of the owner while the store is silent.
 func crashFaults() []fault {
 	return []fault{
-		{"owner killed while the store is silent", func(w *testEnv) func() {
-			w.site.Store.SetFaults(site.StoreFaults{Down: true})
-			restart := w.killOwner()
+		{"owner killed while the store is silent", func(env *testEnv) func() {
+			env.site.Store.SetFaults(site.StoreFaults{Down: true})
+			restart := env.killOwner()
 			return func() {
-				w.site.Store.SetFaults(site.StoreFaults{})
+				env.site.Store.SetFaults(site.StoreFaults{})
 				restart()
 			}
 		}},
-		{"worker crashes", func(w *testEnv) func() {
-			return w.crashWorker()
+		{"worker crashes", func(env *testEnv) func() {
+			return env.crashWorker()
 		}},
-		{"worker crashes with the owner", func(w *testEnv) func() {
-			restartNode, restartWorker := w.killOwner(), w.crashWorker()
+		{"worker crashes with the owner", func(env *testEnv) func() {
+			restartNode, restartWorker := env.killOwner(), env.crashWorker()
 			return func() {
 				restartNode()
 				restartWorker()
 			}
 		}},
-		{"worker partitioned, and the owner killed", func(w *testEnv) func() {
-			w.net.SetPartitioned("w0", "*", true)
-			restart := w.killOwner()
+		{"worker partitioned, and the owner killed", func(env *testEnv) func() {
+			env.net.SetPartitioned("w0", "*", true)
+			restart := env.killOwner()
 			return func() {
-				w.net.SetPartitioned("w0", "*", false)
+				env.net.SetPartitioned("w0", "*", false)
 				restart()
 			}
 		}},
-		{"worker drains", func(w *testEnv) func() {
-			w.drainWorker()
+		{"worker drains", func(env *testEnv) func() {
+			env.drainWorker()
 			return nil
 		}},
 	}
@@ -182,13 +182,13 @@
 }
 
 // startCorruptingEntries corrupts entries of the directory until the fault ends.
-func startCorruptingEntries(w *testEnv) func() {
+func startCorruptingEntries(env *testEnv) func() {
 	const pause = 300 * time.Millisecond
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // Each run must be the same.
 	done := make(chan struct{})
 	go func() {
 		for {
-			w.site.CorruptSomeEntries(rng)
+			env.site.CorruptSomeEntries(rng)
 			select {
 			case <-done:
 				return
@@ -200,9 +200,9 @@
 }
 
 func workerFault(name string, f site.WorkerFaults) fault {
-	return fault{name, func(w *testEnv) func() {
-		w.worker(0).SetFaults(f)
-		return func() { w.worker(0).SetFaults(site.WorkerFaults{}) }
+	return fault{name, func(env *testEnv) func() {
+		env.worker(0).SetFaults(f)
+		return func() { env.worker(0).SetFaults(site.WorkerFaults{}) }
 	}}
 }
 
@@ -258,23 +258,23 @@
 // testFault runs the load with a fault and, if second is set, with another one that begins in the
 // middle of the first.
 func testFault(t *testing.T, build func(*testing.T) *testEnv, first fault, second *fault) {
-	w := build(t)
-	defer w.close()
+	env := build(t)
+	defer env.close()
 	time.Sleep(2 * time.Second)
 	var wg sync.WaitGroup
-	wg.Go(func() { w.load(loadDuration) })
-	wg.Go(func() { w.injectFault(first, faultStart) })
+	wg.Go(func() { env.load(loadDuration) })
+	wg.Go(func() { env.injectFault(first, faultStart) })
 	if second != nil {
-		wg.Go(func() { w.injectFault(*second, faultStart+faultDuration/2) })
+		wg.Go(func() { env.injectFault(*second, faultStart+faultDuration/2) })
 	}
 	wg.Wait()
-	w.checkJobsSettled()
-	w.checkNoViolations()
+	env.checkJobsSettled()
+	env.checkNoViolations()
 }
 
-func (w *testEnv) injectFault(f fault, after time.Duration) {
+func (env *testEnv) injectFault(f fault, after time.Duration) {
 	time.Sleep(after)
-	end := f.begin(w)
+	end := f.begin(env)
 	time.Sleep(faultDuration)
 	if end != nil {
 		end()
@@ -283,17 +283,17 @@
 
 // owner returns the node that owns the first shard: the one that sends orders to the workers or, if
 // orders are relayed, the one that the store names.
-func (w *testEnv) owner() string {
-	if !w.relayed {
-		return w.site.Owner()
+func (env *testEnv) owner() string {
+	if !env.relayed {
+		return env.site.Owner()
 	}
-	return w.ownerRow(cluster.ShardID{Service: service}).Owner.Name
+	return env.ownerRow(cluster.ShardID{Service: service}).Owner.Name
 }
 
 // liveOwner returns the node that owns the shard, or "" if that node doesn't run any more.
-func (w *testEnv) liveOwner() string {
-	owner := w.owner()
-	for _, n := range w.nodeNames() {
+func (env *testEnv) liveOwner() string {
+	owner := env.owner()
+	for _, n := range env.nodeNames() {
 		if n == owner {
 			return owner
 		}
@@ -302,37 +302,37 @@
 }
 
 // killOwner kills the owner, if it runs, and returns a function that starts a replacement.
-func (w *testEnv) killOwner() func() {
-	owner := w.liveOwner()
+func (env *testEnv) killOwner() func() {
+	owner := env.liveOwner()
 	if owner == "" {
 		return func() {}
 	}
-	w.kill(owner)
-	return func() { w.startNode(owner + "x") }
+	env.kill(owner)
+	return func() { env.startNode(owner + "x") }
 }
 
 // crashWorker crashes the first worker that runs, and returns a function that starts a replacement
 // on its machine.
-func (w *testEnv) crashWorker() func() {
-	w.mu.Lock()
-	i := slices.IndexFunc(w.workers, func(k *site.Worker) bool { return !k.Crashed() })
-	old := w.workers[i]
-	w.mu.Unlock()
+func (env *testEnv) crashWorker() func() {
+	env.mu.Lock()
+	i := slices.IndexFunc(env.workers, func(k *site.Worker) bool { return !k.Crashed() })
+	old := env.workers[i]
+	env.mu.Unlock()
 	old.Crash()
 	return func() {
-		next := w.site.Restart(old)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.workers[i] = next
+		next := env.site.Restart(old)
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.workers[i] = next
 	}
 }
 
 // worker returns the current worker process on the i-th machine.
-func (w *testEnv) worker(i int) *site.Worker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.workers[i]
+func (env *testEnv) worker(i int) *site.Worker {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.workers[i]
 }
 
 // drainWorker lets the first worker announce that it drains.
-func (w *testEnv) drainWorker() { w.worker(0).Drain() }
+func (env *testEnv) drainWorker() { env.worker(0).Drain() }
--- a/matrix/site/handoff_test.go
+++ b/matrix/site/handoff_test.go
@@ -38,35 +38,35 @@
 func TestSilentConnectionsKeepNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zapcore.InfoLevel)
-		w := newEnvWith(t, cellWorkers, cellWorkers, func(w *testEnv) {
-			w.log = zap.New(core)
-			w.site.Configure(1, routes()...)
+		env := newEnvWith(t, cellWorkers, cellWorkers, func(env *testEnv) {
+			env.log = zap.New(core)
+			env.site.Configure(1, routes()...)
 		})
-		defer w.close()
+		defer env.close()
 		time.Sleep(handoffPause)
 		for round := range handoffRounds {
-			w.net.SilenceOpenConnections(callerHost)
-			w.submitToNonOwners(round)
+			env.net.SilenceOpenConnections(callerHost)
+			env.submitToNonOwners(round)
 			time.Sleep(handoffPause)
 		}
-		w.checkTaken(logs)
-		w.checkNoViolations()
+		env.checkTaken(logs)
+		env.checkNoViolations()
 	})
 }
 
 // submitToNonOwners submits jobs to all nodes but the owner of the shard, concurrently.
-func (w *testEnv) submitToNonOwners(round int) {
+func (env *testEnv) submitToNonOwners(round int) {
 	var calls sync.WaitGroup
-	owner, body := w.owner(), w.encodeJob(urgentSpec, urgentSteps()...)
-	for i, node := range w.nodeNames() {
+	owner, body := env.owner(), env.encodeJob(urgentSpec, urgentSteps()...)
+	for i, node := range env.nodeNames() {
 		if node == owner {
 			continue
 		}
 		for k := range jobsPerNode {
 			id := fmt.Sprintf("%016x", 0xe000+0x100*round+0x10*i+k)
 			calls.Go(func() {
-				if status, _ := w.call(node, http.MethodPost, "/urgent/"+id, body); status != http.StatusOK {
-					w.t.Errorf("%s answered %d to job %s, want %d", node, status, id, http.StatusOK)
+				if status, _ := env.call(node, http.MethodPost, "/urgent/"+id, body); status != http.StatusOK {
+					env.t.Errorf("%s answered %d to job %s, want %d", node, status, id, http.StatusOK)
 				}
 			})
 		}
@@ -75,19 +75,19 @@
 }
 
 // checkTaken checks how soon after its acceptance the owner has added each job.
-func (w *testEnv) checkTaken(logs *observer.ObservedLogs) {
+func (env *testEnv) checkTaken(logs *observer.ObservedLogs) {
 	taken := make(map[string]time.Time)
 	for _, e := range logs.FilterField(events.JobAdded).All() {
 		taken[e.ContextMap()["job"].(string)] = e.Time
 	}
 	accepted := logs.FilterField(events.JobAccepted).All()
 	if len(accepted) == 0 {
-		w.t.Error("no job was accepted")
+		env.t.Error("no job was accepted")
 	}
 	for _, e := range accepted {
 		job := e.ContextMap()["job"].(string)
 		if at, ok := taken[job]; !ok || at.Sub(e.Time) > handedOffWithin {
-			w.t.Errorf("job %s was accepted at %s and taken at %s, want within %s", job, e.Time.Format(clockFormat), at.Format(clockFormat), handedOffWithin)
+			env.t.Errorf("job %s was accepted at %s and taken at %s, want within %s", job, e.Time.Format(clockFormat), at.Format(clockFormat), handedOffWithin)
 		}
 	}
 }
--- a/matrix/site/handover_test.go
+++ b/matrix/site/handover_test.go
@@ -40,14 +40,14 @@
 }
 
 func testHandover(t *testing.T, f site.StoreFaults) {
-	w := newEnv(t)
-	defer w.close()
+	env := newEnv(t)
+	defer env.close()
 	time.Sleep(2 * time.Second)
-	w.submit("batch", longRunningSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 100, LongRunning: true})
+	env.submit("batch", longRunningSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 100, LongRunning: true})
 	time.Sleep(time.Second)
-	w.site.Store.SetFaults(f)
-	w.drain(w.liveOwner())
+	env.site.Store.SetFaults(f)
+	env.drain(env.liveOwner())
 	time.Sleep(5 * time.Second)
-	w.site.Store.SetFaults(site.StoreFaults{})
-	w.checkEpoch(cluster.ShardID{Service: service}, 2)
+	env.site.Store.SetFaults(site.StoreFaults{})
+	env.checkEpoch(cluster.ShardID{Service: service}, 2)
 }
--- a/matrix/site/input_test.go
+++ b/matrix/site/input_test.go
@@ -20,8 +20,8 @@
 // TestBadInput checks the responses to invalid requests.
 func TestBadInput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(2 * time.Second)
 		step := `{"Count":1,"Cpu":100,"MemMb":10}`
 		for _, c := range []struct {
@@ -45,7 +45,7 @@
 			{"waiting of an unknown queue", http.MethodGet, "/nowhere/", "", http.StatusNotFound, ""},
 			{"waiting", http.MethodGet, "/batch/", "", http.StatusOK, `{"Waiting":0}`},
 		} {
-			status, body := w.call("n1", c.method, c.path, c.body)
+			status, body := env.call("n1", c.method, c.path, c.body)
 			if status != c.wantStatus || !strings.Contains(string(body), c.wantBody) {
 				t.Errorf("%s: %d %s, want %d and %q", c.name, status, body, c.wantStatus, c.wantBody)
 			}
@@ -56,22 +56,22 @@
 // TestNoConfiguration checks that a node refuses requests until it has read a configuration.
 func TestNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnvWith(t, cellWorkers, cellWorkers, func(*testEnv) {})
-		defer w.close()
+		env := newEnvWith(t, cellWorkers, cellWorkers, func(*testEnv) {})
+		defer env.close()
 		time.Sleep(2 * time.Second)
-		status, _ := w.call("n0", http.MethodPost, "/batch/"+validID, "{}")
+		status, _ := env.call("n0", http.MethodPost, "/batch/"+validID, "{}")
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("status %d without a configuration", status)
 		}
-		if ready, _ := w.get("n0:2", "/api/ready"); ready != http.StatusServiceUnavailable {
+		if ready, _ := env.get("n0:2", "/api/ready"); ready != http.StatusServiceUnavailable {
 			t.Errorf("readiness status %d without a configuration", ready)
 		}
-		w.site.Configure(3, routes()...)
+		env.site.Configure(3, routes()...)
 		time.Sleep(2 * time.Second)
-		if ready, _ := w.get("n0:2", "/api/ready"); ready != http.StatusOK {
+		if ready, _ := env.get("n0:2", "/api/ready"); ready != http.StatusOK {
 			t.Errorf("readiness status %d with a configuration", ready)
 		}
-		if status, _ = w.call("n0", http.MethodGet, "/batch/", ""); status != http.StatusOK {
+		if status, _ = env.call("n0", http.MethodGet, "/batch/", ""); status != http.StatusOK {
 			t.Errorf("status %d with a configuration", status)
 		}
 	})
@@ -81,15 +81,15 @@
 // a newer one.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(time.Second)
-		w.site.Configure(9, routes()[1:]...)
+		env.site.Configure(9, routes()[1:]...)
 		time.Sleep(2 * time.Second)
-		w.site.Configure(5, routes()...)
+		env.site.Configure(5, routes()...)
 		time.Sleep(3 * time.Second)
-		for _, n := range w.nodeNames() {
-			if status, _ := w.call(n, http.MethodGet, "/urgent/", ""); status != http.StatusNotFound {
+		for _, n := range env.nodeNames() {
+			if status, _ := env.call(n, http.MethodGet, "/urgent/", ""); status != http.StatusNotFound {
 				t.Errorf("%s serves a queue of an older version: %d", n, status)
 			}
 		}
@@ -99,26 +99,26 @@
 // TestMalformedRows checks that rows which can't be parsed are skipped and don't stop the nodes.
 func TestMalformedRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		shard0 := cluster.ShardID{Service: service}
 		for i, bad := range []string{"", "nonsense", "[]", `{"id":5}`, `{"id":"x","steps":null}`} {
 			key := fmt.Sprintf("%016x", 0xbad0+i)
-			w.site.Store.PutRaw("servers", "", "i-bad"+key, []byte(bad))
-			w.site.Store.PutRaw("op", "", "wave/"+key, []byte(bad))
-			w.site.Store.PutRaw("cell", "", "node/"+key, []byte(bad))
-			w.site.Store.PutRaw("cell", "", "owner/"+key, []byte(bad))
-			w.site.Store.PutRaw("cell", "", "layout/"+key, []byte(bad))
-			w.site.Store.PutRaw(owner.TablePins, owner.JobPart(service, key), key, []byte(bad))
-			w.site.Store.PutRaw(owner.TableJobs(shard0), owner.JobPart(service, key), key, []byte(bad))
-			w.site.Store.PutRaw(owner.TableProgress, owner.ProgressPart(shard0), key, []byte(bad))
+			env.site.Store.PutRaw("servers", "", "i-bad"+key, []byte(bad))
+			env.site.Store.PutRaw("op", "", "wave/"+key, []byte(bad))
+			env.site.Store.PutRaw("cell", "", "node/"+key, []byte(bad))
+			env.site.Store.PutRaw("cell", "", "owner/"+key, []byte(bad))
+			env.site.Store.PutRaw("cell", "", "layout/"+key, []byte(bad))
+			env.site.Store.PutRaw(owner.TablePins, owner.JobPart(service, key), key, []byte(bad))
+			env.site.Store.PutRaw(owner.TableJobs(shard0), owner.JobPart(service, key), key, []byte(bad))
+			env.site.Store.PutRaw(owner.TableProgress, owner.ProgressPart(shard0), key, []byte(bad))
 		}
 		time.Sleep(2 * time.Second)
-		id := w.submit("urgent", urgentSpec, urgentSteps()...)
+		id := env.submit("urgent", urgentSpec, urgentSteps()...)
 		time.Sleep(3 * time.Second)
-		w.kill(w.site.Owner())
+		env.kill(env.site.Owner())
 		time.Sleep(5 * time.Second)
-		if got := w.state("urgent", id); got != "succeeded" {
+		if got := env.state("urgent", id); got != "succeeded" {
 			t.Errorf("job is %q with malformed rows", got)
 		}
 	})
@@ -128,21 +128,21 @@
 // its end, runs only once.
 func TestResubmittedJobRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(2 * time.Second)
 		body := `{"Spec":"300 cpu=500","Steps":[{"Count":2,"Cpu":500,"MemMb":10}]}`
 		for _, wait := range []time.Duration{0, 0, 100 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 			time.Sleep(wait)
-			for _, n := range w.nodeNames() {
-				if status, _ := w.call(n, http.MethodPost, "/batch/"+validID, body); status != http.StatusOK {
+			for _, n := range env.nodeNames() {
+				if status, _ := env.call(n, http.MethodPost, "/batch/"+validID, body); status != http.StatusOK {
 					t.Errorf("%s answers %d", n, status)
 				}
 			}
 		}
 		time.Sleep(3 * time.Second)
 		starts := 0
-		for _, e := range w.site.Events() {
+		for _, e := range env.site.Events() {
 			if e.Kind == "start" {
 				starts++
 			}
@@ -157,22 +157,22 @@
 // bounded rate.
 func TestCancelWhileStoreBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(2 * time.Second)
-		id := w.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
+		id := env.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
 		time.Sleep(time.Second)
-		w.site.Store.SetFaults(site.StoreFaults{Down: true, Busy: true})
-		before := w.site.Store.Calls()
-		status, _ := w.call("n0", http.MethodDelete, "/batch/"+id, "")
+		env.site.Store.SetFaults(site.StoreFaults{Down: true, Busy: true})
+		before := env.site.Store.Calls()
+		status, _ := env.call("n0", http.MethodDelete, "/batch/"+id, "")
 		if status == http.StatusOK {
 			t.Error("a cancellation is accepted without the store")
 		}
-		if calls := w.site.Store.Calls() - before; calls > maxStoreCalls {
+		if calls := env.site.Store.Calls() - before; calls > maxStoreCalls {
 			t.Errorf("%d calls to the store within a caller's deadline of 3 s", calls)
 		}
-		w.site.Store.SetFaults(site.StoreFaults{})
-		if status, _ = w.call("n0", http.MethodDelete, "/batch/"+id, ""); status != http.StatusOK {
+		env.site.Store.SetFaults(site.StoreFaults{})
+		if status, _ = env.call("n0", http.MethodDelete, "/batch/"+id, ""); status != http.StatusOK {
 			t.Errorf("status %d once the store is back", status)
 		}
 	})
--- a/matrix/site/joint_test.go
+++ b/matrix/site/joint_test.go
@@ -25,8 +25,8 @@
 }
 
 // countEvents returns how many events of one kind the workers observed.
-func (w *testEnv) countEvents(kind string) (n int) {
-	for _, e := range w.site.Events() {
+func (env *testEnv) countEvents(kind string) (n int) {
+	for _, e := range env.site.Events() {
 		if e.Kind == kind {
 			n++
 		}
@@ -53,39 +53,39 @@
 		smallJobs  = 120
 		settleTime = 40 * time.Second
 	)
-	w := newShardedEnv(t)
-	defer w.close()
-	w.site.SetRejectOneIn(1 << 30)
+	env := newShardedEnv(t)
+	defer env.close()
+	env.site.SetRejectOneIn(1 << 30)
 	time.Sleep(4 * time.Second)
 	spec, step := gangJob(400, jointGangSize)
-	ids := []string{w.submit(queue, spec, step), w.submit(queue, spec, step)}
+	ids := []string{env.submit(queue, spec, step), env.submit(queue, spec, step)}
 	for range smallJobs {
-		w.submit("batch", "900 cpu=1000", stepBody{Count: 2, CPU: 1000, MemoryMB: 10, EstimateMS: 900})
+		env.submit("batch", "900 cpu=1000", stepBody{Count: 2, CPU: 1000, MemoryMB: 10, EstimateMS: 900})
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(settleTime)
 	for _, id := range ids {
-		if state := w.state(queue, id); state != "succeeded" {
+		if state := env.state(queue, id); state != "succeeded" {
 			t.Errorf("gang %s is %q", id, state)
 		}
 	}
-	if timeouts := w.countEvents(site.EventGangTimeout); timeouts > 0 {
+	if timeouts := env.countEvents(site.EventGangTimeout); timeouts > 0 {
 		t.Errorf("%d gang members timed out waiting for the others", timeouts)
 	}
-	w.checkNoViolations()
-	w.checkJobsSucceeded()
+	env.checkNoViolations()
+	env.checkJobsSucceeded()
 }
 
 // checkJobsSucceeded checks that all accepted jobs have succeeded, but for those that were
 // cancelled.
-func (w *testEnv) checkJobsSucceeded() {
-	w.t.Helper()
-	for _, id := range w.accepted {
-		if _, cancelled := w.cancelled[id]; cancelled || w.succeeded[id] {
+func (env *testEnv) checkJobsSucceeded() {
+	env.t.Helper()
+	for _, id := range env.accepted {
+		if _, cancelled := env.cancelled[id]; cancelled || env.succeeded[id] {
 			continue
 		}
-		if state := w.state("batch", id); state != "succeeded" {
-			w.t.Errorf("job %s is %q", id, state)
+		if state := env.state("batch", id); state != "succeeded" {
+			env.t.Errorf("job %s is %q", id, state)
 		}
 	}
 }
@@ -106,26 +106,26 @@
 		for _, after := range selected {
 			t.Run(fmt.Sprintf("%s/%s", f.name, after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newShardedEnv(t)
-					defer w.close()
-					w.site.SetRejectOneIn(1 << 30)
+					env := newShardedEnv(t)
+					defer env.close()
+					env.site.SetRejectOneIn(1 << 30)
 					time.Sleep(4 * time.Second)
 					spec, step := gangJob(3000, jointGangSize)
 					if after > 0 {
-						w.submit("batch", spec, step)
+						env.submit("batch", spec, step)
 						time.Sleep(after)
 					}
-					endFault := f.begin(w)
+					endFault := f.begin(env)
 					if after == 0 {
-						w.submit("batch", spec, step)
+						env.submit("batch", spec, step)
 					}
 					time.Sleep(faultDuration)
 					if endFault != nil {
 						endFault()
 					}
 					time.Sleep(40 * time.Second)
-					w.checkNoViolations()
-					w.checkJobsSucceeded()
+					env.checkNoViolations()
+					env.checkJobsSucceeded()
 				})
 			})
 		}
@@ -137,27 +137,27 @@
 func TestJointGangCancelled(t *testing.T) {
 	for _, after := range []time.Duration{200 * time.Millisecond, 1500 * time.Millisecond, 6 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newShardedEnv(t)
-			defer w.close()
-			w.site.SetRejectOneIn(1 << 30)
+			env := newShardedEnv(t)
+			defer env.close()
+			env.site.SetRejectOneIn(1 << 30)
 			time.Sleep(4 * time.Second)
 			spec, step := gangJob(20_000, jointGangSize)
-			id := w.submit("batch", spec, step)
+			id := env.submit("batch", spec, step)
 			time.Sleep(after)
-			if status, _ := w.call("n1", http.MethodDelete, "/batch/"+id, ""); status != http.StatusOK {
+			if status, _ := env.call("n1", http.MethodDelete, "/batch/"+id, ""); status != http.StatusOK {
 				t.Errorf("cancellation answered with status %d", status)
 			}
-			w.cancelled[id] = time.Now()
+			env.cancelled[id] = time.Now()
 			time.Sleep(10 * time.Second)
-			for _, k := range w.workers {
+			for _, k := range env.workers {
 				if n := k.RunningTasks(); n > 0 {
 					t.Errorf("cancelled after %s: %d tasks run on %s", after, n, k.ID)
 				}
 			}
-			if state := w.state("batch", id); state != "cancelled" {
+			if state := env.state("batch", id); state != "cancelled" {
 				t.Errorf("cancelled after %s: the job is %q", after, state)
 			}
-			w.checkNoViolations()
+			env.checkNoViolations()
 		})
 	}
 }
@@ -166,17 +166,17 @@
 // allows the job must have failed, in whichever shards its members ran.
 func TestFailingJointGang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedEnv(t)
-		defer w.close()
+		env := newShardedEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
 		spec, step := gangJob(400, jointGangSize)
-		id := w.submit("batch", spec+" failing", step)
+		id := env.submit("batch", spec+" failing", step)
 		time.Sleep(30 * time.Second)
-		if state := w.state("batch", id); state != "failed" {
+		if state := env.state("batch", id); state != "failed" {
 			t.Errorf("the job is %q", state)
 		}
 		runs := make(map[int64]bool)
-		for _, e := range w.site.Events() {
+		for _, e := range env.site.Events() {
 			if e.Kind == site.EventStart && strings.HasPrefix(e.Task, id) {
 				runs[e.Run] = true
 			}
@@ -184,7 +184,7 @@
 		if len(runs) != batchAttempts {
 			t.Errorf("the gang had %d runs, its queue allows %d", len(runs), batchAttempts)
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
 
@@ -209,20 +209,20 @@
 func searchJointGangs(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // The same seed must give the same run.
 	candidates := faults()
-	w := newShardedEnv(t)
-	defer w.close()
-	w.site.SetRejectOneIn(4)
+	env := newShardedEnv(t)
+	defer env.close()
+	env.site.SetRejectOneIn(4)
 	time.Sleep(4 * time.Second)
 	var endFaults []func()
 	for range 12 {
 		switch rng.IntN(4) {
 		case 0:
 			spec, step := gangJob(300+rng.IntN(3000), 2+rng.IntN(shardedWorkers-2))
-			w.submit("batch", spec, step)
+			env.submit("batch", spec, step)
 		case 1:
-			w.submit("batch", "700 cpu=1500", stepBody{Count: 1 + rng.IntN(6), CPU: 1500, MemoryMB: 10, EstimateMS: 700})
+			env.submit("batch", "700 cpu=1500", stepBody{Count: 1 + rng.IntN(6), CPU: 1500, MemoryMB: 10, EstimateMS: 700})
 		case 2:
-			if endFault := candidates[rng.IntN(len(candidates))].begin(w); endFault != nil {
+			if endFault := candidates[rng.IntN(len(candidates))].begin(env); endFault != nil {
 				endFaults = append(endFaults, endFault)
 			}
 		case 3:
@@ -236,19 +236,19 @@
 	for _, endFault := range endFaults {
 		endFault()
 	}
-	w.waitAndRecordSuccesses(90 * time.Second)
-	w.checkNoViolations()
-	w.checkJobsSucceeded()
+	env.waitAndRecordSuccesses(90 * time.Second)
+	env.checkNoViolations()
+	env.checkJobsSucceeded()
 }
 
 // waitAndRecordSuccesses waits, and records which jobs succeed meanwhile: states are kept for two
 // minutes only, and some schedules last longer.
-func (w *testEnv) waitAndRecordSuccesses(d time.Duration) {
+func (env *testEnv) waitAndRecordSuccesses(d time.Duration) {
 	const interval = 10 * time.Second
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
-		for _, id := range w.accepted {
-			if !w.succeeded[id] && w.state("batch", id) == "succeeded" {
-				w.succeeded[id] = true
+		for _, id := range env.accepted {
+			if !env.succeeded[id] && env.state("batch", id) == "succeeded" {
+				env.succeeded[id] = true
 			}
 		}
 	}
--- a/matrix/site/leaving_test.go
+++ b/matrix/site/leaving_test.go
@@ -18,9 +18,9 @@
 )
 
 // startsOn returns how many runs a worker has started since a time.
-func (w *testEnv) startsOn(worker string, since time.Time) int {
+func (env *testEnv) startsOn(worker string, since time.Time) int {
 	n := 0
-	for _, e := range w.site.Events() {
+	for _, e := range env.site.Events() {
 		if e.Kind == site.EventStart && e.Worker == worker && e.At.After(since) {
 			n++
 		}
@@ -31,27 +31,27 @@
 // TestWorkerRemovedFromDirectory checks that a worker whose entry is removed gets no new tasks,
 // though it still responds, and that all accepted jobs end nevertheless.
 func TestWorkerRemovedFromDirectory(t *testing.T) {
-	runInEnvs(t, func(t *testing.T, w *testEnv) {
-		defer w.close()
+	runInEnvs(t, func(t *testing.T, env *testEnv) {
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		removed := w.worker(0)
+		removed := env.worker(0)
 		loadStart := time.Now()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			w.load(removalLoad)
+			env.load(removalLoad)
 		}()
 		time.Sleep(removalLoad / 3)
-		if w.startsOn(removed.ID, loadStart) == 0 {
+		if env.startsOn(removed.ID, loadStart) == 0 {
 			t.Fatal("no run started on the worker before its removal")
 		}
 		removed.RemoveFromDirectory()
 		removedAt := time.Now()
 		<-done
-		if n := w.startsOn(removed.ID, removedAt.Add(removalDelay)); n != 0 {
+		if n := env.startsOn(removed.ID, removedAt.Add(removalDelay)); n != 0 {
 			t.Errorf("%d runs started on a worker that had been removed from the directory", n)
 		}
-		w.checkJobsSettled()
-		w.checkNoViolations()
+		env.checkJobsSettled()
+		env.checkNoViolations()
 	})
 }
--- a/matrix/site/load_test.go
+++ b/matrix/site/load_test.go
@@ -23,96 +23,96 @@
 
 // load submits jobs for a time: urgent ones, batch jobs, gangs, a long-running one, and some that
 // are cancelled.
-func (w *testEnv) load(d time.Duration) {
+func (env *testEnv) load(d time.Duration) {
 	var wg sync.WaitGroup
-	longRunning := w.submit("batch", longRunningSpec, stepBody{Count: 2, CPU: 500, MemoryMB: 100, LongRunning: true})
-	w.mu.Lock()
-	w.longRunning = longRunning
-	w.mu.Unlock()
+	longRunning := env.submit("batch", longRunningSpec, stepBody{Count: 2, CPU: 500, MemoryMB: 100, LongRunning: true})
+	env.mu.Lock()
+	env.longRunning = longRunning
+	env.mu.Unlock()
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
-		wg.Go(func() { w.submit("urgent", urgentSpec, urgentSteps()...) })
+		wg.Go(func() { env.submit("urgent", urgentSpec, urgentSteps()...) })
 		if i%6 == 1 {
 			wg.Go(func() {
-				w.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Checkpoints: true})
+				env.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Checkpoints: true})
 			})
 		}
 		if i%12 == 3 {
 			wg.Go(func() {
-				w.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Gang: true})
+				env.submit("batch", batchSpec, stepBody{Count: 3, CPU: 1000, MemoryMB: 500, EstimateMS: 1500, Gang: true})
 			})
 		}
 		if i%10 == 5 {
-			wg.Go(w.submitAndCancel)
+			wg.Go(env.submitAndCancel)
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
 	wg.Wait()
 }
 
-func (w *testEnv) submitAndCancel() {
-	id := w.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
+func (env *testEnv) submitAndCancel() {
+	id := env.submit("batch", "60000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 500, EstimateMS: 60_000})
 	time.Sleep(time.Second)
 	for range 20 {
-		for _, n := range w.nodeNames() {
-			status, _ := w.call(n, http.MethodDelete, "/batch/"+id, "")
+		for _, n := range env.nodeNames() {
+			status, _ := env.call(n, http.MethodDelete, "/batch/"+id, "")
 			if status == http.StatusOK || status == http.StatusGone {
-				w.mu.Lock()
-				w.cancelled[id] = time.Now()
-				w.mu.Unlock()
+				env.mu.Lock()
+				env.cancelled[id] = time.Now()
+				env.mu.Unlock()
 				return
 			}
 		}
 		time.Sleep(time.Second)
 	}
-	w.t.Errorf("cancellation of %s was not accepted", id)
+	env.t.Errorf("cancellation of %s was not accepted", id)
 }
 
 // startLoad waits until the nodes have started, starts the load for a duration, and returns once it
 // has run for delay.
-func (w *testEnv) startLoad(d, delay time.Duration) *sync.WaitGroup {
+func (env *testEnv) startLoad(d, delay time.Duration) *sync.WaitGroup {
 	time.Sleep(2 * time.Second)
 	var load sync.WaitGroup
-	load.Go(func() { w.load(d) })
+	load.Go(func() { env.load(d) })
 	time.Sleep(delay)
 	return &load
 }
 
 // checkJobsSettled waits until every accepted job is in its expected final state, and checks that
 // only the two tasks of the load's long-running job still run.
-func (w *testEnv) checkJobsSettled() {
-	w.t.Helper()
+func (env *testEnv) checkJobsSettled() {
+	env.t.Helper()
 	unsettled := fmt.Errorf("not checked yet")
 	for end := time.Now().Add(settleTimeout); unsettled != nil && time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		unsettled = w.unsettledJob()
+		unsettled = env.unsettledJob()
 	}
 	if unsettled != nil {
-		w.t.Errorf("%s after the load: %v", settleTimeout, unsettled)
+		env.t.Errorf("%s after the load: %v", settleTimeout, unsettled)
 	}
 	running := 0
-	for _, k := range w.workers {
+	for _, k := range env.workers {
 		running += k.RunningTasks()
 	}
 	if running != 2 {
-		w.t.Errorf("%d tasks run at the end, want the 2 long-running ones", running)
+		env.t.Errorf("%d tasks run at the end, want the 2 long-running ones", running)
 	}
 }
 
 // unsettledJob returns an error that describes the first job which is not in its expected final
 // state.
-func (w *testEnv) unsettledJob() error {
-	w.mu.Lock()
-	accepted := append([]string(nil), w.accepted...)
-	w.mu.Unlock()
+func (env *testEnv) unsettledJob() error {
+	env.mu.Lock()
+	accepted := append([]string(nil), env.accepted...)
+	env.mu.Unlock()
 	for _, id := range accepted {
 		want := "succeeded"
-		if _, ok := w.cancelled[id]; ok {
+		if _, ok := env.cancelled[id]; ok {
 			want = "cancelled"
 		}
-		if id == w.longRunning {
+		if id == env.longRunning {
 			want = "running"
 		}
 		// The path of any queue of the service leads to the job.
-		if got := w.state("batch", id); got != want {
+		if got := env.state("batch", id); got != want {
 			return fmt.Errorf("job %s is %q, want %q", id, got, want)
 		}
 	}
--- a/matrix/site/longrunning_test.go
+++ b/matrix/site/longrunning_test.go
@@ -64,10 +64,10 @@
 }
 
 // failAllWorkers makes every task that isn't long-running fail on all workers.
-func failAllWorkers(w *testEnv) func() {
+func failAllWorkers(env *testEnv) func() {
 	set := func(f site.WorkerFaults) {
-		for i := range w.workers {
-			w.worker(i).SetFaults(f)
+		for i := range env.workers {
+			env.worker(i).SetFaults(f)
 		}
 	}
 	set(site.WorkerFaults{FailAll: true})
@@ -90,16 +90,16 @@
 
 // testLongRunning runs the load with a fault, and checks the long-running tasks in the time after
 // it.
-func testLongRunning(t *testing.T, w *testEnv, f fault) {
-	defer w.close()
+func testLongRunning(t *testing.T, env *testEnv, f fault) {
+	defer env.close()
 	time.Sleep(2 * time.Second)
 	var expected []site.LongRunningJob
 	for _, j := range longRunningJobs() {
-		expected = append(expected, site.LongRunningJob{Job: w.submit(j.queue, j.spec, j.step), Tasks: j.step.Count})
+		expected = append(expected, site.LongRunningJob{Job: env.submit(j.queue, j.spec, j.step), Tasks: j.step.Count})
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.load(faultStart + faultDuration + recoveryTime + observedTime) })
-	w.injectFault(f, faultStart)
+	wg.Go(func() { env.load(faultStart + faultDuration + recoveryTime + observedTime) })
+	env.injectFault(f, faultStart)
 	time.Sleep(recoveryTime)
 	from := time.Now()
 	time.Sleep(observedTime)
@@ -107,7 +107,7 @@
 		expected[i].From, expected[i].Until = from, time.Now()
 	}
 	wg.Wait()
-	for _, violation := range w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), LongRunning: expected}) {
+	for _, violation := range env.site.Violations(site.Expectations{Refused: env.refused, CancelledAt: env.cancelled, DrainedAt: env.site.DrainedAt(), LongRunning: expected}) {
 		t.Error(violation)
 	}
 }
--- a/matrix/site/moveunavailable_test.go
+++ b/matrix/site/moveunavailable_test.go
@@ -21,31 +21,31 @@
 func TestMovesDoNotWaitForEachOther(t *testing.T) {
 	const endsWithin = 15 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedEnv(t)
-		defer w.close()
+		env := newShardedEnv(t)
+		defer env.close()
 		time.Sleep(2 * time.Second)
-		ids := append(w.submitLabelled(), w.submitLabelled()...)
+		ids := append(env.submitLabelled(), env.submitLabelled()...)
 		var unavailable []string
 		// Jobs that were submitted together are moved in reverse order, so the second half blocks
 		// the first.
 		for _, id := range ids[len(ids)/2:] {
 			unavailable = append(unavailable, owner.JobPart(service, id))
 		}
-		w.site.Store.SetUnavailableParts(unavailable...)
-		w.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
+		env.site.Store.SetUnavailableParts(unavailable...)
+		env.site.AddWorker(site.WorkerConfig{Rack: "r1-3", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
 		time.Sleep(endsWithin)
 		for _, id := range ids {
-			if n, _ := w.starts(id); n != 1 && !slices.Contains(unavailable, owner.JobPart(service, id)) {
+			if n, _ := env.starts(id); n != 1 && !slices.Contains(unavailable, owner.JobPart(service, id)) {
 				t.Errorf("job %s was started %d times within %v, want once: its part of the store is available", id, n, endsWithin)
 			}
 		}
-		w.site.Store.SetUnavailableParts()
+		env.site.Store.SetUnavailableParts()
 		time.Sleep(endsWithin)
 		for _, id := range ids {
-			if state := w.state("batch", id); state != "succeeded" {
+			if state := env.state("batch", id); state != "succeeded" {
 				t.Errorf("job %s is %q once all parts are available again", id, state)
 			}
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
--- a/matrix/site/overload_test.go
+++ b/matrix/site/overload_test.go
@@ -47,35 +47,35 @@
 // newSmallHostEnv returns an environment whose nodes run on small hosts.
 func newSmallHostEnv(t *testing.T, h smallHost) *testEnv {
 	const bitsPerByte, million = 8, 1e6
-	w := newEnvWith(t, smallWorkers, smallWorkers, func(w *testEnv) {
-		w.site.Configure(1, routes()...)
-		w.limits = settings.Limits{CPUShare: h.share, CoreSpeed: 1, LinkMbps: float64(h.rate) * bitsPerByte / million}
+	env := newEnvWith(t, smallWorkers, smallWorkers, func(env *testEnv) {
+		env.site.Configure(1, routes()...)
+		env.limits = settings.Limits{CPUShare: h.share, CoreSpeed: 1, LinkMbps: float64(h.rate) * bitsPerByte / million}
 		for i := range smallNodes {
 			name := fmt.Sprintf("n%d", i)
-			w.net.SetBandwidth(name, h.rate)
-			w.net.SetCPUQuota(name, h.share, h.cost)
+			env.net.SetBandwidth(name, h.rate)
+			env.net.SetCPUQuota(name, h.share, h.cost)
 		}
 	})
 	for i := cellNodes; i < smallNodes; i++ {
-		w.startNode(fmt.Sprintf("n%d", i))
+		env.startNode(fmt.Sprintf("n%d", i))
 	}
-	return w
+	return env
 }
 
 // submitBurst submits jobs of two steps of ten tasks each. It returns how many were accepted, and
 // how many of these have succeeded 5 s after the last one.
-func (w *testEnv) submitBurst(perSecond int, d time.Duration) (accepted, succeeded int) {
+func (env *testEnv) submitBurst(perSecond int, d time.Duration) (accepted, succeeded int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var ids []string
 	step := stepBody{Count: 10, CPU: 1000, MemoryMB: 500, EstimateMS: 1000}
 	second := step
 	second.DependsOn = []int{0}
-	body := w.encodeJob("1000 cpu=1000 "+strings.Repeat("text ", 150), step, second)
+	body := env.encodeJob("1000 cpu=1000 "+strings.Repeat("text ", 150), step, second)
 	for i := range perSecond * int(d/time.Second) {
 		wg.Go(func() {
 			id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprint(i)))
-			if status, _ := w.call(fmt.Sprintf("n%d", i%smallNodes), http.MethodPost, "/urgent/"+id, body); status == http.StatusOK {
+			if status, _ := env.call(fmt.Sprintf("n%d", i%smallNodes), http.MethodPost, "/urgent/"+id, body); status == http.StatusOK {
 				mu.Lock()
 				ids = append(ids, id)
 				mu.Unlock()
@@ -86,7 +86,7 @@
 	wg.Wait()
 	time.Sleep(5 * time.Second)
 	for _, id := range ids {
-		if w.state("urgent", id) == "succeeded" {
+		if env.state("urgent", id) == "succeeded" {
 			succeeded++
 		}
 	}
@@ -104,15 +104,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSmallHostEnv(t, h)
-				defer w.close()
+				env := newSmallHostEnv(t, h)
+				defer env.close()
 				time.Sleep(6 * time.Second)
-				accepted, succeeded := w.submitBurst(jobsPerSecond, loadFor)
+				accepted, succeeded := env.submitBurst(jobsPerSecond, loadFor)
 				if want := jobsPerSecond * int(loadFor/time.Second); accepted < want || succeeded < accepted {
 					t.Errorf("%d of %d jobs were accepted, and %d have succeeded", accepted, want, succeeded)
 				}
-				w.checkEpoch(cluster.ShardID{Service: service}, 1)
-				w.checkOverloadViolations()
+				env.checkEpoch(cluster.ShardID{Service: service}, 1)
+				env.checkOverloadViolations()
 			})
 		})
 	}
@@ -123,29 +123,29 @@
 // before.
 func TestOverloadEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSmallHostEnv(t, smallHost{rate: 250_000, share: 0.12, cost: 50 * time.Microsecond})
-		defer w.close()
+		env := newSmallHostEnv(t, smallHost{rate: 250_000, share: 0.12, cost: 50 * time.Microsecond})
+		defer env.close()
 		time.Sleep(6 * time.Second)
 		const burst = 40
-		w.submitBurst(burst, 2*time.Second)
-		accepted, succeeded := w.submitBurst(jobsPerSecond, 4*time.Second)
+		env.submitBurst(burst, 2*time.Second)
+		accepted, succeeded := env.submitBurst(jobsPerSecond, 4*time.Second)
 		if want := jobsPerSecond * 4; accepted < want || succeeded < accepted {
 			t.Errorf("after a burst %d of %d jobs were accepted, and %d have succeeded", accepted, want, succeeded)
 		}
-		if epoch := w.epoch(cluster.ShardID{Service: service}); epoch > 2 {
+		if epoch := env.epoch(cluster.ShardID{Service: service}); epoch > 2 {
 			t.Errorf("the shard has had %d owners, want at most 2", epoch)
 		}
-		w.checkOverloadViolations()
+		env.checkOverloadViolations()
 	})
 }
 
 // checkOverloadViolations checks that no guarantee was broken. It allows tickets that expire in
 // transit: the worker refuses such an order, and no guarantee is broken.
-func (w *testEnv) checkOverloadViolations() {
-	w.t.Helper()
-	for _, violation := range w.violations() {
+func (env *testEnv) checkOverloadViolations() {
+	env.t.Helper()
+	for _, violation := range env.violations() {
 		if !strings.HasSuffix(violation, "without a valid ticket") {
-			w.t.Error(violation)
+			env.t.Error(violation)
 		}
 	}
 }
--- a/matrix/site/parts_test.go
+++ b/matrix/site/parts_test.go
@@ -20,9 +20,9 @@
 const unavailableFor = 6 * time.Second
 
 // progressParts returns the store's parts that hold the progress of the shards.
-func (w *testEnv) progressParts() []string {
+func (env *testEnv) progressParts() []string {
 	var parts []string
-	for i := range len(w.workers) / w.workersPerShard {
+	for i := range len(env.workers) / env.workersPerShard {
 		parts = append(parts, owner.ProgressPart(cluster.ShardID{Service: service, Index: i}))
 	}
 	return parts
@@ -34,23 +34,23 @@
 	runInEnvs(t, testProgressPartUnavailable)
 }
 
-func testProgressPartUnavailable(t *testing.T, w *testEnv) {
-	defer w.close()
-	load := w.startLoad(2*unavailableFor, unavailableFor/2)
-	w.site.Store.SetUnavailableParts(w.progressParts()...)
+func testProgressPartUnavailable(t *testing.T, env *testEnv) {
+	defer env.close()
+	load := env.startLoad(2*unavailableFor, unavailableFor/2)
+	env.site.Store.SetUnavailableParts(env.progressParts()...)
 	var jobs sync.WaitGroup
-	for i, node := range w.nodeNames() {
-		jobs.Go(func() { w.checkJobServed(node, fmt.Sprintf("%016x", 0xb000+i)) })
+	for i, node := range env.nodeNames() {
+		jobs.Go(func() { env.checkJobServed(node, fmt.Sprintf("%016x", 0xb000+i)) })
 	}
 	time.Sleep(unavailableFor)
 	jobs.Wait()
-	w.site.Store.SetUnavailableParts()
+	env.site.Store.SetUnavailableParts()
 	load.Wait()
-	w.checkJobsSettled()
-	if left := w.site.Store.Keys("spill"); len(left) > 0 {
+	env.checkJobsSettled()
+	if left := env.site.Store.Keys("spill"); len(left) > 0 {
 		t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
 	}
-	w.checkNoViolations()
+	env.checkNoViolations()
 }
 
 // TestSpilledProgressOutlivesOwner kills the owner while progress is spilled. The next owner must
@@ -59,23 +59,23 @@
 	runInEnvs(t, testOwnerLostWhileSpilling)
 }
 
-func testOwnerLostWhileSpilling(t *testing.T, w *testEnv) {
-	defer w.close()
-	load := w.startLoad(3*unavailableFor, unavailableFor/2)
-	w.site.Store.SetUnavailableParts(w.progressParts()...)
+func testOwnerLostWhileSpilling(t *testing.T, env *testEnv) {
+	defer env.close()
+	load := env.startLoad(3*unavailableFor, unavailableFor/2)
+	env.site.Store.SetUnavailableParts(env.progressParts()...)
 	time.Sleep(unavailableFor)
-	ended := w.endedJobs()
-	restart := w.killOwner()
-	w.site.Store.SetUnavailableParts()
+	ended := env.endedJobs()
+	restart := env.killOwner()
+	env.site.Store.SetUnavailableParts()
 	for range 10 {
-		w.checkStillEnded(ended)
+		env.checkStillEnded(ended)
 		time.Sleep(unavailableFor / 20)
 	}
 	restart()
 	load.Wait()
-	w.checkJobsSettled()
-	w.checkStillEnded(ended)
-	w.checkNoViolations()
+	env.checkJobsSettled()
+	env.checkStillEnded(ended)
+	env.checkNoViolations()
 }
 
 // endedJob is a job that was reported as ended, and how often its tasks had been started by then.
@@ -85,14 +85,14 @@
 }
 
 // endedJobs returns the jobs that are reported as ended.
-func (w *testEnv) endedJobs() []endedJob {
-	w.mu.Lock()
-	accepted := slices.Clone(w.accepted)
-	w.mu.Unlock()
+func (env *testEnv) endedJobs() []endedJob {
+	env.mu.Lock()
+	accepted := slices.Clone(env.accepted)
+	env.mu.Unlock()
 	var ended []endedJob
 	for _, id := range accepted {
-		if state := w.state("batch", id); state == "succeeded" || state == "cancelled" {
-			n, _ := w.starts(id)
+		if state := env.state("batch", id); state == "succeeded" || state == "cancelled" {
+			n, _ := env.starts(id)
 			ended = append(ended, endedJob{id, state, n})
 		}
 	}
@@ -101,14 +101,14 @@
 
 // checkStillEnded checks that jobs are reported in the same state as before, if a node responds,
 // and that none of their tasks was started again.
-func (w *testEnv) checkStillEnded(jobs []endedJob) {
-	w.t.Helper()
+func (env *testEnv) checkStillEnded(jobs []endedJob) {
+	env.t.Helper()
 	for _, j := range jobs {
-		if got := w.state("batch", j.id); got != j.state && got != "no answer" {
-			w.t.Errorf("job %s was %s and is %q after the takeover", j.id, j.state, got)
+		if got := env.state("batch", j.id); got != j.state && got != "no answer" {
+			env.t.Errorf("job %s was %s and is %q after the takeover", j.id, j.state, got)
 		}
-		if n, _ := w.starts(j.id); n != j.starts {
-			w.t.Errorf("job %s was %s, and its tasks were started %d times after that", j.id, j.state, n-j.starts)
+		if n, _ := env.starts(j.id); n != j.starts {
+			env.t.Errorf("job %s was %s, and its tasks were started %d times after that", j.id, j.state, n-j.starts)
 		}
 	}
 }
@@ -127,37 +127,37 @@
 	}
 }
 
-func testTakeoverWithUnavailableParts(t *testing.T, w *testEnv, kill func(*testEnv) func()) {
-	defer w.close()
+func testTakeoverWithUnavailableParts(t *testing.T, env *testEnv, kill func(*testEnv) func()) {
+	defer env.close()
 	time.Sleep(2 * time.Second)
 	var load sync.WaitGroup
-	load.Go(func() { w.load(4 * unavailableFor) })
+	load.Go(func() { env.load(4 * unavailableFor) })
 	unavailable := everyThirdJobPart()
 	chain := jobIDsWhere(func(part string) bool { return slices.Contains(unavailable, part) }, 1)[0]
-	w.submitChain(chain)
+	env.submitChain(chain)
 	time.Sleep(unavailableFor / 2)
-	unavailable = append(unavailable, owner.JobPart(service, w.longRunningJobID()))
-	w.site.Store.SetUnavailableParts(unavailable...)
-	restart := kill(w)
+	unavailable = append(unavailable, owner.JobPart(service, env.longRunningJobID()))
+	env.site.Store.SetUnavailableParts(unavailable...)
+	restart := kill(env)
 	time.Sleep(unavailableFor / 3)
 	var jobs sync.WaitGroup
 	readable := func(part string) bool { return !slices.Contains(unavailable, part) }
-	for i, id := range jobIDsWhere(readable, len(w.nodeNames())) {
-		jobs.Go(func() { w.checkJobServed(w.nodeNames()[i], id) })
+	for i, id := range jobIDsWhere(readable, len(env.nodeNames())) {
+		jobs.Go(func() { env.checkJobServed(env.nodeNames()[i], id) })
 	}
 	time.Sleep(unavailableFor)
 	jobs.Wait()
-	w.site.Store.SetUnavailableParts()
+	env.site.Store.SetUnavailableParts()
 	restart()
 	load.Wait()
-	w.checkJobsSettled()
-	if n, _ := w.starts(w.longRunning); n != 2 {
+	env.checkJobsSettled()
+	if n, _ := env.starts(env.longRunning); n != 2 {
 		t.Errorf("the long-running job's tasks were started %d times, want 2", n)
 	}
-	if n := w.successes(chain); n != chainSteps {
+	if n := env.successes(chain); n != chainSteps {
 		t.Errorf("tasks of a job of %d steps in sequence succeeded %d times", chainSteps, n)
 	}
-	w.checkNoViolations()
+	env.checkNoViolations()
 }
 
 const (
@@ -168,7 +168,7 @@
 )
 
 // submitChain submits a job whose steps depend on each other in sequence.
-func (w *testEnv) submitChain(id string) {
+func (env *testEnv) submitChain(id string) {
 	steps := make([]stepBody, chainSteps)
 	for i := range steps {
 		steps[i] = stepBody{Count: 1, CPU: 500, MemoryMB: 100, EstimateMS: chainStepMS}
@@ -176,16 +176,16 @@
 			steps[i].DependsOn = []int{i - 1}
 		}
 	}
-	w.submitTo(w.nodeNames()[0], "batch", id, fmt.Sprintf("%d cpu=500", chainStepMS), steps...)
-	w.mu.Lock()
-	w.accepted = append(w.accepted, id)
-	w.mu.Unlock()
+	env.submitTo(env.nodeNames()[0], "batch", id, fmt.Sprintf("%d cpu=500", chainStepMS), steps...)
+	env.mu.Lock()
+	env.accepted = append(env.accepted, id)
+	env.mu.Unlock()
 }
 
 // successes returns how often tasks of a job succeeded.
-func (w *testEnv) successes(job string) int {
+func (env *testEnv) successes(job string) int {
 	n := 0
-	for _, e := range w.site.Events() {
+	for _, e := range env.site.Events() {
 		if e.Kind == site.EventSuccess && strings.HasPrefix(e.Task, job) {
 			n++
 		}
@@ -194,17 +194,17 @@
 }
 
 // longRunningJobID returns the long-running job that the load has submitted.
-func (w *testEnv) longRunningJobID() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.longRunning
+func (env *testEnv) longRunningJobID() string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.longRunning
 }
 
 // restartAll kills all nodes and starts replacements.
-func (w *testEnv) restartAll() func() {
-	for _, n := range w.nodeNames() {
-		w.kill(n)
-		w.startNode(n + "x")
+func (env *testEnv) restartAll() func() {
+	for _, n := range env.nodeNames() {
+		env.kill(n)
+		env.startNode(n + "x")
 	}
 	return func() {}
 }
--- a/matrix/site/peers_test.go
+++ b/matrix/site/peers_test.go
@@ -18,26 +18,26 @@
 func TestNodesFindEachOtherAfterLongCut(t *testing.T) {
 	const partitionedFor, foundWithin = 30 * time.Second, 30 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(5 * time.Second)
-		owner, isolated := w.owner(), ""
-		for _, name := range w.nodeNames() {
+		owner, isolated := env.owner(), ""
+		for _, name := range env.nodeNames() {
 			if name != owner {
 				isolated = name
 			}
 		}
-		others := slices.DeleteFunc(w.nodeNames(), func(name string) bool { return name == isolated })
+		others := slices.DeleteFunc(env.nodeNames(), func(name string) bool { return name == isolated })
 		for _, name := range others {
-			w.net.SetPartitioned(isolated, name, true)
+			env.net.SetPartitioned(isolated, name, true)
 		}
 		time.Sleep(partitionedFor)
 		for _, name := range others {
-			w.net.SetPartitioned(isolated, name, false)
+			env.net.SetPartitioned(isolated, name, false)
 		}
 		time.Sleep(foundWithin)
-		for _, name := range w.nodeNames() {
-			if up := w.metric(name, "switchbank_peers_up"); int(up) != len(others) {
+		for _, name := range env.nodeNames() {
+			if up := env.metric(name, "switchbank_peers_up"); int(up) != len(others) {
 				t.Errorf("%s considers %v other nodes up %v after %s was partitioned for %v, want %d", name, up, foundWithin, isolated, partitionedFor, len(others))
 			}
 		}
--- a/matrix/site/removal_test.go
+++ b/matrix/site/removal_test.go
@@ -32,36 +32,36 @@
 }
 
 func testRemoval(t *testing.T, killAfter time.Duration) {
-	w := newShardedEnv(t)
-	defer w.close()
+	env := newShardedEnv(t)
+	defer env.close()
 	time.Sleep(2 * time.Second)
 	var ids []string
 	for range finishedJobs {
-		ids = append(ids, w.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 100, MemoryMB: 10, EstimateMS: 400}))
+		ids = append(ids, env.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 100, MemoryMB: 10, EstimateMS: 400}))
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(10 * time.Second)
 	if killAfter > 0 {
 		time.Sleep(killAfter)
-		w.killOwner()
+		env.killOwner()
 		time.Sleep(5 * time.Second)
 	}
 	if killAfter < 100*time.Second {
-		w.checkStatuses(ids, http.StatusOK)
+		env.checkStatuses(ids, http.StatusOK)
 	}
 	time.Sleep(removedWithin)
-	w.checkStatuses(ids, http.StatusGone)
+	env.checkStatuses(ids, http.StatusGone)
 	for _, id := range ids {
 		part := owner.JobPart(service, id)
-		if w.site.Store.Version(owner.TablePins, part, id) != 0 {
+		if env.site.Store.Version(owner.TablePins, part, id) != 0 {
 			t.Errorf("job %s still has a pin", id)
 		}
 		for index := range 2 {
 			shard := cluster.ShardID{Service: service, Index: index}
-			if w.site.Store.Version(owner.TableProgress, owner.ProgressPart(shard), id) != 0 {
+			if env.site.Store.Version(owner.TableProgress, owner.ProgressPart(shard), id) != 0 {
 				t.Errorf("the progress of job %s is still in shard %s", id, shard)
 			}
-			if w.site.Store.Version(owner.TableJobs(shard), part, id) != 0 {
+			if env.site.Store.Version(owner.TableJobs(shard), part, id) != 0 {
 				t.Errorf("job %s is still in shard %s", id, shard)
 			}
 		}
@@ -69,11 +69,11 @@
 }
 
 // checkStatuses queries the state of jobs and checks the HTTP status of each response.
-func (w *testEnv) checkStatuses(ids []string, want int) {
-	w.t.Helper()
+func (env *testEnv) checkStatuses(ids []string, want int) {
+	env.t.Helper()
 	for _, id := range ids {
-		if status, body := w.call(w.nodeNames()[0], http.MethodGet, "/batch/"+id, ""); status != want {
-			w.t.Errorf("job %s: %d %s, want %d", id, status, body, want)
+		if status, body := env.call(env.nodeNames()[0], http.MethodGet, "/batch/"+id, ""); status != want {
+			env.t.Errorf("job %s: %d %s, want %d", id, status, body, want)
 		}
 	}
 }
--- a/matrix/site/restart_test.go
+++ b/matrix/site/restart_test.go
@@ -23,20 +23,20 @@
 // is gone, and continue with the jobs that were accepted.
 func TestRestartIsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(2 * time.Second)
 		for round := range cellRestarts {
 			id := fmt.Sprintf("%016x", 0xd000+round)
-			w.submitAndKillAll(id)
-			w.worker(round).Crash()
+			env.submitAndKillAll(id)
+			env.worker(round).Crash()
 			time.Sleep(closeTime)
 			startedAt := time.Now()
 			for _, n := range []string{"n0", "n1", "n2"} {
-				w.net.SetPartitioned(n, "*", false)
-				w.startNode(n)
+				env.net.SetPartitioned(n, "*", false)
+				env.startNode(n)
 			}
-			for w.state("urgent", id) != "succeeded" && time.Since(startedAt) < settleTimeout {
+			for env.state("urgent", id) != "succeeded" && time.Since(startedAt) < settleTimeout {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(startedAt); took > jobEndsWithin {
@@ -47,20 +47,20 @@
 }
 
 // submitAndKillAll submits a job and kills all nodes as soon as it is accepted.
-func (w *testEnv) submitAndKillAll(id string) {
-	w.submitTo("n0", "urgent", id, urgentSpec, urgentSteps()...)
-	w.killAll()
+func (env *testEnv) submitAndKillAll(id string) {
+	env.submitTo("n0", "urgent", id, urgentSpec, urgentSteps()...)
+	env.killAll()
 }
 
 // TestPeersAreKnownSoon checks that nodes which start together soon know each other: a new owner
 // calls the advice service through the nodes that it considers up.
 func TestPeersAreKnownSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(peersKnownWithin)
-		for _, n := range w.nodeNames() {
-			if up := w.metric(n, "switchbank_peers_up"); up != cellNodes-1 {
+		for _, n := range env.nodeNames() {
+			if up := env.metric(n, "switchbank_peers_up"); up != cellNodes-1 {
 				t.Errorf("%s considers %g nodes up after %s, want %d", n, up, peersKnownWithin, cellNodes-1)
 			}
 		}
--- a/matrix/site/shards_test.go
+++ b/matrix/site/shards_test.go
@@ -18,8 +18,8 @@
 )
 
 // starts returns how many tasks of a job were started, and the worker of the last start.
-func (w *testEnv) starts(job string) (n int, worker string) {
-	for _, e := range w.site.Events() {
+func (env *testEnv) starts(job string) (n int, worker string) {
+	for _, e := range env.site.Events() {
 		if e.Kind == site.EventStart && len(e.Task) > len(job) && e.Task[:len(job)] == job {
 			n, worker = n+1, e.Worker
 		}
@@ -28,23 +28,23 @@
 }
 
 // newLabelledEnv returns an environment with two shards in which only one worker has a label.
-func newLabelledEnv(t *testing.T) (w *testEnv, labelled *site.Worker) {
-	w = newShardedEnv(t)
+func newLabelledEnv(t *testing.T) (env *testEnv, labelled *site.Worker) {
+	env = newShardedEnv(t)
 	// The layout of two shards must be stored first: with this worker there would be three.
 	time.Sleep(2 * time.Second)
-	labelled = w.site.AddWorker(site.WorkerConfig{Rack: "r1-0", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
+	labelled = env.site.AddWorker(site.WorkerConfig{Rack: "r1-0", Label: "rare", CPUMilli: workerCores, MemoryMB: 32000})
 	time.Sleep(4 * time.Second)
-	return w, labelled
+	return env, labelled
 }
 
 // labelledJobs is how many jobs submitLabelled submits.
 const labelledJobs = 6
 
 // submitLabelled submits jobs that only a worker with the label can run, and returns their IDs.
-func (w *testEnv) submitLabelled() []string {
+func (env *testEnv) submitLabelled() []string {
 	var ids []string
 	for range labelledJobs {
-		ids = append(ids, w.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 10, Label: "rare"}))
+		ids = append(ids, env.submit("batch", urgentSpec, stepBody{Count: 1, CPU: 500, MemoryMB: 10, Label: "rare"}))
 	}
 	return ids
 }
@@ -53,13 +53,13 @@
 // moves to the shard that has one, wherever it was accepted.
 func TestJobMovesToWorkersThatFit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, labelled := newLabelledEnv(t)
-		defer w.close()
-		ids := w.submitLabelled()
+		env, labelled := newLabelledEnv(t)
+		defer env.close()
+		ids := env.submitLabelled()
 		time.Sleep(10 * time.Second)
 		for _, id := range ids {
-			n, worker := w.starts(id)
-			if state := w.state("batch", id); state != "succeeded" || n != 1 || worker != labelled.ID {
+			n, worker := env.starts(id)
+			if state := env.state("batch", id); state != "succeeded" || n != 1 || worker != labelled.ID {
 				t.Errorf("job %s is %q after %d starts, the last on %s", id, state, n, worker)
 			}
 		}
@@ -71,17 +71,17 @@
 // shard's owner only then, or after a takeover.
 func TestLateAcceptanceMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _ := newLabelledEnv(t)
-		defer w.close()
-		ids := w.submitLabelled()
+		env, _ := newLabelledEnv(t)
+		defer env.close()
+		ids := env.submitLabelled()
 		time.Sleep(10 * time.Second)
-		w.sendLateAcceptance(ids)
-		w.kill(w.site.Owner())
+		env.sendLateAcceptance(ids)
+		env.kill(env.site.Owner())
 		time.Sleep(5 * time.Second)
-		w.sendLateAcceptance(ids)
+		env.sendLateAcceptance(ids)
 		time.Sleep(5 * time.Second)
 		for _, id := range ids {
-			if n, _ := w.starts(id); n != 1 {
+			if n, _ := env.starts(id); n != 1 {
 				t.Errorf("job %s: %d starts, want 1", id, n)
 			}
 		}
@@ -90,9 +90,9 @@
 
 // sendLateAcceptance sends the jobs, without a label and with the version of their acceptance, to
 // the owners of both shards.
-func (w *testEnv) sendLateAcceptance(ids []string) {
+func (env *testEnv) sendLateAcceptance(ids []string) {
 	for _, id := range ids {
-		version := w.site.Store.Version(owner.TablePins, owner.JobPart(service, id), id)
+		version := env.site.Store.Version(owner.TablePins, owner.JobPart(service, id), id)
 		for shard := range 2 {
 			body, err := json.Marshal(struct {
 				Job     cluster.Job `json:"job"`
@@ -102,21 +102,21 @@
 				Steps: []cluster.Step{{Count: 1, Need: resource.Amount{CPUMilli: 500, MemoryMB: 10}}},
 			}, version})
 			if err != nil {
-				w.t.Fatal(err)
+				env.t.Fatal(err)
 			}
-			w.sendAcceptanceToAll(body)
+			env.sendAcceptanceToAll(body)
 		}
 	}
 }
 
 // sendAcceptanceToAll sends a message about an accepted job to every node.
-func (w *testEnv) sendAcceptanceToAll(body []byte) {
-	for _, n := range w.nodeNames() {
-		r, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost, fmt.Sprintf("http://%s:3/peer/v2/job", n), bytes.NewReader(body))
+func (env *testEnv) sendAcceptanceToAll(body []byte) {
+	for _, n := range env.nodeNames() {
+		r, err := http.NewRequestWithContext(env.t.Context(), http.MethodPost, fmt.Sprintf("http://%s:3/peer/v2/job", n), bytes.NewReader(body))
 		if err != nil {
-			w.t.Fatal(err)
+			env.t.Fatal(err)
 		}
-		w.send(r)
+		env.send(r)
 	}
 }
 
@@ -124,19 +124,19 @@
 // doesn't take the shard from its owner, which still serves the other nodes.
 func TestPartitionedNodeTakesNoShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newEnv(t)
-		defer w.close()
+		env := newEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		w.submit("urgent", urgentSpec, urgentSteps()...)
+		env.submit("urgent", urgentSpec, urgentSteps()...)
 		time.Sleep(time.Second)
-		owner := w.site.Owner()
-		others := otherNodes(w, owner)
+		owner := env.site.Owner()
+		others := otherNodes(env, owner)
 		isolated := others[0]
-		w.net.SetPartitioned(isolated, owner, true)
-		w.net.SetPartitioned(isolated, others[1], true)
+		env.net.SetPartitioned(isolated, owner, true)
+		env.net.SetPartitioned(isolated, others[1], true)
 		for range 10 {
-			w.submit("urgent", urgentSpec, urgentSteps()...)
-			if now := w.site.Owner(); now == isolated {
+			env.submit("urgent", urgentSpec, urgentSteps()...)
+			if now := env.site.Owner(); now == isolated {
 				t.Fatalf("%s was partitioned and took the shard of %s", isolated, owner)
 			}
 			time.Sleep(200 * time.Millisecond)
--- a/matrix/site/silence_test.go
+++ b/matrix/site/silence_test.go
@@ -30,44 +30,44 @@
 	runInEnvs(t, testSilentConnections)
 }
 
-func testSilentConnections(t *testing.T, w *testEnv) {
-	defer w.close()
-	load := w.startLoad(silentRounds*silentPause, silentPause/2)
-	owner := w.owner()
+func testSilentConnections(t *testing.T, env *testEnv) {
+	defer env.close()
+	load := env.startLoad(silentRounds*silentPause, silentPause/2)
+	owner := env.owner()
 	var jobs sync.WaitGroup
 	for round := range silentRounds {
-		w.net.SilenceOpenConnections(callerHost)
-		for i, node := range w.nodeNames() {
-			jobs.Go(func() { w.checkJobServed(node, fmt.Sprintf("%016x", 0xa000+16*round+i)) })
+		env.net.SilenceOpenConnections(callerHost)
+		for i, node := range env.nodeNames() {
+			jobs.Go(func() { env.checkJobServed(node, fmt.Sprintf("%016x", 0xa000+16*round+i)) })
 		}
 		time.Sleep(silentPause)
 	}
 	load.Wait()
 	jobs.Wait()
-	if n, _ := w.starts(w.longRunning); n != 2 {
+	if n, _ := env.starts(env.longRunning); n != 2 {
 		t.Errorf("the long-running job's tasks were started %d times, want 2", n)
 	}
-	if now := w.owner(); w.workersPerShard == cellWorkers && now != owner {
+	if now := env.owner(); env.workersPerShard == cellWorkers && now != owner {
 		t.Errorf("the shard moved from %s to %s", owner, now)
 	}
-	w.checkJobsSettled()
-	w.checkNoViolations()
+	env.checkJobsSettled()
+	env.checkNoViolations()
 }
 
 // checkJobServed submits a job to a node, and checks how soon it is accepted and ends.
-func (w *testEnv) checkJobServed(node, id string) {
-	body := w.encodeJob(urgentSpec, urgentSteps()...)
+func (env *testEnv) checkJobServed(node, id string) {
+	body := env.encodeJob(urgentSpec, urgentSteps()...)
 	submittedAt := time.Now()
-	status, _ := w.call(node, http.MethodPost, "/urgent/"+id, body)
+	status, _ := env.call(node, http.MethodPost, "/urgent/"+id, body)
 	if took := time.Since(submittedAt); status != http.StatusOK || took > acceptedWithin {
-		w.t.Errorf("%s answered %d after %s, want %d within %s", node, status, took, http.StatusOK, acceptedWithin)
+		env.t.Errorf("%s answered %d after %s, want %d within %s", node, status, took, http.StatusOK, acceptedWithin)
 	}
-	for w.state("urgent", id) != "succeeded" {
+	for env.state("urgent", id) != "succeeded" {
 		if time.Since(submittedAt) > endedWithin {
-			w.t.Errorf("job %s handed in at %s is %q after %s", id, node, w.state("urgent", id), endedWithin)
+			env.t.Errorf("job %s handed in at %s is %q after %s", id, node, env.state("urgent", id), endedWithin)
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.t.Logf("job %s at %s ended after %s", id, node, time.Since(submittedAt))
+	env.t.Logf("job %s at %s ended after %s", id, node, time.Since(submittedAt))
 }
--- a/matrix/site/slow_test.go
+++ b/matrix/site/slow_test.go
@@ -37,11 +37,11 @@
 
 func testSlowStore(t *testing.T, slow site.StoreFaults, pause time.Duration) {
 	const duration = 4 * time.Second
-	w := newEnv(t)
-	defer w.close()
+	env := newEnv(t)
+	defer env.close()
 	time.Sleep(4 * time.Second)
-	w.site.Store.SetFaults(slow)
-	body := w.encodeJob(urgentSpec, stepBody{Count: 1, CPU: 10, MemoryMB: 10, EstimateMS: 400})
+	env.site.Store.SetFaults(slow)
+	body := env.encodeJob(urgentSpec, stepBody{Count: 1, CPU: 10, MemoryMB: 10, EstimateMS: 400})
 	var wg sync.WaitGroup
 	for i := range int(duration / pause) {
 		wg.Go(func() {
@@ -49,7 +49,7 @@
 			node := fmt.Sprintf("n%d", i%cellNodes)
 			// Spread the IDs over the whole range, as callers do.
 			id := xxhash.Sum64String(fmt.Sprint(i))
-			status, answer := w.call(node, http.MethodPost, fmt.Sprintf("/urgent/%016x", id), body)
+			status, answer := env.call(node, http.MethodPost, fmt.Sprintf("/urgent/%016x", id), body)
 			if status != http.StatusOK {
 				t.Errorf("job %d at %s: %d %s after %s", i, node, status, answer, time.Since(began))
 			}
--- a/matrix/site/slowlink_test.go
+++ b/matrix/site/slowlink_test.go
@@ -29,13 +29,13 @@
 
 // newSlowLinkEnv returns an environment in which most nodes have slow links.
 func newSlowLinkEnv(t *testing.T) *testEnv {
-	w := newEnv(t)
+	env := newEnv(t)
 	for i := range slowNodes {
 		name := fmt.Sprintf("s%d", i)
-		w.net.SetBandwidth(name, slowLinkRate)
-		w.startNode(name)
+		env.net.SetBandwidth(name, slowLinkRate)
+		env.startNode(name)
 	}
-	return w
+	return env
 }
 
 // manyRoutes returns the usual routes, n more, and one with a prefix that only this version has.
@@ -52,16 +52,16 @@
 
 // configure writes a version with n additional routes, waits for appliedWithin, and checks that
 // each node serves the version's own route but not that of the version before.
-func (w *testEnv) configure(version int64, n int) {
-	w.t.Helper()
-	w.site.Configure(version, manyRoutes(version, n)...)
+func (env *testEnv) configure(version int64, n int) {
+	env.t.Helper()
+	env.site.Configure(version, manyRoutes(version, n)...)
 	time.Sleep(appliedWithin)
-	for _, node := range w.nodeNames() {
-		if status, _ := w.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version), ""); status != http.StatusOK {
-			w.t.Errorf("%s after version %d was written, %s answers %d for its new route, want %d", appliedWithin, version, node, status, http.StatusOK)
+	for _, node := range env.nodeNames() {
+		if status, _ := env.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version), ""); status != http.StatusOK {
+			env.t.Errorf("%s after version %d was written, %s answers %d for its new route, want %d", appliedWithin, version, node, status, http.StatusOK)
 		}
-		if status, _ := w.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version-1), ""); status != http.StatusNotFound {
-			w.t.Errorf("%s after version %d was written, %s answers %d for a removed route, want %d", appliedWithin, version, node, status, http.StatusNotFound)
+		if status, _ := env.call(node, http.MethodGet, fmt.Sprintf("/only-%d/", version-1), ""); status != http.StatusNotFound {
+			env.t.Errorf("%s after version %d was written, %s answers %d for a removed route, want %d", appliedWithin, version, node, status, http.StatusNotFound)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 // was still served; on fast links it took 0.15 s.
 func TestLargeConfigurationsOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkEnv(t)
-		defer w.close()
+		env := newSlowLinkEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, extraRoutes)
-		w.configure(3, extraRoutes)
-		w.configure(4, 2*extraRoutes)
-		w.configure(5, 2*extraRoutes)
+		env.configure(2, extraRoutes)
+		env.configure(3, extraRoutes)
+		env.configure(4, 2*extraRoutes)
+		env.configure(5, 2*extraRoutes)
 	})
 }
 
@@ -100,22 +100,22 @@
 func TestLargeConfigurationsFromPeers(t *testing.T) {
 	const versions = 6
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkEnv(t)
-		defer w.close()
+		env := newSlowLinkEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, extraRoutes)
-		w.site.Store.SetFaults(site.StoreFaults{Deny: []string{"s0", "s1", "s2", "s3"}})
+		env.configure(2, extraRoutes)
+		env.site.Store.SetFaults(site.StoreFaults{Deny: []string{"s0", "s1", "s2", "s3"}})
 		time.Sleep(time.Second)
-		before := w.net.ReceivedBytes("s0")
-		w.configure(3, 2*extraRoutes)
-		w.configure(4, 2*extraRoutes)
-		w.configure(5, 3*extraRoutes)
-		w.configure(versions, 3*extraRoutes)
+		before := env.net.ReceivedBytes("s0")
+		env.configure(3, 2*extraRoutes)
+		env.configure(4, 2*extraRoutes)
+		env.configure(5, 3*extraRoutes)
+		env.configure(versions, 3*extraRoutes)
 		// Concurrent fetches would make it two or three for each version.
-		if got := w.metric("s0", `switchbank_config_fetches_total{outcome="read"}`); got > versions {
+		if got := env.metric("s0", `switchbank_config_fetches_total{outcome="read"}`); got > versions {
 			t.Errorf("s0 fetched a configuration %v times, want %d at most", got, versions)
 		}
-		if got := w.net.ReceivedBytes("s0") - before; got > maxPeerBytes {
+		if got := env.net.ReceivedBytes("s0") - before; got > maxPeerBytes {
 			t.Errorf("s0 received %d bytes, want at most %d", got, maxPeerBytes)
 		}
 	})
@@ -132,13 +132,13 @@
 		maxRate = 18_000
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := newSlowLinkEnv(t)
-		defer w.close()
+		env := newSlowLinkEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		w.configure(2, extraRoutes)
-		before := w.net.ReceivedBytes("s0")
+		env.configure(2, extraRoutes)
+		before := env.net.ReceivedBytes("s0")
 		time.Sleep(seconds * time.Second)
-		rate := (w.net.ReceivedBytes("s0") - before) / seconds
+		rate := (env.net.ReceivedBytes("s0") - before) / seconds
 		t.Logf("%d bytes a second", rate)
 		if rate > maxRate {
 			t.Errorf("a node receives %d bytes a second while nothing changes, want at most %d", rate, maxRate)
--- a/matrix/site/stalled_test.go
+++ b/matrix/site/stalled_test.go
@@ -16,29 +16,29 @@
 // if its sender has closed the connection. Such a start carried only the worker's lease, which was
 // valid for 8 s, and one began 4.1 s after its worker had announced that it drains.
 func TestStalledOrderStartsNothing(t *testing.T) {
-	runInEnvs(t, func(t *testing.T, w *testEnv) {
+	runInEnvs(t, func(t *testing.T, env *testEnv) {
 		const (
 			jobs      = 12
 			stallTime = 5 * time.Second
 		)
-		defer w.close()
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		draining := w.workers[0]
-		names := w.nodeNames()
+		draining := env.workers[0]
+		names := env.nodeNames()
 		for _, n := range names {
-			w.net.Stall(n, "w0")
+			env.net.Stall(n, "w0")
 		}
 		for range jobs {
-			w.submit("batch", "3000 cpu=1000", stepBody{Count: 4, CPU: 1000, MemoryMB: 10, EstimateMS: 3000})
+			env.submit("batch", "3000 cpu=1000", stepBody{Count: 4, CPU: 1000, MemoryMB: 10, EstimateMS: 3000})
 			time.Sleep(10 * time.Millisecond)
 		}
 		draining.Drain()
 		time.Sleep(stallTime)
 		for _, n := range names {
-			w.net.Release(n, "w0")
+			env.net.Release(n, "w0")
 		}
 		time.Sleep(30 * time.Second)
-		w.checkNoViolations()
-		w.checkJobsSucceeded()
+		env.checkNoViolations()
+		env.checkJobsSucceeded()
 	})
 }
--- a/matrix/site/unreadsuccess_test.go
+++ b/matrix/site/unreadsuccess_test.go
@@ -17,35 +17,35 @@
 func TestUnreadSuccessAfterLeaseEnd(t *testing.T) {
 	for partitionedFor, wantStarts := range map[time.Duration]int{3 * time.Second: 1, 20 * time.Second: 2} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newEnv(t)
-			defer w.close()
+			env := newEnv(t)
+			defer env.close()
 			time.Sleep(4 * time.Second)
-			id := w.submit("batch", "1000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 10, EstimateMS: 1000})
+			id := env.submit("batch", "1000 cpu=1000", stepBody{Count: 1, CPU: 1000, MemoryMB: 10, EstimateMS: 1000})
 			time.Sleep(300 * time.Millisecond)
-			_, worker := w.starts(id)
-			w.setWorkerPartitioned(worker, true)
+			_, worker := env.starts(id)
+			env.setWorkerPartitioned(worker, true)
 			time.Sleep(partitionedFor)
-			w.setWorkerPartitioned(worker, false)
+			env.setWorkerPartitioned(worker, false)
 			time.Sleep(10 * time.Second)
-			if n, _ := w.starts(id); n != wantStarts {
+			if n, _ := env.starts(id); n != wantStarts {
 				t.Errorf("partitioned for %s: %d starts, want %d (worker %s)", partitionedFor, n, wantStarts, worker)
 			}
-			if state := w.state("batch", id); state != "succeeded" {
+			if state := env.state("batch", id); state != "succeeded" {
 				t.Errorf("partitioned for %s: the job is %q", partitionedFor, state)
 			}
-			w.checkNoViolations()
+			env.checkNoViolations()
 		})
 	}
 }
 
 // setWorkerPartitioned partitions a worker from all nodes, or ends that.
-func (w *testEnv) setWorkerPartitioned(id string, partitioned bool) {
-	for i, k := range w.workers {
+func (env *testEnv) setWorkerPartitioned(id string, partitioned bool) {
+	for i, k := range env.workers {
 		if k.ID != id {
 			continue
 		}
-		for _, n := range w.nodeNames() {
-			w.net.SetPartitioned(n, fmt.Sprintf("w%d", i), partitioned)
+		for _, n := range env.nodeNames() {
+			env.net.SetPartitioned(n, fmt.Sprintf("w%d", i), partitioned)
 		}
 	}
 }
--- a/matrix/site/violations_test.go
+++ b/matrix/site/violations_test.go
@@ -5,14 +5,14 @@
 import "switchbank.example/switchbank/standin/site"
 
 // violations returns the guarantees that were broken, judging by what the workers observed.
-func (w *testEnv) violations() []string {
-	return w.site.Violations(site.Expectations{Refused: w.refused, CancelledAt: w.cancelled, DrainedAt: w.site.DrainedAt(), OrdersDelayed: w.mayBeDelayed})
+func (env *testEnv) violations() []string {
+	return env.site.Violations(site.Expectations{Refused: env.refused, CancelledAt: env.cancelled, DrainedAt: env.site.DrainedAt(), OrdersDelayed: env.mayBeDelayed})
 }
 
 // checkNoViolations checks that no guarantee was broken.
-func (w *testEnv) checkNoViolations() {
-	w.t.Helper()
-	for _, violation := range w.violations() {
-		w.t.Error(violation)
+func (env *testEnv) checkNoViolations() {
+	env.t.Helper()
+	for _, violation := range env.violations() {
+		env.t.Error(violation)
 	}
 }
--- a/matrix/site/widegang_test.go
+++ b/matrix/site/widegang_test.go
@@ -28,39 +28,39 @@
 		endsWithin = 20 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedEnv(t)
-		defer w.close()
-		w.site.SetRejectOneIn(rejectOneIn)
+		env := newShardedEnv(t)
+		defer env.close()
+		env.site.SetRejectOneIn(rejectOneIn)
 		time.Sleep(4 * time.Second)
 		found := 0
 		for i := 0xe000; found < jobs && i < 0xe000+maxIDs; i++ {
 			id := fmt.Sprintf("%016x", i)
-			first, second := w.allowedWorkers(id+".0.1", 0), w.allowedWorkers(id+".0.1", workersPerShard)
+			first, second := env.allowedWorkers(id+".0.1", 0), env.allowedWorkers(id+".0.1", workersPerShard)
 			if min(first, second) >= gangSize || max(first, second) < gangSize {
 				continue
 			}
 			found++
-			w.submitTo("n1", "urgent", id, "400 cpu=4000",
+			env.submitTo("n1", "urgent", id, "400 cpu=4000",
 				stepBody{Count: 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400},
 				stepBody{Count: gangSize, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true, DependsOn: []int{0}})
 			time.Sleep(endsWithin)
-			if got := w.state("urgent", id); got != "succeeded" {
+			if got := env.state("urgent", id); got != "succeeded" {
 				t.Errorf("a job whose gang may run on %d and %d workers of the shards is %q after %s", first, second, got, endsWithin)
 			}
 		}
 		if found < jobs {
 			t.Errorf("found only %d jobs that one shard alone can run", found)
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
 
 // allowedWorkers returns how many workers of one shard the advice service allows for a step. The
 // first workersPerShard workers belong to one shard, the others to the other.
-func (w *testEnv) allowedWorkers(step string, firstWorker int) int {
+func (env *testEnv) allowedWorkers(step string, firstWorker int) int {
 	n := 0
-	for _, k := range w.workers[firstWorker : firstWorker+workersPerShard] {
-		if w.site.AdviceAllows(step, k.ID) {
+	for _, k := range env.workers[firstWorker : firstWorker+workersPerShard] {
+		if env.site.AdviceAllows(step, k.ID) {
 			n++
 		}
 	}
@@ -77,17 +77,17 @@
 func TestGangWiderThanAnyShard(t *testing.T) {
 	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedEnv(t)
-		defer w.close()
+		env := newShardedEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
 		const id = "000000000000f000"
-		w.submitTo("n1", "batch", id, "400 cpu=4000",
+		env.submitTo("n1", "batch", id, "400 cpu=4000",
 			stepBody{Count: workersPerShard + 1, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
 		time.Sleep(endsWithin)
-		if got := w.state("batch", id); got != "succeeded" {
+		if got := env.state("batch", id); got != "succeeded" {
 			t.Errorf("a gang of %d workers in a service of %d is %q after %s", workersPerShard+1, shardedWorkers, got, endsWithin)
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
 
@@ -104,19 +104,19 @@
 func TestGangThatFitsAnEmptyShardOnly(t *testing.T) {
 	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newShardedEnv(t)
-		defer w.close()
+		env := newShardedEnv(t)
+		defer env.close()
 		time.Sleep(4 * time.Second)
-		w.submitTo("n1", "batch", "000000000000f001", "400 lasting cpu=500",
+		env.submitTo("n1", "batch", "000000000000f001", "400 lasting cpu=500",
 			stepBody{Count: 2, CPU: 500, MemoryMB: 100, EstimateMS: 400, LongRunning: true})
 		time.Sleep(2 * time.Second)
 		const id = "000000000000f002"
-		w.submitTo("n1", "batch", id, "400 cpu=4000",
+		env.submitTo("n1", "batch", id, "400 cpu=4000",
 			stepBody{Count: workersPerShard, CPU: workerCores, MemoryMB: 100, EstimateMS: 400, Gang: true})
 		time.Sleep(endsWithin)
-		if got := w.state("batch", id); got != "succeeded" {
+		if got := env.state("batch", id); got != "succeeded" {
 			t.Errorf("a gang of %d workers is %q after %s in a service in which %d are idle", workersPerShard, got, endsWithin, shardedWorkers-2)
 		}
-		w.checkNoViolations()
+		env.checkNoViolations()
 	})
 }
--- a/matrix/site/workerrestart_test.go
+++ b/matrix/site/workerrestart_test.go
@@ -17,37 +17,37 @@
 
 // newWorkerRestartEnv returns an environment with two shards whose workers report their start time.
 func newWorkerRestartEnv(t *testing.T) *testEnv {
-	w := newEnvWith(t, 0, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
+	env := newEnvWith(t, 0, workersPerShard, func(env *testEnv) { env.site.Configure(1, routes()...) })
 	for i := range shardedWorkers {
-		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
+		env.workers = append(env.workers, env.site.AddWorker(site.WorkerConfig{
 			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: true,
 		}))
 	}
-	return w
+	return env
 }
 
 // crashAndRestart crashes the i-th worker and restarts it after a pause, under its old ID if it
 // reports its start time. Its host's clock is shifted by clockShift meanwhile.
-func (w *testEnv) crashAndRestart(i int, pause, clockShift time.Duration) {
-	old := w.worker(i)
+func (env *testEnv) crashAndRestart(i int, pause, clockShift time.Duration) {
+	old := env.worker(i)
 	if old.Crashed() {
 		return
 	}
 	old.Crash()
 	time.Sleep(pause)
-	next := w.startReplacement(old, clockShift)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.workers[i] = next
+	next := env.startReplacement(old, clockShift)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.workers[i] = next
 }
 
 // startReplacement starts a worker on the machine of a crashed one: under the old ID if the worker
 // reports its start time, and under a new one otherwise.
-func (w *testEnv) startReplacement(old *site.Worker, clockShift time.Duration) *site.Worker {
+func (env *testEnv) startReplacement(old *site.Worker, clockShift time.Duration) *site.Worker {
 	if old.ReportsStartTime() {
-		return w.site.RestartSameID(old, clockShift)
+		return env.site.RestartSameID(old, clockShift)
 	}
-	return w.site.Restart(old)
+	return env.site.Restart(old)
 }
 
 // restartRounds is how often workers restart in a run, and jobsPerRound how many jobs are submitted
@@ -72,22 +72,22 @@
 		t.Run(pause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const settleTime = 12 * time.Second
-				w := newWorkerRestartEnv(t)
-				defer w.close()
-				w.site.SetRejectOneIn(1 << 30)
+				env := newWorkerRestartEnv(t)
+				defer env.close()
+				env.site.SetRejectOneIn(1 << 30)
 				time.Sleep(4 * time.Second)
 				for round := range restartRounds {
 					for range jobsPerRound {
-						w.submit("batch", "900 cpu=500", stepBody{Count: 3, CPU: 500, MemoryMB: 10, EstimateMS: 900})
+						env.submit("batch", "900 cpu=500", stepBody{Count: 3, CPU: 500, MemoryMB: 10, EstimateMS: 900})
 					}
 					time.Sleep(time.Duration(200+100*round) * time.Millisecond)
 					for i := range 6 {
-						go w.crashAndRestart(i, pause, time.Duration(round%3-1)*3*time.Second)
+						go env.crashAndRestart(i, pause, time.Duration(round%3-1)*3*time.Second)
 					}
 					time.Sleep(settleTime)
-					w.checkJobsSucceeded()
+					env.checkJobsSucceeded()
 				}
-				w.checkNoViolations()
+				env.checkNoViolations()
 			})
 		})
 	}
@@ -118,38 +118,38 @@
 }
 
 // restartRandomWorkers restarts random workers one after the other, mostly within milliseconds.
-func (w *testEnv) restartRandomWorkers(rng *rand.Rand) {
+func (env *testEnv) restartRandomWorkers(rng *rand.Rand) {
 	for range 1 + rng.IntN(4) {
 		i := rng.IntN(shardedWorkers)
 		pause := time.Duration(rng.IntN(30)) * time.Millisecond
 		if rng.IntN(4) == 0 {
 			pause = time.Duration(rng.IntN(3000)) * time.Millisecond
 		}
-		w.crashAndRestart(i, pause, time.Duration(rng.IntN(7)-3)*time.Second)
+		env.crashAndRestart(i, pause, time.Duration(rng.IntN(7)-3)*time.Second)
 		time.Sleep(time.Duration(rng.IntN(50)) * time.Millisecond)
 	}
 }
 
 // delayRandomOrders makes a random worker execute its next orders late, possibly after it has
 // crashed.
-func (w *testEnv) delayRandomOrders(rng *rand.Rand) {
-	w.worker(rng.IntN(shardedWorkers)).SetFaults(site.WorkerFaults{
+func (env *testEnv) delayRandomOrders(rng *rand.Rand) {
+	env.worker(rng.IntN(shardedWorkers)).SetFaults(site.WorkerFaults{
 		Late: 1 + rng.IntN(3), LateBy: time.Duration(500+rng.IntN(11_500)) * time.Millisecond,
 	})
 }
 
 // stallRandomWorker holds what the nodes send to a random worker back in the network for a while.
-func (w *testEnv) stallRandomWorker(rng *rand.Rand) {
+func (env *testEnv) stallRandomWorker(rng *rand.Rand) {
 	host := fmt.Sprintf("w%d", rng.IntN(shardedWorkers))
-	names, from := w.nodeNames(), time.Now()
+	names, from := env.nodeNames(), time.Now()
 	for _, n := range names {
-		w.net.Stall(n, host)
+		env.net.Stall(n, host)
 	}
 	time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 	for _, n := range names {
-		w.net.Release(n, host)
+		env.net.Release(n, host)
 	}
-	w.stalls = append(w.stalls, stall{initialWorkerID(host), from, time.Now()})
+	env.stalls = append(env.stalls, stall{initialWorkerID(host), from, time.Now()})
 }
 
 // stall is a period in which orders to a worker were held back in the network.
@@ -169,9 +169,9 @@
 }
 
 // mayBeDelayed reports whether an order that reached a worker at a time may have been held back.
-func (w *testEnv) mayBeDelayed(worker string, at time.Time) bool {
+func (env *testEnv) mayBeDelayed(worker string, at time.Time) bool {
 	const arrivesWithin = time.Second
-	return slices.ContainsFunc(w.stalls, func(s stall) bool {
+	return slices.ContainsFunc(env.stalls, func(s stall) bool {
 		return s.worker == worker && !at.Before(s.from) && at.Before(s.until.Add(arrivesWithin))
 	})
 }
@@ -184,50 +184,50 @@
 		longRunningTasks = shardedWorkers - maxGangSize
 	)
 	rng := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // The same seed must give the same run.
-	w := newEnvWith(t, 0, workersPerShard, func(w *testEnv) { w.site.Configure(1, routes()...) })
-	defer w.close()
+	env := newEnvWith(t, 0, workersPerShard, func(env *testEnv) { env.site.Configure(1, routes()...) })
+	defer env.close()
 	reporting := rng.IntN(4)
 	for i := range shardedWorkers {
-		w.workers = append(w.workers, w.site.AddWorker(site.WorkerConfig{
+		env.workers = append(env.workers, env.site.AddWorker(site.WorkerConfig{
 			Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: workerCores, MemoryMB: 32000, ReportStartTime: reporting > 0 || i%2 == 0,
 		}))
 	}
-	w.site.SetRejectOneIn(1 << 30)
+	env.site.SetRejectOneIn(1 << 30)
 	time.Sleep(4 * time.Second)
-	longRunning := w.submit("batch", "500 lasting cpu=500", stepBody{Count: longRunningTasks, CPU: 500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
+	longRunning := env.submit("batch", "500 lasting cpu=500", stepBody{Count: longRunningTasks, CPU: 500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
 	for range steps {
-		w.randomStep(rng)
+		env.randomStep(rng)
 		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
 	for i := range shardedWorkers {
-		w.worker(i).SetFaults(site.WorkerFaults{})
+		env.worker(i).SetFaults(site.WorkerFaults{})
 	}
-	w.waitAndRecordSuccesses(settleTime)
-	if n := w.runningTasks(longRunning); n != longRunningTasks {
+	env.waitAndRecordSuccesses(settleTime)
+	if n := env.runningTasks(longRunning); n != longRunningTasks {
 		t.Errorf("%d of %d long-running tasks run", n, longRunningTasks)
 	}
-	w.checkNoViolations()
-	w.accepted = w.accepted[1:] // The long-running job doesn't end.
-	w.checkJobsSucceeded()
+	env.checkNoViolations()
+	env.accepted = env.accepted[1:] // The long-running job doesn't end.
+	env.checkJobsSucceeded()
 }
 
 // maxGangSize is the size of the largest gang in a run: more than a shard has workers.
 const maxGangSize = 6
 
 // randomStep submits a random job or injects a random fault.
-func (w *testEnv) randomStep(rng *rand.Rand) {
+func (env *testEnv) randomStep(rng *rand.Rand) {
 	switch rng.IntN(8) {
 	case 0, 1:
-		w.restartRandomWorkers(rng)
+		env.restartRandomWorkers(rng)
 	case 2:
 		spec, step := gangJob(300+rng.IntN(2000), 2+rng.IntN(maxGangSize-1))
-		w.submit("batch", spec, step)
+		env.submit("batch", spec, step)
 	case 3:
-		w.delayRandomOrders(rng)
+		env.delayRandomOrders(rng)
 	case 4:
-		w.stallRandomWorker(rng)
+		env.stallRandomWorker(rng)
 	case 5:
-		if startNode := w.killOwner(); rng.IntN(2) == 0 {
+		if startNode := env.killOwner(); rng.IntN(2) == 0 {
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 			startNode()
 		} else {
@@ -235,14 +235,14 @@
 		}
 	default:
 		queue := []string{"batch", "urgent"}[rng.IntN(2)]
-		w.submit(queue, "700 cpu=800", stepBody{Count: 1 + rng.IntN(8), CPU: 800, MemoryMB: 10, EstimateMS: 700})
+		env.submit(queue, "700 cpu=800", stepBody{Count: 1 + rng.IntN(8), CPU: 800, MemoryMB: 10, EstimateMS: 700})
 	}
 }
 
 // runningTasks returns how many tasks of a job run, as the workers observed.
-func (w *testEnv) runningTasks(job string) int {
+func (env *testEnv) runningTasks(job string) int {
 	running := make(map[string]bool)
-	for _, e := range w.site.Events() {
+	for _, e := range env.site.Events() {
 		if len(e.Task) < len(job) || e.Task[:len(job)] != job {
 			continue
 		}
@@ -264,22 +264,22 @@
 	)
 	for _, pause := range []time.Duration{0, 10 * time.Millisecond, 500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorkerRestartEnv(t)
-			defer w.close()
+			env := newWorkerRestartEnv(t)
+			defer env.close()
 			time.Sleep(4 * time.Second)
-			id := w.submit("batch", "500 lasting cpu=1500", stepBody{Count: longRunningTasks, CPU: 1500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
+			id := env.submit("batch", "500 lasting cpu=1500", stepBody{Count: longRunningTasks, CPU: 1500, MemoryMB: 10, EstimateMS: 500, LongRunning: true})
 			time.Sleep(3 * time.Second)
-			if n := w.runningTasks(id); n != longRunningTasks {
+			if n := env.runningTasks(id); n != longRunningTasks {
 				t.Fatalf("%d of %d tasks run", n, longRunningTasks)
 			}
 			for i := range shardedWorkers / 2 {
-				go w.crashAndRestart(2*i, pause, time.Duration(i-2)*time.Second)
+				go env.crashAndRestart(2*i, pause, time.Duration(i-2)*time.Second)
 			}
 			time.Sleep(restartedWithin)
-			if n := w.runningTasks(id); n != longRunningTasks {
+			if n := env.runningTasks(id); n != longRunningTasks {
 				t.Errorf("%s after workers started again after %s, %d of %d tasks run", restartedWithin, pause, n, longRunningTasks)
 			}
-			w.checkNoViolations()
+			env.checkNoViolations()
 		})
 	}
 }
