--- a/internal/cell/advisers.go
+++ b/internal/cell/advisers.go
@@ -14,10 +14,10 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// Advisers returns the nodes from which a shard's owner should call the advice
-// service, in a steady order. The service takes the calls of a node one at a time,
-// so that each shard has nodes of its own, by their place among the shards, while
-// there are enough of them.
+// Advisers returns the nodes from which a shard's owner calls the advice service, in a stable
+// order. The service handles one call of a node at a time. So the nodes are divided among the
+// shards, by their position in the order of names, as long as there is at least one for each
+// shard.
 func (p *peers) Advisers(shard cluster.ShardID) []owner.Adviser {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,16 +33,16 @@
 		return list
 	}
 	slices.SortFunc(list, func(a, b owner.Adviser) int { return strings.Compare(a.Name(), b.Name()) })
-	var own []owner.Adviser
+	var assigned []owner.Adviser
 	for i, a := range list {
 		if i%layout.Shards == shard.Index {
-			own = append(own, a)
+			assigned = append(assigned, a)
 		}
 	}
-	return own
+	return assigned
 }
 
-// localAdviser is this node as an adviser.
+// localAdviser calls the advice service from this node.
 type localAdviser struct{ n *Node }
 
 // Name returns the node's name.
@@ -53,7 +53,7 @@
 	return a.n.Advice.Advise(ctx, step, workers)
 }
 
-// peerAdviser is another node as an adviser.
+// peerAdviser calls the advice service from another node.
 type peerAdviser struct {
 	p *peers
 	m member
--- a/internal/cell/callers.go
+++ b/internal/cell/callers.go
@@ -14,30 +14,33 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// Answer is how a caller's call ended.
+// Answer is the result of a caller's call.
 type Answer string
 
-// The answers to callers.
+// The answers to callers' calls.
 const (
-	// AnswerOK: the call took effect and is durable.
+	// AnswerOK means that the call took effect and is durable.
 	AnswerOK Answer = "ok"
-	// AnswerRefused: the call had no effect and never will.
+	// AnswerRefused means that the call had no effect and never will.
 	AnswerRefused Answer = "refused"
-	// AnswerUnknown: the call may take effect; the caller should repeat it.
+	// AnswerUnknown means that the call may take effect; the caller should repeat it.
 	AnswerUnknown Answer = "unknown"
-	// AnswerImpossible: the call can't take effect however often it comes.
+	// AnswerImpossible means that the call can't take effect however often it is repeated.
 	AnswerImpossible Answer = "impossible"
-	// AnswerNoJob: there is no such job.
+	// AnswerNoJob means that the job doesn't exist.
 	AnswerNoJob Answer = "no_job"
 )
 
-// notifyAttempts is how often a shard's owner is told something. A call that fails because its
-// connection passes nothing any more has the silent ones beside it closed, so that the next
-// call gets a new one. Otherwise the owner would have to wait for its feed of the store,
-// which may have gone silent in the same moment and is given up after 2 s.
+// notifyAttempts bounds the attempts to notify a shard's owner. When a call fails on a
+// connection that no longer passes data, the transport closes the other silent connections to
+// that address, so that the second attempt gets a new one. Without it the owner would learn
+// of the change only from its feed of the store, which may have stalled at the same moment
+// and is given up after 2 s.
 const notifyAttempts = 2
 
-// notifyOwner tells a shard's owner something that it also finds in the store.
+// notifyOwner tells a shard's owner of a change: by local if it runs on this node, otherwise
+// by remote in the background. A lost notification does no harm, since the owner also finds
+// the change in the store.
 func (n *Node) notifyOwner(shard cluster.ShardID, local func(*owner.Owner), remote func(context.Context, member) error) {
 	if o := n.local(shard); o != nil {
 		local(o)
@@ -53,13 +56,13 @@
 			if err == nil || n.ctx.Err() != nil {
 				return
 			}
-			n.Log.Info("owner not told", events.PeerLost, zap.Stringer("shard", shard), zap.String("owner", rec.Owner.Name), zap.Error(err))
+			n.Log.Info("owner not notified", events.PeerLost, zap.Stringer("shard", shard), zap.String("owner", rec.Owner.Name), zap.Error(err))
 		}
 	}()
 }
 
-// callOwner makes a call of a shard's owner, here or on another node, whose answer there has
-// to begin to arrive within a time.
+// callOwner calls a shard's owner: by local if it runs on this node, over the network
+// otherwise. A remote answer has to begin to arrive within begin.
 func callOwner[Req, Resp any](ctx context.Context, n *Node, shard cluster.ShardID, path string, req Req, begin time.Duration,
 	local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
@@ -102,7 +105,8 @@
 	return state, AnswerOK
 }
 
-// stateFromOwner asks a shard's owner for a job's state; false: it doesn't tell.
+// stateFromOwner asks a shard's owner for a job's state. It returns false if the owner
+// doesn't know the job or doesn't answer.
 func (n *Node) stateFromOwner(ctx context.Context, shard cluster.ShardID, id string) (cluster.State, bool) {
 	if o := n.local(shard); o != nil {
 		return o.JobState(id)
@@ -140,7 +144,7 @@
 	return AnswerUnknown
 }
 
-// cancelOnce looks a job's shards up and writes its cancel there once.
+// cancelOnce looks up a job's shards and makes one attempt to write its cancellation to them.
 func (n *Node) cancelOnce(ctx context.Context, service, id string) ([]cluster.ShardID, bool) {
 	c, cancel := attemptContext(ctx)
 	defer cancel()
--- a/internal/cell/claim.go
+++ b/internal/cell/claim.go
@@ -11,16 +11,19 @@
 )
 
 const (
-	// rankDelay keeps the successors from trying all at once.
+	// rankDelay is the time between the claims of two successive candidates, so that they
+	// don't all write at once.
 	rankDelay = 120 * time.Millisecond
-	// rankPollInterval is how often a waiting successor looks at its rank: it rises when one
-	// before it takes another shard, or when the node itself loses one that it wanted.
+	// rankPollInterval is how often a waiting candidate computes its rank again. The rank
+	// changes when a candidate ahead of it takes another shard, or when this node loses one
+	// that it wanted.
 	rankPollInterval = rankDelay / 4
 )
 
-// claim waits until it is this node's turn to take a shard; false: another node was
-// first. A shard that this node is taking already counts, so that of several shards
-// without an owner it takes one and leaves the others to nodes with more room.
+// claim waits until it is this node's turn to take a shard, and returns false if another node
+// took it first. Claimed shards count in the rank like owned ones. So when several shards
+// lose their owner at once, this node takes one and leaves the others to nodes with more free
+// CPU.
 func (n *Node) claim(ctx context.Context, shard cluster.ShardID, version int64) bool {
 	for waited := time.Duration(0); ; waited += rankPollInterval {
 		if _, current := n.owner(shard); current != version || n.Draining() || ctx.Err() != nil {
@@ -33,7 +36,7 @@
 	}
 }
 
-// tryClaim claims a shard if this node has waited for as long as its rank demands.
+// tryClaim claims a shard if this node has waited as long as its rank requires.
 func (n *Node) tryClaim(shard cluster.ShardID, waited time.Duration) bool {
 	n.claiming.Lock()
 	defer n.claiming.Unlock()
@@ -46,7 +49,7 @@
 	return true
 }
 
-// releaseClaim ends a claim, whether the shard was taken or not.
+// releaseClaim ends a claim, whether or not the shard was taken.
 func (n *Node) releaseClaim(shard cluster.ShardID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -14,18 +14,19 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// The ways in which a configuration is read from the store.
+// The ways in which a configuration row arrives from the store.
 const (
 	fromFeed = "feed"
 	fromList = "list"
 )
 
-// configFetchTimeout is by when a peer's configuration has to begin to arrive. To encode and pack
-// one of 4,246 routes takes 5.5 ms of a whole core, 30 ms on a fifth of one; a node that has
-// used up its quota stands still for 0.1 s, and several may fetch from it at once.
+// configFetchTimeout bounds the wait for the first bytes of a peer's configuration. Encoding
+// and compressing one of 4,246 routes takes 5.5 ms of a whole core, 30 ms on a fifth of one.
+// A node that has used up its CPU quota pauses for 0.1 s, and several nodes may fetch from it
+// at once.
 const configFetchTimeout = 600 * time.Millisecond
 
-// followConfig keeps the operators' configuration current.
+// followConfig follows the operators' configuration in the store.
 func (n *Node) followConfig(ctx context.Context) {
 	f := tables.Follower{
 		Service: directStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: configFeedWait,
@@ -39,7 +40,8 @@
 	f.Run(ctx)
 }
 
-// applyConfigRow takes in a row of the operators' table, from a list if listed is set.
+// applyConfigRow applies a row of the operators' table; listed tells that it came from a list
+// and not from the feed.
 func (n *Node) applyConfigRow(r tables.Row, listed bool) {
 	if r.Deleted {
 		return
@@ -60,8 +62,8 @@
 	n.applyConfig(cfg, "store "+from, len(r.Value))
 }
 
-// applyConfig puts a configuration in force, unless a newer one is. Its size is 0 if
-// that isn't known.
+// applyConfig puts a configuration in force, unless a newer one already is. The size is only
+// logged; 0 means that it isn't known.
 func (n *Node) applyConfig(cfg cluster.Config, source string, size int) {
 	var behind time.Duration
 	for {
@@ -80,9 +82,9 @@
 	n.watchServices(cfg.Services)
 }
 
-// fetchNewerConfig fetches a newer configuration that a peer has, unless one is being
-// fetched: side by side, and begun anew with each sign of life, fetches filled the
-// link of a slow node and none ended.
+// fetchNewerConfig fetches the configuration of a peer that reports a newer version, unless a
+// fetch is already running. With one fetch for each ping, parallel fetches filled the link of
+// a slow node and none of them completed.
 func (n *Node) fetchNewerConfig(reply pingReply) {
 	inForce := versionOf(n.Config())
 	if reply.ConfigVersion <= inForce {
@@ -98,7 +100,7 @@
 	}()
 }
 
-// fetchConfig fetches a peer's configuration.
+// fetchConfig fetches and applies a peer's configuration.
 func (n *Node) fetchConfig(ctx context.Context, from member) {
 	cfg, err := call[empty, cluster.Config](ctx, n.peers, from.Address, pathConfig, empty{}, configFetchTimeout)
 	if err != nil {
@@ -117,7 +119,7 @@
 	n.metrics.GetOrCreateCounter(`switchbank_config_fetches_total{outcome="` + outcome + `"}`).Inc()
 }
 
-// versionOf returns the version of a configuration; 0: there is none.
+// versionOf returns the version of a configuration, or 0 if there is none.
 func versionOf(cfg *cluster.Config) int64 {
 	if cfg == nil {
 		return 0
@@ -125,16 +127,16 @@
 	return cfg.Version
 }
 
-// configLag notes since when a node has known that its configuration is not the newest.
+// configLag records since when this node has known that its configuration is outdated.
 type configLag struct {
 	mu sync.Mutex
-	// newest is the newest version that a peer has told of, and since is when the node
-	// heard of a version above the one in force, which it had not been behind before.
+	// newest is the newest version that a peer reported. since is when this node first heard
+	// of a version above the one in force.
 	newest int64
 	since  time.Time
 }
 
-// note notes that a peer has a version above the one in force here.
+// note records that a peer has a version above the one in force here.
 func (b *configLag) note(version, inForce int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,8 +146,7 @@
 	b.newest = max(b.newest, version)
 }
 
-// duration returns for how long the node has known of a version above the one in force,
-// or 0.
+// duration returns how long this node has known of a version above the one in force, or 0.
 func (b *configLag) duration(inForce int64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/cell/ownstore.go
+++ b/internal/cell/directstore.go
@@ -8,10 +8,10 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// directStore is the store as it answers this node itself, without a way through peers. A
-// configuration that came through one would pass that peer's link twice, while peers
-// have it already and hand it on packed. A failure says nothing of the store as others
-// reach it, and is not noted.
+// directStore calls the store without relaying through peers. The configuration is read this
+// way: relayed, it would pass the peer's link twice, while peers already have it and send it
+// compressed. A failure tells nothing about the store as other nodes reach it, and isn't
+// recorded.
 type directStore struct {
 	*watchedStore
 	relay *tables.Relay
@@ -22,7 +22,7 @@
 	return readAndRecord(ctx, s.watchedStore, "list", req, s.relay.ListDirect)
 }
 
-// Feed waits for changes.
+// Feed waits for changes of rows.
 func (s directStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	return readAndRecord(ctx, s.watchedStore, "feed", req, s.relay.FeedDirect)
 }
--- a/internal/cell/gang.go
+++ b/internal/cell/gang.go
@@ -13,10 +13,10 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// otherShards is how a shard's owner reaches those of the others.
+// otherShards gives the owner of a shard access to the owners of the other shards.
 type otherShards struct{ *Node }
 
-// JobState returns a job's state wherever it is.
+// JobState returns a job's state, whichever shard the job is on.
 func (n otherShards) JobState(ctx context.Context, service, id string) (state cluster.State, found bool, err error) {
 	state, answer := n.Node.State(ctx, service, id)
 	switch answer {
@@ -28,20 +28,20 @@
 	return "", false, &Error{"state of " + id, KindNoAnswer, errors.New(string(answer))}
 }
 
-// QueryGang asks a shard's owner how a gang stands there.
+// QueryGang asks a shard's owner for its part of a gang's state.
 func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error) {
 	msg := gangMessage[scheduler.GangQuery]{shard, ask}
 	return callOwner(ctx, n.Node, shard, pathGang, msg, peerTimeout, n.handleGangState)
 }
 
-// StartGang lets a shard's owner start members of a gang.
+// StartGang orders a shard's owner to start members of a gang.
 func (n otherShards) StartGang(ctx context.Context, shard cluster.ShardID, start scheduler.GangStart) error {
 	msg := gangMessage[scheduler.GangStart]{shard, start}
 	_, err := callOwner(ctx, n.Node, shard, pathMembers, msg, peerTimeout, n.handleGangStart)
 	return err
 }
 
-// handleGangState answers for a gang that a shard owned here runs with others.
+// handleGangState returns the state of a gang of which a shard owned here runs a part.
 func (n *Node) handleGangState(_ context.Context, msg gangMessage[scheduler.GangQuery]) (scheduler.GangState, error) {
 	o := n.local(msg.Shard)
 	if o == nil {
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -16,7 +16,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// handOverAll asks other nodes to take what this one owns, before it stops.
+// handOverAll hands all shards of this node over to other nodes before it stops, and releases
+// those that no node takes.
 func (n *Node) handOverAll() {
 	n.mu.Lock()
 	owned := maps.Clone(n.owned)
@@ -34,10 +35,12 @@
 	wg.Wait()
 }
 
-// handOverTotalTimeout bounds all hand-overs together: the grace period is for callers too.
+// handOverTotalTimeout bounds all hand-overs together: callers' requests have to be completed
+// within the same grace period.
 const handOverTotalTimeout = 2 * time.Second
 
-// handOverShard hands a shard to the first successor that takes it, and reports whether one did.
+// handOverShard hands a shard over to the first candidate that takes it, and reports whether
+// one did.
 func (n *Node) handOverShard(ctx context.Context, shard cluster.ShardID, o *owner.Owner) bool {
 	for _, c := range successors(shard, n.peers.candidates()) {
 		if n.handOverTo(ctx, shard, o, c.member) {
@@ -47,12 +50,13 @@
 	return false
 }
 
-// handOverTo asks one node to take a shard, which goes on here until it has.
+// handOverTo asks one node to take a shard. The shard keeps running here until that node has
+// taken it.
 func (n *Node) handOverTo(ctx context.Context, shard cluster.ShardID, o *owner.Owner, to member) bool {
 	_, version := n.owner(shard)
 	_, err := call[takeRequest, empty](ctx, n.peers, to.Address, pathTake, takeRequest{shard, version}, handOverCallTimeout)
 	if err != nil {
-		n.Log.Warn("shard not handed over", events.PeerLost, zap.Stringer("shard", shard), zap.String("to", to.Name), zap.Error(err))
+		n.Log.Warn("failed to hand over shard", events.PeerLost, zap.Stringer("shard", shard), zap.String("to", to.Name), zap.Error(err))
 		return false
 	}
 	n.Log.Info("shard handed over", events.OwnershipEnded, zap.Stringer("shard", shard), zap.String("to", to.Name))
@@ -61,16 +65,16 @@
 }
 
 const (
-	// minRoomRatio is how many times the processor that this node has for a shard
-	// another one must have for the shard to move there: a move costs a takeover.
+	// minRoomRatio is the minimum ratio of another node's CPU for the shard to this node's
+	// before the shard moves there: each move costs a takeover.
 	minRoomRatio = 2.0
-	// minOwnershipAge is how long a shard stays where it was taken: nodes that start
+	// minOwnershipAge is how long a shard stays with the node that took it: nodes that start
 	// together don't know each other at first.
 	minOwnershipAge = 3 * time.Second
 )
 
-// moveToLargerNode hands a shard over to a node with much more processor for it, such
-// as a large one that comes back after its loss.
+// moveToLargerNode hands a shard over to a node with much more CPU for it, such as a large
+// node that is back after a failure.
 func (n *Node) moveToLargerNode(ctx context.Context, shard cluster.ShardID, o *owner.Owner) {
 	if o.Age() < minOwnershipAge || n.store.failing() || !n.relay.DirectAvailable() {
 		return
@@ -83,15 +87,15 @@
 	}
 }
 
-// handOverCallTimeout bounds one hand-over, which is one write of the store: it takes 0.8 to
-// 1.0 s while the store is 60 to 100 times slower.
+// handOverCallTimeout bounds one hand-over, which is one write to the store: 0.8 to 1.0 s
+// while the store is 60 to 100 times slower.
 const handOverCallTimeout = 1500 * time.Millisecond
 
-// releaseShard leaves the shard without an owner, for whichever node comes first.
+// releaseShard leaves a shard without an owner, so that any node may take it.
 func (n *Node) releaseShard(ctx context.Context, shard cluster.ShardID) {
 	rec, version := n.owner(shard)
-	seen, row := replaceOwnerRow(shard, version, ownerRecord{Epoch: rec.Epoch})
-	if _, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}}); err != nil {
-		n.Log.Warn("shard not released", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
+	condition, row := replaceOwnerRow(shard, version, ownerRecord{Epoch: rec.Epoch})
+	if _, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{condition}, Put: []tables.Row{row}}); err != nil {
+		n.Log.Warn("failed to release shard", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
 	}
 }
--- a/internal/cell/helpers.go
+++ b/internal/cell/helpers.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// cpuMilliPerWorker is what the calls of one busy worker use of a node's processor, in
-	// thousandths of a core: four calls a second of 0.4 ms each.
+	// cpuMilliPerWorker is the CPU that the calls of one busy worker take, in thousandths of
+	// a core: four calls of 0.4 ms a second.
 	cpuMilliPerWorker = 1.6
-	// maxCallCPUShare is how much of its processor a node spends at most on the calls of
-	// workers: what is left has to bear bursts and takeovers.
+	// maxCallCPUShare is the maximum share of its CPU that a node spends on calls of workers;
+	// the rest is needed for bursts and takeovers.
 	maxCallCPUShare = 0.25
-	// minHelpers and helpersMost bound how many nodes help an owner: the loss of one
-	// should concern few workers, and each costs the owner a connection and its messages.
+	// minHelpers and maxHelpers bound the helpers of an owner: losing one should affect few
+	// workers, and each costs the owner a connection and its messages.
 	minHelpers = 4
 	maxHelpers = 32
 )
 
-// newFanout returns the calls of workers for the owner of a shard.
+// newFanout returns the client through which the owner of a shard calls its workers.
 func (n *Node) newFanout(shard cluster.ShardID, layout *cluster.Layout) *fanout.Client {
 	return fanout.New(fanout.Config{
 		Direct: n.Workers, Client: n.peers.client, Log: n.Log, Workers: layout.Workers / max(1, layout.Shards),
@@ -29,16 +29,17 @@
 	})
 }
 
-// probeFailedHelper finds out whether a node that has failed as a helper is down, so that it
-// isn't chosen again.
+// probeFailedHelper pings a node that failed as a helper, so that it isn't chosen again if it
+// is down.
 func (n *Node) probeFailedHelper(name string) {
 	if q, ok := n.peers.get(name); ok {
 		n.peers.pingShared(n.ctx, q.member)
 	}
 }
 
-// helpers returns the nodes that should make the calls of so many workers for the owner
-// of a shard: the next successors that own nothing, unless this one can make them itself.
+// helpers returns the nodes that call workers for the owner of a shard: the first candidates
+// that own no shard. needed is false if this node has enough CPU to call all the workers
+// itself.
 func (n *Node) helpers(shard cluster.ShardID, workers int) (list []fanout.Helper, needed bool) {
 	need := float64(workers) * cpuMilliPerWorker / maxCallCPUShare
 	if need <= float64(n.me.CPUMilli) {
--- a/internal/cell/layout.go
+++ b/internal/cell/layout.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// layoutPollInterval is the pause between two looks for a service's layout, which is in
-	// the store after the first start. layoutMake is how long a node waits for it
-	// before it makes one, and machinesWithin is by when a listing of the machines has
-	// to begin to arrive.
+	// layoutPollInterval is the time between two checks for a service's layout, which the
+	// store holds after the first start. layoutCreateDelay is how long a node waits for it
+	// before it creates one. machinesTimeout bounds the wait for the first bytes of a list of
+	// machines.
 	layoutPollInterval = 10 * time.Millisecond
 	layoutCreateDelay  = 100 * time.Millisecond
 	machinesTimeout    = 700 * time.Millisecond
 )
 
-// layout returns how a service is divided into shards; ok is false while that is not known.
+// layout returns the layout of a service; ok is false while it isn't known.
 func (n *Node) layout(service string) (l cluster.Layout, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,7 +35,8 @@
 	return l, ok
 }
 
-// applyLayout notes a service's layout. The first one stays: it is written once.
+// applyLayout records the layout of a service. The first one stays: it is written once and
+// never changes.
 func (n *Node) applyLayout(r tables.Row) {
 	var l cluster.Layout
 	if err := json.Unmarshal(r.Value, &l); err != nil || l.Shards < 1 || l.Shards > cluster.MaxShards || layoutPrefix+l.Service != r.Key {
@@ -53,14 +54,14 @@
 	}
 }
 
-// awaitLayout returns a service's layout, which this node makes if there is none.
+// awaitLayout waits for a service's layout, and creates it if the store has none.
 func (n *Node) awaitLayout(ctx context.Context, service string) (cluster.Layout, bool) {
 	since := time.Now()
 	for ctx.Err() == nil {
 		if l, ok := n.layout(service); ok {
 			return l, true
 		}
-		// The first successor of shard 0 makes it; the others only if that takes long.
+		// The first candidate for shard 0 creates it, the others only after a delay.
 		rank := n.rank(cluster.ShardID{Service: service})
 		if time.Since(since) >= layoutCreateDelay+time.Duration(rank)*rankDelay {
 			n.createLayout(ctx, service)
@@ -71,14 +72,14 @@
 	return cluster.Layout{}, false
 }
 
-// createLayout plans a service's layout from the machines that the platform lists,
-// and writes it unless another node has.
+// createLayout plans a service's layout from the machines that the platform lists, and writes
+// it unless another node already has.
 func (n *Node) createLayout(ctx context.Context, service string) {
 	c, cancel := conns.WithStallTimeout(ctx, machinesTimeout)
 	machines, err := n.Machines.Machines(c)
 	cancel()
 	if err != nil && n.cfg.Machines != "" {
-		n.Log.Info("machines not listed", events.MachinesNotRead, zap.Error(err))
+		n.Log.Info("failed to list machines", events.MachinesNotRead, zap.Error(err))
 		return
 	}
 	// Without a list of machines the service has one shard.
@@ -92,7 +93,7 @@
 	res, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{absent}, Put: []tables.Row{row}})
 	switch {
 	case err != nil:
-		n.Log.Warn("layout not written", events.StoreFailed, zap.String("service", service), zap.Error(err))
+		n.Log.Warn("failed to write layout", events.StoreFailed, zap.String("service", service), zap.Error(err))
 	case res.Committed:
 		n.applyLayout(row)
 	default:
@@ -103,17 +104,17 @@
 }
 
 const (
-	// ownerCPUShare is the part of its processor that the owner of a shard should use at its
-	// usual load: bursts take twice that.
+	// ownerCPUShare is the share of its CPU that a shard's owner uses at its usual load;
+	// bursts take twice as much.
 	ownerCPUShare = 0.6
-	// minShardWorkers is the least size of a shard: few workers hold no wide job.
+	// minShardWorkers is the minimum size of a shard: a small one can't run a wide job.
 	minShardWorkers = 24
 )
 
-// workersPerShard returns how many workers a shard should have at most: as many as half of
-// the hosts can own, since the large ones may be lost. Shards are as large as that allows,
-// as a gang has to find its room in one: gangs of 69 and 91 tasks, of which advice allows
-// a third of the workers, never started in shards of 110.
+// workersPerShard returns the maximum number of workers of a shard: as many as half of the
+// hosts can own, since the large ones may be lost. Shards are as large as that allows,
+// because a gang usually runs in one: with shards of 110 workers, of which advice allows a
+// third, gangs of 69 and 91 tasks never started.
 func (n *Node) workersPerShard() int {
 	if n.cfg.WorkersPerShard > 0 {
 		return n.cfg.WorkersPerShard
--- a/internal/cell/link.go
+++ b/internal/cell/link.go
@@ -8,25 +8,27 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// What the owner of a shard reads and writes is given out so that a slow link stays open
-// to signs of life.
+// Reads and writes of a shard's owner are split up, so that pings still get through a slow
+// link.
 
 const (
-	// maxWriteTime is how long a write may keep a host's link busy: what waits behind it, such
-	// as signs of life, is that late. 49 jobs after an outage of the store were 150 kB,
-	// 0.6 s of a link of 2 Mbit/s, and the owner was taken for silent.
+	// maxWriteTime bounds how long one write occupies a host's link, since it delays the
+	// pings behind it. After an outage of the store, a write of 49 jobs with 150 kB took 0.6
+	// s on a link of 2 Mbit/s, and peers took the owner for lost.
 	maxWriteTime = 60 * time.Millisecond
-	// minWriteBytes and writeLimit bound a write: some jobs at least, and the store's limit.
+	// minWriteBytes and maxWriteBytes bound the size of a write: it holds at least a few
+	// jobs, and the store has a limit.
 	minWriteBytes = 8 << 10
 	maxWriteBytes = 512 << 10
 )
 
-// minParallelReads is how many parts of the jobs a takeover reads at once at least, on a link that
-// two of them, of some 10 kB, keep busy for 80 ms; signs of life have to pass between them.
+// minParallelReads is the minimum number of parts of the jobs that a takeover reads at once.
+// Two parts of about 10 kB occupy a link of 2 Mbit/s for 80 ms; pings have to get through
+// between them.
 const minParallelReads = 2
 
-// parallelReads returns how many parts of the jobs a takeover should read at once: one for
-// each Mbit/s of the link.
+// parallelReads returns how many parts of the jobs a takeover reads at once: one for each
+// Mbit/s of the link.
 func (n *Node) parallelReads() int {
 	if n.cfg.Limits.LinkMbps <= 0 {
 		return tables.MaxParallelLists
@@ -34,7 +36,7 @@
 	return min(max(int(n.cfg.Limits.LinkMbps), minParallelReads), tables.MaxParallelLists)
 }
 
-// writeBytes returns how many bytes of progress one write should have at most.
+// writeBytes returns the maximum size of one write of progress.
 func (n *Node) writeBytes() int {
 	if n.cfg.Limits.LinkMbps <= 0 {
 		return maxWriteBytes
--- a/internal/cell/loads.go
+++ b/internal/cell/loads.go
@@ -9,38 +9,38 @@
 	"switchbank.example/switchbank/internal/cluster"
 )
 
-// A shard's load is asked of its owner when a job is to be placed, by the node that
-// places it. When each node asked each owner twice a second in advance, that alone was
-// 2,450 calls a second on 147 nodes with ten shards, for 56 jobs a second.
+// The node that places a job asks the shards' owners for their load at that moment. When each
+// node polled each owner twice a second instead, 147 nodes with ten shards made 2,450 calls a
+// second for 56 jobs a second.
 
 const (
-	// loadFreshFor is for how long a load that an owner has told is good enough to choose
-	// by: a shard fills up or empties within some seconds.
+	// loadFreshFor is how long a reported load is used without asking again: a shard fills up
+	// or empties within seconds.
 	loadFreshFor = 300 * time.Millisecond
-	// loadTimeout is how long a job waits for the answer. An owner that doesn't tell in
-	// that time is busy: one that has used up its processor quota stands still for 0.1 s.
+	// loadTimeout bounds the wait for the loads. An owner that doesn't answer in time is
+	// busy: one that has used up its CPU quota pauses for 0.1 s.
 	loadTimeout = 60 * time.Millisecond
-	// loadMaxAge is how old a load may be that is used all the same.
+	// loadMaxAge is the maximum age of a load that is still used if there is no newer one.
 	loadMaxAge = 2 * time.Second
-	// assumedLoad is assumed of a shard whose owner doesn't answer: it may be
-	// without one for a second.
+	// assumedLoad stands for the load of a shard whose owner doesn't answer: the shard may
+	// have no owner for a second.
 	assumedLoad = 2.0
 )
 
-// refreshLoads asks the owners of shards for their loads, but for those that are known well
-// enough, and waits a little for the answers.
+// refreshLoads asks the owners of the shards for their loads, except those with a fresh one,
+// and waits for the answers up to loadTimeout.
 func (n *Node) refreshLoads(ctx context.Context, shards []cluster.ShardID) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	var asked []<-chan struct{}
+	var pings []<-chan struct{}
 	for _, shard := range shards {
 		rec, _ := n.owner(shard)
 		if n.local(shard) != nil || rec.Owner.Name == "" || n.peers.answeredWithin(rec.Owner, loadFreshFor) {
 			continue
 		}
-		asked = append(asked, n.peers.pingShared(n.ctx, rec.Owner))
+		pings = append(pings, n.peers.pingShared(n.ctx, rec.Owner))
 	}
-	for _, answered := range asked {
+	for _, answered := range pings {
 		select {
 		case <-answered:
 		case <-ctx.Done():
@@ -49,14 +49,14 @@
 	}
 }
 
-// answeredWithin reports whether that life of a node answered so lately.
+// answeredWithin reports whether that incarnation of a node answered within the last d.
 func (p *peers) answeredWithin(m member, d time.Duration) bool {
 	q, ok := p.get(m.Name)
 	return ok && q.Incarnation == m.Incarnation && time.Since(q.lastOK) < d
 }
 
-// pingShared pings a node, once for all that pingShared at the same time; the channel is closed when
-// it has answered or failed to.
+// pingShared pings a node, with one ping for all concurrent callers. The channel is closed
+// when the ping has been answered or has failed.
 func (p *peers) pingShared(ctx context.Context, m member) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +66,7 @@
 	answered := make(chan struct{})
 	p.pinging[m.Incarnation] = answered
 	go func() {
-		// ping notes and logs what comes of it.
+		// ping records the outcome and logs failures.
 		_, _ = p.ping(ctx, m)
 		p.mu.Lock()
 		delete(p.pinging, m.Incarnation)
@@ -76,7 +76,7 @@
 	return answered
 }
 
-// shardLoad returns a shard's load as its owner told it last.
+// shardLoad returns the load that a shard's owner reported last.
 func (n *Node) shardLoad(shard cluster.ShardID) float64 {
 	if o := n.local(shard); o != nil {
 		return o.Load()
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -10,7 +10,7 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// The paths of the peers' listener.
+// The paths of the API for peers.
 const (
 	pathPing     = "/peer/v2/ping"
 	pathJob      = "/peer/v2/job"
@@ -29,57 +29,58 @@
 	pathFeed     = "/peer/v2/store/feed"
 )
 
-// member is a node as the others know it.
+// member describes a node to its peers.
 type member struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Incarnation is drawn at each start, so that a restart shows.
+	// Incarnation is a random value chosen at each start, so that peers notice a restart.
 	Incarnation string `json:"life"`
 	DataCentre  string `json:"data_centre"`
-	// CPUMilli is the processor that the node may use, in thousandths of a core.
+	// CPUMilli is the CPU that the node may use, in thousandths of a core.
 	CPUMilli int64 `json:"cpu_milli,omitempty"`
 }
 
 // ownerRecord is the value of the row that names a shard's owner.
 type ownerRecord struct {
-	// Owner is empty after a release.
+	// Owner is empty after the shard was released.
 	Owner member `json:"owner"`
-	// Epoch rises with each ownership and is the fence of the owner's orders.
+	// Epoch increases with each change of ownership and is the fence of the owner's orders.
 	Epoch int64 `json:"epoch"`
 }
 
-// pingRequest introduces the sender.
+// pingRequest asks a node whether it is alive, and introduces the sender.
 type pingRequest struct {
 	From member `json:"from"`
-	// Knows is how many other nodes the sender knows.
+	// Knows is the number of other nodes that the sender knows.
 	Knows int `json:"knows"`
-	// About asks whether another node answers the receiver; "" asks nothing.
+	// About names a node that the receiver should ping; empty for none.
 	About string `json:"about,omitempty"`
 }
 
-// pingReply tells what its sender is and knows.
+// pingReply describes the node that answers, and what it knows of others.
 type pingReply struct {
 	Me            member `json:"me"`
 	Draining      bool   `json:"draining,omitempty"`
 	StoreGood     bool   `json:"store_good,omitempty"`
 	ConfigVersion int64  `json:"config_version"`
-	// Owns are the shards that it owns.
+	// Owns lists the shards that the node owns.
 	Owns    []ownedShard `json:"owns,omitempty"`
 	Members []member     `json:"members,omitempty"`
-	// AboutAnswers tells whether the node asked about answers the sender.
+	// AboutAnswers tells whether the node named in About answered the ping.
 	AboutAnswers bool `json:"about_answers,omitempty"`
 }
 
-// ownedShard is a shard that the sender owns.
+// ownedShard is a shard that the node owns, with its load.
 type ownedShard struct {
 	Shard cluster.ShardID `json:"shard"`
-	// Load is how much of its room is in use or waited for; 1 is a full shard.
+	// Load is the share of the shard's capacity that is in use or requested; 1 is a full
+	// shard.
 	Load float64 `json:"load"`
 }
 
 type jobMessage struct {
 	Job cluster.Job `json:"job"`
-	// Version is that of the transaction which accepted the job.
+	// Version is the version of the transaction that accepted the job.
 	Version int64 `json:"version"`
 }
 
@@ -113,7 +114,7 @@
 	ValidMS int64            `json:"valid_ms"`
 }
 
-// gangMessage asks, or orders, a shard's owner about a gang that several shards run together.
+// gangMessage carries a query or an order about a gang that several shards run together.
 type gangMessage[T any] struct {
 	Shard cluster.ShardID `json:"shard"`
 	What  T               `json:"what"`
@@ -121,20 +122,20 @@
 
 type takeRequest struct {
 	Shard cluster.ShardID `json:"shard"`
-	// Version is that of the owner's row which is to be replaced.
+	// Version is the version of the owner's row that is to be replaced.
 	Version int64 `json:"version"`
 }
 
-// empty is the empty reply.
+// empty is a request or reply without fields.
 type empty struct{}
 
-// storeReply carries a reply of the table service, or why there is none.
+// storeReply carries a reply of the table service, or the reason why there is none.
 type storeReply[T any] struct {
 	Result T           `json:"result"`
 	Failed tables.Kind `json:"failed,omitempty"`
 	Detail string      `json:"detail,omitempty"`
 }
 
-// peerTimeout bounds a call whose answer needs no further call: nodes are a
-// millisecond apart, and a busy one answers within a few tens of them.
+// peerTimeout bounds a call that the peer answers without calls of its own: nodes are a
+// millisecond apart, and a busy one answers within a few tens of milliseconds.
 const peerTimeout = 300 * time.Millisecond
--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -39,7 +39,8 @@
 	gauge("switchbank_workers_set_aside", func(c scheduler.Counts) int64 { return c.SetAside })
 }
 
-// counts sums the decisions of the shards that run here; they begin at 0 with each ownership.
+// counts returns the sums of the counters of the shards that run here. They start at 0 with
+// each ownership.
 func (n *Node) counts() scheduler.Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,13 +71,13 @@
 	return float64(sum)
 }
 
-// Observe counts a caller's call and the time it took.
+// Observe records a caller's call and its duration.
 func (n *Node) Observe(kind string, answer Answer, took time.Duration) {
 	n.metrics.GetOrCreateCounter(`switchbank_calls_total{kind="` + kind + `",answer="` + string(answer) + `"}`).Inc()
 	n.metrics.GetOrCreateHistogram(`switchbank_call_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// countRejectedEntry counts an entry of the directory that names no worker.
+// countRejectedEntry counts an entry of the directory that describes no valid worker.
 func (n *Node) countRejectedEntry(reason cluster.Kind) {
 	n.metrics.GetOrCreateCounter(`switchbank_worker_entries_refused_total{reason="` + string(reason) + `"}`).Inc()
 }
@@ -87,7 +88,7 @@
 	n.metrics.WritePrometheus(w)
 }
 
-// updateUsageMetrics takes the node's calls of others into its metrics.
+// updateUsageMetrics copies the counters of this node's outgoing calls into its metrics.
 func (n *Node) updateUsageMetrics() {
 	set := func(name, path string, v int64) {
 		n.metrics.GetOrCreateCounter(name + `{path="` + path + `"}`).Set(uint64(v))
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cell runs a node on a platform: it takes callers' jobs and persists
-// them, follows the operators' configuration, keeps in touch with the other
-// nodes, and owns shards when their owner is lost.
+// Package cell runs a node on a platform: it accepts and persists callers' jobs,
+// follows the operators' configuration, monitors the other nodes, and takes over
+// shards whose owner is lost.
 //
-// All nodes do the same. What they must agree on, which is who owns a shard, is
-// decided by conditional writes to the platform's store; everything else that
-// they tell each other may be lost or stale without harm.
+// All nodes run the same code. They have to agree only on the owner of each shard,
+// which is decided by conditional writes to the platform's store. All other messages
+// between them may be lost or stale without harm.
 //
 // # Usage
 //
 //	n := cell.New(cfg, cell.Deps{Store: …, Workers: …, Log: log})
-//	err := n.Run(ctx) // until ctx ends, then stops as planned
+//	err := n.Run(ctx) // until ctx ends, then shuts down in order
 package cell
 
 import (
@@ -49,7 +49,7 @@
 	KindListen Kind = "listen"
 	KindServe  Kind = "serve"
 	KindDecode Kind = "decode"
-	// KindNoAnswer: neither the owner nor the store tells.
+	// KindNoAnswer means that neither the owner nor the store answered.
 	KindNoAnswer Kind = "no_answer"
 )
 
@@ -69,7 +69,7 @@
 // Configs decodes the operators' configuration from its row.
 type Configs interface {
 	Table() string
-	// Decode returns ok false for a row that is not the configuration.
+	// Decode returns false for a row that doesn't hold the configuration.
 	Decode(row tables.Row) (cfg cluster.Config, ok bool, err error)
 }
 
@@ -78,7 +78,7 @@
 	Advise(ctx context.Context, step scheduler.StepID, workers []string) (tickets []cluster.Ticket, validFor time.Duration, err error)
 }
 
-// Deps are what a node needs of the platform.
+// Deps are the services of the platform that a node uses.
 type Deps struct {
 	Store     tables.Service
 	Workers   owner.Workers
@@ -86,17 +86,17 @@
 	Machines  owner.Machines
 	Directory owner.Directory
 	Configs   Configs
-	// Callers returns the handler of callers' requests over the node.
+	// Callers returns the handler of callers' requests to the node.
 	Callers func(n *Node) http.Handler
-	// Dial and Listen make the connections between nodes; nil: over TCP.
+	// Dial and Listen make the connections between nodes; TCP if nil.
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Listen func(ctx context.Context, network, address string) (net.Listener, error)
-	// Usage counts the node's calls; nil: only those of other nodes are counted.
+	// Usage counts the node's outgoing calls; if nil, only those to other nodes are counted.
 	Usage *conns.Usage
 	Log   *zap.Logger
 }
 
-// Node is one node.
+// Node is one node of a cell.
 type Node struct {
 	cfg settings.Settings
 	Deps
@@ -114,21 +114,21 @@
 	draining atomic.Bool
 
 	mu sync.Mutex
-	// owned are the shards that run on this node.
+	// owned holds the shards that this node owns.
 	owned map[cluster.ShardID]*owner.Owner
-	// claimed are the shards that it is this node's turn to take, and taking those for
-	// which a write that takes them is on its way.
+	// claimed holds the shards that it is this node's turn to take. taking holds those for
+	// which the write that takes them is in flight.
 	claimed, taking map[cluster.ShardID]bool
-	// owners are the owners by their rows.
+	// owners holds the last known owner of each shard, by its row in the store.
 	owners map[cluster.ShardID]ownerState
-	// layouts say how the services are divided into shards.
+	// layouts holds the layout of each service.
 	layouts map[string]cluster.Layout
-	// pins are the shards of the parts of jobs that this node has accepted or looked up.
+	// pins caches the shards of jobs that this node has accepted or looked up.
 	pins *lru.Cache[string, []cluster.ShardID]
-	// watched are the services whose ownership is watched.
+	// watched holds the services whose shards have a watcher.
 	watched map[string]bool
 
-	// claiming lets the watchers of the shards claim one at a time.
+	// claiming serializes the claims of the shards' watchers.
 	claiming sync.Mutex
 
 	group *errgroup.Group
@@ -176,14 +176,14 @@
 func (n *Node) Draining() bool { return n.draining.Load() }
 
 const (
-	// drainAcceptTime is how long a stopping node still takes new connections: the
-	// balancer asks each second and needs two misses.
+	// drainAcceptTime is how long a stopping node still accepts connections: the balancer
+	// checks each second and needs two failed checks.
 	drainAcceptTime = 2500 * time.Millisecond
-	// shutdownMargin is left of the grace period for the process to end.
+	// shutdownMargin is the part of the grace period that is left for the process to exit.
 	shutdownMargin = 700 * time.Millisecond
 )
 
-// Run serves until ctx ends; then it hands over what it owns and stops.
+// Run serves until ctx ends, then hands over the node's shards and stops.
 func (n *Node) Run(ctx context.Context) error {
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -211,7 +211,7 @@
 	return err
 }
 
-// shutdown hands over the shards and ends the servers once their requests are answered.
+// shutdown hands over the shards, and stops the servers when their requests are answered.
 func (n *Node) shutdown(servers []*http.Server) {
 	started := time.Now()
 	n.draining.Store(true)
@@ -224,12 +224,12 @@
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(c); err != nil {
-			n.Log.Warn("server not stopped in time", events.NodeFailed, zap.Error(err))
+			n.Log.Warn("server did not stop in time", events.NodeFailed, zap.Error(err))
 		}
 	}
 }
 
-// listen starts the servers.
+// listen opens all listeners and starts their servers.
 func (n *Node) listen(ctx context.Context) ([]*http.Server, error) {
 	mux := n.peerMux()
 	parts := []struct {
@@ -249,7 +249,7 @@
 		l, err := n.Listen(ctx, "tcp", p.address)
 		if err != nil {
 			for _, s := range servers {
-				// What else goes wrong at the end matters less than why it ends.
+				// The error of the failed listener is the one to report.
 				_ = s.Close()
 			}
 			return nil, &Error{"run", KindListen, err}
@@ -267,7 +267,8 @@
 }
 
 const (
-	// readHeaderTimeout and idleTimeout bound what slow and idle clients hold.
+	// readHeaderTimeout and idleTimeout bound how long slow and idle clients keep a
+	// connection open.
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 )
@@ -281,8 +282,8 @@
 	})
 }
 
-// readyHandler answers the balancer: ready once there is a configuration, until
-// the node drains, and not while it reaches neither the store nor a peer.
+// readyHandler answers the balancer's checks: ready if the node has a configuration, isn't
+// draining, and reaches the store or a peer.
 func (n *Node) readyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if n.Draining() || n.Config() == nil || n.isolated() {
@@ -293,8 +294,8 @@
 	})
 }
 
-// isolatedAfter is how long neither the store nor a peer may answer before the
-// node asks for no more callers.
+// isolatedAfter is how long neither the store nor a peer may answer before the node reports
+// that it isn't ready for callers.
 const isolatedAfter = 2 * time.Second
 
 func (n *Node) isolated() bool {
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -17,29 +17,30 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// The rows of TableCell, which all nodes follow: one a node, one a shard, one a service.
+// The rows of TableCell, which all nodes follow: one for each node, one for each shard and
+// one for each service.
 const (
 	TableCell   = "cell"
 	nodePrefix  = "node/"
 	ownerPrefix = "owner/"
-	// layoutPrefix begins the rows of the services' layouts.
+	// layoutPrefix is the prefix of the rows with the services' layouts.
 	layoutPrefix = "layout/"
 )
 
 const (
-	// workerLease is how long workers run on without their owner: long enough for an
-	// owner that is lost while the store is away for some seconds, short enough
-	// that the work of an unreachable worker is not kept waiting for ever.
+	// workerLease is how long workers keep running without an owner. It has to cover the loss
+	// of an owner while the store is down for some seconds, and bounds how long the tasks of
+	// an unreachable worker wait to start elsewhere.
 	workerLease = 8 * time.Second
-	// replacedOwnerTime is how long a replaced owner may go on before a worker's answer
+	// replacedOwnerTime is how long a replaced owner may go on until the answer of a worker
 	// stops it.
 	replacedOwnerTime = 1500 * time.Millisecond
-	// fenceReadTimeout bounds the reading of a fence beside the write of its owner's row: a read
-	// takes 0.4 s while the store is 60 to 100 times slower.
+	// fenceReadTimeout bounds the read of a fence in parallel with the write of the owner's
+	// row: a read takes 0.4 s while the store is 60 to 100 times slower.
 	fenceReadTimeout = 600 * time.Millisecond
 )
 
-// followCell keeps the members' and the owners' rows current.
+// followCell follows the rows of nodes, owners and layouts in the store.
 func (n *Node) followCell(ctx context.Context) {
 	f := tables.Follower{
 		Service: n.store, Table: TableCell, Parts: []string{""}, FeedWait: cellFeedWait, Pause: cellFeedPause,
@@ -49,7 +50,7 @@
 	f.Run(ctx)
 }
 
-// applyCellRows takes in rows of TableCell.
+// applyCellRows applies rows of TableCell.
 func (n *Node) applyCellRows(rows []tables.Row) {
 	for _, r := range rows {
 		switch {
@@ -69,7 +70,7 @@
 	}
 }
 
-// applyOwnerRow takes in a row that names an owner.
+// applyOwnerRow applies a row that names an owner.
 func (n *Node) applyOwnerRow(r tables.Row) {
 	shard, err := cluster.ParseShardID(strings.TrimPrefix(r.Key, ownerPrefix))
 	if err != nil {
@@ -79,29 +80,29 @@
 	n.updateOwner(shard, r)
 }
 
-// ownerState is an owner's record and the version of its row.
+// ownerState is the last known owner of a shard and the version of its row.
 type ownerState struct {
 	ownerRecord
 	version int64
-	// changes are when this node saw the last few owners come.
+	// changes holds the times at which this node saw the last few owners appear.
 	changes []time.Time
 }
 
 // maxOwnerChanges is how many changes of a shard's owner are remembered.
 const maxOwnerChanges = 4
 
-// setOwner notes an owner's row. The caller holds mu.
+// setOwner records an owner's row. The caller holds mu.
 func (n *Node) setOwner(shard cluster.ShardID, rec ownerRecord, version int64) {
-	seen := ownerState{rec, version, n.owners[shard].changes}
-	seen.changes = append(seen.changes, time.Now())
-	seen.changes = seen.changes[max(0, len(seen.changes)-maxOwnerChanges):]
-	n.owners[shard] = seen
+	state := ownerState{rec, version, n.owners[shard].changes}
+	state.changes = append(state.changes, time.Now())
+	state.changes = state.changes[max(0, len(state.changes)-maxOwnerChanges):]
+	n.owners[shard] = state
 }
 
-// updateOwner notes an owner's row, and ends an ownership of this node that it replaces.
+// updateOwner records an owner's row, and ends this node's ownership if the row replaces it.
 func (n *Node) updateOwner(shard cluster.ShardID, r tables.Row) {
 	if r.Version == 0 {
-		// There is no row: nobody has owned the shard yet.
+		// Without a row the shard has never had an owner.
 		return
 	}
 	rec, err := decodeOwner(r)
@@ -111,9 +112,10 @@
 		return
 	}
 	if err != nil {
-		// It names no owner, so that the shard can be taken: the fence holds the epoch.
+		// Treat the shard as without an owner, so that it can be taken: the fence row holds
+		// the epoch.
 		rec = ownerRecord{Epoch: n.owners[shard].Epoch}
-		n.Log.Warn("owner row names none", events.RowSkipped, zap.String("key", r.Key), zap.Int64("epoch", rec.Epoch), zap.Error(err))
+		n.Log.Warn("owner row is unreadable", events.RowSkipped, zap.String("key", r.Key), zap.Int64("epoch", rec.Epoch), zap.Error(err))
 	}
 	n.setOwner(shard, rec, r.Version)
 	o := n.owned[shard]
@@ -125,7 +127,7 @@
 	}
 }
 
-// decodeOwner reads the row that names a shard's owner.
+// decodeOwner decodes the row that names a shard's owner.
 func decodeOwner(r tables.Row) (ownerRecord, error) {
 	var rec ownerRecord
 	if err := json.Unmarshal(r.Value, &rec); err != nil {
@@ -134,7 +136,7 @@
 	return rec, nil
 }
 
-// ownerRow returns the row that names a shard's owner, without a version.
+// ownerRow encodes the row that names a shard's owner, without a version.
 func ownerRow(shard cluster.ShardID, rec ownerRecord) tables.Row {
 	value, err := json.Marshal(rec)
 	if err != nil {
@@ -143,8 +145,8 @@
 	return tables.Row{Table: TableCell, Key: ownerPrefix + shard.String(), Value: value}
 }
 
-// replaceOwnerRow returns the row that names a shard's next owner, and as the condition of
-// its write the row of that version.
+// replaceOwnerRow returns the row that names a shard's next owner, and the condition of its
+// write: that the row still has the given version.
 func replaceOwnerRow(shard cluster.ShardID, version int64, next ownerRecord) (condition, row tables.Row) {
 	row = ownerRow(shard, next)
 	condition = row
@@ -152,7 +154,7 @@
 	return condition, row
 }
 
-// owner returns the owner of a shard, and the version of its row.
+// owner returns the last known owner of a shard and the version of its row.
 func (n *Node) owner(shard cluster.ShardID) (ownerRecord, int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +162,8 @@
 	return o.ownerRecord, o.version
 }
 
-// shardCounts returns how many shards each life of a node owns, by the owners' rows.
+// shardCounts returns how many shards each incarnation of a node owns, according to the
+// owners' rows.
 func (n *Node) shardCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,14 +174,14 @@
 	return owned
 }
 
-// local returns the ownership that runs on this node, or nil.
+// local returns the owner of the shard if it runs on this node, or nil.
 func (n *Node) local(shard cluster.ShardID) *owner.Owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owned[shard]
 }
 
-// announce writes this node's row, so that the others find it.
+// announce writes this node's row, by which the other nodes find it.
 func (n *Node) announce(ctx context.Context) {
 	value, err := json.Marshal(n.me)
 	if err != nil {
@@ -190,13 +193,13 @@
 		if err == nil {
 			return
 		}
-		n.Log.Info("node not announced", events.StoreFailed, zap.Error(err))
+		n.Log.Info("failed to announce node", events.StoreFailed, zap.Error(err))
 		tables.Sleep(ctx, tables.RetryPause(err, watchInterval))
 	}
 }
 
-// takeShard makes this node the owner, by a write on condition of the owner's row of that
-// version, to which the cause applies. It reports whether the node has the shard.
+// takeShard makes this node the owner of a shard, on condition that the owner's row still has
+// the version for which cause was found. It reports whether this node owns the shard.
 func (n *Node) takeShard(ctx context.Context, shard cluster.ShardID, version int64, cause string) bool {
 	rec, current := n.owner(shard)
 	if current != version || !n.beginTake(shard) {
@@ -204,11 +207,11 @@
 	}
 	defer n.endTake(shard)
 	next := ownerRecord{Owner: n.me, Epoch: rec.Epoch + 1}
-	seen, row := replaceOwnerRow(shard, version, next)
+	condition, row := replaceOwnerRow(shard, version, next)
 	fence := n.readFence(ctx, shard)
-	res, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{seen}, Put: []tables.Row{row}})
+	res, err := n.store.Commit(ctx, tables.Txn{If: []tables.Row{condition}, Put: []tables.Row{row}})
 	if err != nil {
-		n.Log.Warn("shard not taken", events.StoreFailed, zap.Stringer("shard", shard), zap.String("cause", cause), zap.Error(err))
+		n.Log.Warn("failed to take shard", events.StoreFailed, zap.Stringer("shard", shard), zap.String("cause", cause), zap.Error(err))
 		n.reconcileOwner(ctx, shard)
 		tables.Sleep(ctx, tables.RetryPause(err, 0))
 		return n.local(shard) != nil
@@ -226,8 +229,8 @@
 	return true
 }
 
-// readFence reads a shard's fence while its owner's row is being written, so that a
-// takeover doesn't wait for the one after the other. The row has no key if it could not be read.
+// readFence reads a shard's fence while its owner's row is being written, so that a takeover
+// doesn't wait for both in turn. The row it sends has no key if the read failed.
 func (n *Node) readFence(ctx context.Context, shard cluster.ShardID) <-chan tables.Row {
 	read := make(chan tables.Row, 1)
 	go func() {
@@ -235,8 +238,8 @@
 		defer cancel()
 		row, err := owner.ReadFence(c, n.store, shard)
 		if err != nil {
-			// The owner reads it again.
-			n.Log.Info("fence not read", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
+			// The owner retries the read.
+			n.Log.Info("failed to read fence", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
 			row = tables.Row{}
 		}
 		read <- row
@@ -244,9 +247,9 @@
 	return read
 }
 
-// beginTake notes that this node is taking a shard; false: it is already, or has it.
-// The feed may show its row as the owner before the write is answered, and its watch
-// may have waited for its turn until the write was settled.
+// beginTake marks a shard as being taken, and returns false if it already is, or runs here.
+// That happens because the feed may show this node as the owner before the write is answered,
+// and a watcher may have waited for its turn until the write was complete.
 func (n *Node) beginTake(shard cluster.ShardID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -257,19 +260,20 @@
 	return true
 }
 
-// endTake notes that a write that takes a shard is settled.
+// endTake removes the mark of beginTake.
 func (n *Node) endTake(shard cluster.ShardID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.taking, shard)
 }
 
-// reconcileOwner settles a write whose reply was lost.
+// reconcileOwner reads the owner's row after a write whose outcome is unknown, and starts the
+// owner if the row names this node.
 func (n *Node) reconcileOwner(ctx context.Context, shard cluster.ShardID) {
 	r, ok, err := tables.Get(ctx, n.store, TableCell, "", ownerPrefix+shard.String())
 	if err != nil {
-		// The feed shows the row, or the next look after the owner takes the shard again.
-		n.Log.Info("owner row not read", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
+		// The feed will deliver the row, or the watcher takes the shard again.
+		n.Log.Info("failed to read owner row", events.StoreFailed, zap.Stringer("shard", shard), zap.Error(err))
 		return
 	}
 	if !ok {
@@ -283,7 +287,7 @@
 	n.updateOwner(shard, r)
 }
 
-// startOwner runs a shard that this node has taken, with its fence as it was read meanwhile.
+// startOwner runs a shard that this node has taken, with the fence that was read in parallel.
 func (n *Node) startOwner(shard cluster.ShardID, row tables.Row, rec ownerRecord, fence tables.Row) {
 	layout, _ := n.layout(shard.Service)
 	workers := n.newFanout(shard, &layout)
@@ -308,7 +312,7 @@
 	})
 }
 
-// registerOwner notes that a shard runs on this node; false: it does already.
+// registerOwner records that a shard runs on this node, and returns false if it already does.
 func (n *Node) registerOwner(shard cluster.ShardID, o *owner.Owner, rec ownerRecord, version int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -322,7 +326,8 @@
 	return true
 }
 
-// schedulerParams returns what the scheduler of a shard has to know of this node's bounds.
+// schedulerParams returns the parameters of a shard's scheduler that depend on this node's
+// bounds.
 func (n *Node) schedulerParams(epoch int64) scheduler.Params {
 	most := time.Duration(n.cfg.Bounds.LeaseMostMS) * time.Millisecond
 	return scheduler.Params{
--- a/internal/cell/peerapi.go
+++ b/internal/cell/peerapi.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxPeerBody bounds a message of a peer: the store's limit of 1 MB for one
-	// write, in base64 and with its keys.
+	// maxPeerBody bounds a request of a peer: the store's limit of 1 MB for one write, in
+	// base64 and with its keys.
 	maxPeerBody = 4 << 20
-	// maxMembersInReply bounds the members that a ping's reply names.
+	// maxMembersInReply bounds the nodes that the reply to a ping names.
 	maxMembersInReply = 10
 )
 
@@ -46,7 +46,7 @@
 	return mux
 }
 
-// storeReplyOf wraps the store's reply for a peer that the store turns away.
+// storeReplyOf wraps the store's reply for a peer that doesn't reach the store itself.
 func storeReplyOf[T any](res T, err error) storeReply[T] {
 	if err != nil {
 		return storeReply[T]{Failed: tables.KindOf(err), Detail: err.Error()}
@@ -78,7 +78,7 @@
 	return reply, nil
 }
 
-// errNotOwner tells a peer that the shard isn't owned here.
+// errNotOwner is the answer to a peer if the shard isn't owned here.
 func errNotOwner() *httpx.Error {
 	return httpx.NewProblem(http.StatusConflict, "not_owner", "the shard is not owned here")
 }
@@ -130,8 +130,8 @@
 	return adviseReply{Tickets: tickets, ValidMS: validFor.Milliseconds()}, nil
 }
 
-// handleTake takes over the shard of a node that stops. The write goes on if that node
-// gives up: it may take effect all the same, and has to be settled here.
+// handleTake takes over the shard of a node that stops. The write continues if that node
+// gives up waiting: it may take effect anyway, and its outcome has to be determined here.
 func (n *Node) handleTake(ctx context.Context, req takeRequest) (empty, error) {
 	if n.Draining() {
 		return empty{}, errNotOwner()
--- a/internal/cell/peerrelay.go
+++ b/internal/cell/peerrelay.go
@@ -12,7 +12,8 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// Relays returns the peers behind which the store is to be reached.
+// Relays returns the peers through which the store can be reached, those that report a
+// working store first.
 func (p *peers) Relays() []tables.Service {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +42,7 @@
 	return append(good, other...)
 }
 
-// peerRelay is the table service behind a peer.
+// peerRelay calls the table service through a peer.
 type peerRelay struct {
 	p       *peers
 	address string
@@ -57,13 +58,13 @@
 	return callRelay[tables.ListRequest, tables.ListResult](ctx, v, pathList, req)
 }
 
-// Feed waits through the peer.
+// Feed waits for changes through the peer.
 func (v peerRelay) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	return callRelay[tables.FeedRequest, tables.FeedResult](ctx, v, pathFeed, req)
 }
 
-// callRelay makes a call of the table service through the peer; one that never left
-// this node had no effect for sure.
+// callRelay makes a call to the table service through the peer. A call that never left this
+// node certainly had no effect.
 func callRelay[Req, Resp any](ctx context.Context, v peerRelay, path string, req Req) (Resp, error) {
 	reply, err := httpx.Call[Req, storeReply[Resp]](ctx, v.p.client, "http://"+v.address+path, req)
 	if err != nil {
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -18,49 +18,50 @@
 )
 
 const (
-	// peerUpFor is how long an answer counts as a sign of life, beside the time that
-	// the rounds of pings take to come around.
+	// peerUpFor is how long a peer counts as up after an answer, in addition to the time that
+	// a full round of pings takes.
 	peerUpFor       = 3 * time.Second
 	peerDialTimeout = 250 * time.Millisecond
-	// idleConnsPerPeer keeps enough connections for feeds and calls at once.
+	// idleConnsPerPeer allows for feeds and calls at the same time.
 	idleConnsPerPeer = 8
 )
 
-// peers are the other nodes, as far as they are known.
+// peers holds what this node knows of the other nodes.
 type peers struct {
 	n      *Node
 	client *http.Client
 
 	mu   sync.Mutex
 	list map[string]*peer
-	// sorted are the nodes of list in the order of their names.
+	// sorted holds the nodes of list in the order of their names.
 	sorted []*peer
-	// pingCursor turns the order in which peers are pinged, and asked about an owner.
+	// pingCursor is the position of the next peer to ping, or to ask about an owner.
 	pingCursor int
-	// pinging are the pings that are open for those who wait for a load, by life.
+	// pinging holds the running pings of pingShared, by incarnation.
 	pinging map[string]chan struct{}
-	// relayCursor turns the order in which relays are tried.
+	// relayCursor rotates the order in which relays are tried.
 	relayCursor int
 }
 
-// peer is another node and how it has answered.
+// peer is another node and the state of the calls to it.
 type peer struct {
 	member
-	// hash is that of its name.
+	// hash is the hash of its name.
 	hash   uint64
 	lastOK time.Time
-	// failingSince is the first failure since the last answer; zero: none.
+	// failingSince is the time of the first failure since the last answer; zero if there was
+	// none.
 	failingSince time.Time
-	// lastRetry is when it was last pinged out of turn since then, and retryIn after what
-	// time it is again.
+	// lastRetry is when it was last pinged out of turn while failing, and retryInterval is
+	// the time until the next such ping.
 	lastRetry     time.Time
 	retryInterval time.Duration
-	// reply is its last answer.
+	// reply is its last reply to a ping.
 	reply pingReply
 }
 
-// untried reports whether the node has neither answered nor failed to. The caller
-// holds the mu of the peers.
+// untried reports whether no call to the node has succeeded or failed yet. The caller holds
+// the mu of the peers.
 func (q *peer) untried() bool { return q.lastOK.IsZero() && q.failingSince.IsZero() }
 
 func newPeers(n *Node) *peers {
@@ -68,7 +69,7 @@
 	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), pinging: make(map[string]chan struct{})}
 }
 
-// addMember notes a node that another source has named.
+// addMember adds a node that another source has named, or updates it if it has restarted.
 func (p *peers) addMember(m member) {
 	if m.Name == "" || m.Name == p.n.me.Name || m.Address == "" {
 		return
@@ -88,7 +89,7 @@
 	}
 }
 
-// isUp reports whether a peer answered lately, and has not failed to since. The
+// isUp reports whether a peer answered recently and no call to it has failed since. The
 // caller holds mu.
 func (p *peers) isUp(q *peer, now time.Time) bool {
 	around := time.Duration(len(p.list)/peersPerRound) * pingInterval
@@ -115,7 +116,7 @@
 	return list
 }
 
-// recordContact notes a node that has called. One that has not been tried yet counts as up,
+// recordContact records a call from a node. One that hasn't been tried yet counts as up,
 // which saves half of the pings when all nodes start.
 func (p *peers) recordContact(m member) {
 	p.addMember(m)
@@ -133,13 +134,14 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, q := range p.sorted {
-		// After a start the others are known from the store before they are pinged, by
-		// earlier lives as a rule: what those owned doesn't count.
+		// After a start the other nodes are known from the store before they are pinged,
+		// usually by earlier incarnations: the shards of those don't count.
 		c := candidate{member: q.member, hash: q.hash}
 		if !q.lastOK.IsZero() {
 			c.owns = owned[q.Incarnation]
 		}
-		// A node must not take everything before one with more room can.
+		// Include untried nodes with more CPU, so that a node doesn't take all shards before
+		// they can.
 		roomier := q.untried() && c.cpuPerShard() > here.cpuPerShard()
 		if (roomier || p.isUp(q, now)) && !q.reply.Draining {
 			fn(c)
@@ -147,8 +149,8 @@
 	}
 }
 
-// bestCandidate returns the bestCandidate of the other nodes in the order of successors under a key, such
-// as a shard's name; ok is false if there is none.
+// bestCandidate returns the first of the other nodes in the order of candidates for a key,
+// such as a shard's name; ok is false if there is none.
 func (p *peers) bestCandidate(here candidate, key string) (best candidate, ok bool) {
 	hash := xxhash.Sum64String(key)
 	p.eachCandidate(here, func(c candidate) {
@@ -159,8 +161,8 @@
 	return best, ok
 }
 
-// witnesses returns a few peers that answered lately, other ones each time, to ask
-// about a node, and whether any other node is known at all.
+// witnesses returns a few peers that are up, other ones each time, to ask about a node.
+// others tells whether any other node is known at all.
 func (p *peers) witnesses(about string) (asked []member, others bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,8 +181,8 @@
 	return asked, others
 }
 
-// membersFor returns a few nodes that answer, for a node that knows fewer than this one. The
-// store names all to nodes that it serves.
+// membersFor returns a few nodes that are up, for a node that knows fewer nodes than this
+// one. Nodes that reach the store find all of them there.
 func (p *peers) membersFor(to pingRequest) []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +192,7 @@
 	var list []member
 	now := time.Now()
 	for i := range p.sorted {
-		// Each asker is told of other ones, and of all after some rounds.
+		// The offset gives each sender other nodes, and all of them after some rounds.
 		q := p.sorted[(to.Knows+i)%len(p.sorted)]
 		if p.isUp(q, now) && len(list) < maxMembersInReply {
 			list = append(list, q.member)
@@ -199,8 +201,8 @@
 	return list
 }
 
-// cpuCapacities returns what the other nodes that have told it may use of a processor, in
-// thousandths of a core.
+// cpuCapacities returns the CPU, in thousandths of a core, of the other nodes that have
+// reported it.
 func (p *peers) cpuCapacities() (list []int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,14 +214,15 @@
 	return list
 }
 
-// count returns how many other nodes are count.
+// count returns how many other nodes are known.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.sorted)
 }
 
-// load returns the load that a shard's owner told last; ok is false if it isn't known.
+// load returns the load that a shard's owner reported last; ok is false if it is unknown or
+// too old.
 func (p *peers) load(owner string, shard cluster.ShardID) (load float64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,7 +251,7 @@
 	return false
 }
 
-// get returns what is known of a node.
+// get returns a copy of what is known of a node.
 func (p *peers) get(name string) (peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -259,13 +262,13 @@
 	return *q, true
 }
 
-// isDown reports whether a node is known not to answer.
+// isDown reports whether the last call to a node failed.
 func (p *peers) isDown(name string) bool {
 	q, ok := p.get(name)
 	return ok && !q.failingSince.IsZero()
 }
 
-// call sends a message to a peer, whose answer has to begin to arrive within begin.
+// call sends a request to a peer, whose answer has to begin to arrive within begin.
 func call[Req, Resp any](ctx context.Context, p *peers, address, path string, req Req, begin time.Duration) (Resp, error) {
 	c, cancel := conns.WithStallTimeout(ctx, begin)
 	defer cancel()
--- a/internal/cell/ping.go
+++ b/internal/cell/ping.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// pingInterval is the pause between two rounds of pings, and pingAtOnce how many
-	// peers a round reaches, so that the cost does not grow with the cell.
+	// pingInterval is the time between two rounds of pings, and peersPerRound how many peers
+	// a round reaches, so that the cost doesn't grow with the cell.
 	pingInterval  = 700 * time.Millisecond
 	peersPerRound = 3
-	// duePingInterval is the pause while there are nodes that have not been pinged yet, and
-	// pingUntried how many of them a round reaches: a new owner calls the advice service
-	// from all nodes that it knows to be up, and all may have started just now.
+	// duePingInterval is the time between checks for nodes to ping out of turn, and
+	// maxDuePings how many of them are pinged at once. New nodes are pinged soon because a
+	// new owner calls the advice service from all nodes that it knows to be up, and all of
+	// them may have started just now.
 	duePingInterval = 100 * time.Millisecond
 	maxDuePings     = 64
-	// minRetryInterval is how soon a node that failed to answer is pinged again, and then after
-	// twice that, and so on up to retryMost: that it did not answer may tell of this node,
-	// which would else take it for down until its turn comes in the rounds. It goes on for
-	// good: two nodes that were cut off from each other for long have no other way back.
-	// Nodes that are gone for good cost one call a minute each.
+	// minRetryInterval is the time until a failed node is pinged again; the time doubles with
+	// each failure up to maxRetryInterval. The failure may lie with this node, which would
+	// otherwise take the other one for down until its turn in the rounds. Retries never end,
+	// since two nodes that were cut off from each other for long have no other way to
+	// reconnect. A node that is gone for good costs one call a minute.
 	minRetryInterval = 500 * time.Millisecond
 	maxRetryInterval = time.Minute
-	// forgetAfter is when a peer that never answers is left out of the rounds.
+	// forgetAfter is how long a peer may fail before it is left out of the rounds.
 	forgetAfter = 20 * time.Second
 )
 
-// pingLoop keeps in touch with the other nodes, a few in each round.
+// pingLoop pings the other nodes, a few in each round.
 func (p *peers) pingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.pingAll(ctx, p.nextRound())
@@ -46,15 +47,16 @@
 	}
 }
 
-// pingAll pings nodes without waiting for them: ping notes and logs what comes of it.
+// pingAll pings nodes without waiting for the answers; ping records the outcome and logs
+// failures.
 func (p *peers) pingAll(ctx context.Context, list []member) {
 	for _, m := range list {
 		go func() { _, _ = p.ping(ctx, m) }()
 	}
 }
 
-// duePeers returns nodes that are pinged out of turn: those that have neither answered nor
-// failed to, and those that failed a short while ago.
+// duePeers returns the nodes to ping out of turn: those that haven't been tried, and failed
+// ones whose retry is due.
 func (p *peers) duePeers() []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,8 +73,8 @@
 	return list
 }
 
-// startRetry reports whether it is time to ping a node again that failed to answer, and
-// notes that this is done. The caller holds the mu of the peers.
+// startRetry reports whether a failed node is due for another ping, and if so schedules the
+// next one. The caller holds the mu of the peers.
 func (q *peer) startRetry(now time.Time) bool {
 	if q.failingSince.IsZero() || now.Sub(q.lastRetry) < q.retryInterval {
 		return false
@@ -81,7 +83,7 @@
 	return true
 }
 
-// nextRound returns the next peers to ping, in turn; the seeds while no peer is known.
+// nextRound returns the next peers to ping, in turn, or the seeds if no peer is known.
 func (p *peers) nextRound() []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +108,7 @@
 	return round
 }
 
-// seeds returns the addresses of the configured first nodes, but for this one's.
+// seeds returns the configured seed addresses, except this node's.
 func (p *peers) seeds() []string {
 	var list []string
 	for _, s := range p.n.cfg.Seeds {
@@ -117,7 +119,7 @@
 	return list
 }
 
-// ping asks a node for a sign of life and notes what it says.
+// ping pings a node and records its reply.
 func (p *peers) ping(ctx context.Context, m member) (pingReply, error) {
 	reply, err := call[pingRequest, pingReply](ctx, p, m.Address, pathPing, pingRequest{From: p.n.me, Knows: p.count()}, peerTimeout)
 	if err != nil {
@@ -143,8 +145,8 @@
 	return reply, nil
 }
 
-// addIfUnknown notes a node that a peer has named, unless it is known already:
-// what peers repeat may be older than what is known here.
+// addIfUnknown adds a node that a peer has named. A known one isn't updated, since the peer's
+// information may be older.
 func (p *peers) addIfUnknown(m member) {
 	p.mu.Lock()
 	_, known := p.list[m.Name]
@@ -154,7 +156,7 @@
 	}
 }
 
-// recordFailure notes that a call of a node recordFailure, and logs the first failure.
+// recordFailure records a failed call to a node, and logs the first failure.
 func (p *peers) recordFailure(m member, err error) {
 	p.mu.Lock()
 	q := p.list[m.Name]
@@ -171,7 +173,7 @@
 	}
 }
 
-// isRefused reports whether nothing listens at the other end.
+// isRefused reports whether the connection was refused: nothing listens at the address.
 func isRefused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && !op.Timeout() && !errors.Is(err, context.Canceled)
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// pinCacheSize is how many jobs' shards a node remembers, at some 100 bytes each:
-	// those of two minutes on the users' largest site.
+	// pinCacheSize is how many jobs' shards a node remembers, at about 100 bytes each: enough
+	// for the jobs of two minutes on a large site.
 	pinCacheSize = 5000
-	// maxRackShardLoad is the load up to which a job goes to the shard of its data's rack,
-	// rather than to the less loaded one of its two choices.
+	// maxRackShardLoad is the load up to which a job goes to the shard of its data's rack
+	// rather than to the less loaded of its two candidate shards.
 	maxRackShardLoad = 0.9
 )
 
@@ -33,7 +33,7 @@
 	return c
 }
 
-// place returns a new job as its parts, each with the shard that it should run on.
+// place splits a new job into its parts, each with the shard on which it runs.
 func (n *Node) place(ctx context.Context, job cluster.Job) ([]cluster.Job, bool) {
 	layout, ok := n.layout(job.Service)
 	if !ok {
@@ -46,7 +46,7 @@
 	return n.setEpochs([]cluster.Job{job}), true
 }
 
-// setEpochs notes in the parts of a job which owner each is accepted for.
+// setEpochs sets in the parts of a job the epoch of the owner for which each is accepted.
 func (n *Node) setEpochs(parts []cluster.Job) []cluster.Job {
 	for i := range parts {
 		rec, _ := n.owner(parts[i].ShardID())
@@ -55,29 +55,28 @@
 	return parts
 }
 
-// chooseShard returns the shard that a job should run on: that of its data's rack
-// unless it is full, else the less loaded of two that depend on its ID. Loads may
-// be some tenths of a second old; two choices keep the nodes from all choosing the same one.
+// chooseShard returns the shard for a job: that of its data's rack unless it is full,
+// otherwise the less loaded of two that depend on the job's ID. Loads may be a few tenths of
+// a second old; two choices keep the nodes from all choosing the same shard.
 func (n *Node) chooseShard(ctx context.Context, layout *cluster.Layout, job *cluster.Job) cluster.ShardID {
 	ids := layout.IDs()
-	var asked []cluster.ShardID
+	var shards []cluster.ShardID
 	for _, i := range layout.CandidateShards(job.ID) {
-		asked = append(asked, ids[i])
+		shards = append(shards, ids[i])
 	}
 	rack := job.DataRack()
 	rackShard := ids[layout.ShardOf(rack)]
 	if rack != "" {
-		asked = append(asked, rackShard)
+		shards = append(shards, rackShard)
 	}
-	n.refreshLoads(ctx, asked)
+	n.refreshLoads(ctx, shards)
 	if rack != "" && n.shardLoad(rackShard) < maxRackShardLoad {
 		return rackShard
 	}
 	return n.candidatesByLoad(layout, job.ID)[0]
 }
 
-// candidatesByLoad returns the shards among which a job is placed by their load, the less
-// loaded one first.
+// candidatesByLoad returns a job's candidate shards, the less loaded one first.
 func (n *Node) candidatesByLoad(layout *cluster.Layout, id string) []cluster.ShardID {
 	ids := layout.IDs()
 	var list []cluster.ShardID
@@ -90,11 +89,11 @@
 	return list
 }
 
-// minLoadGain is how much lower another shard's load must be for a job to move there.
+// minLoadGain is how much lower the load of another shard has to be for a job to move there.
 const minLoadGain = 0.15
 
-// BetterShard returns the least loaded other shard, if it is less loaded by so much that
-// a waiting job should move there; a job that can't run where it is goes on in turn.
+// BetterShard returns the least loaded other shard, if a waiting job gains enough by moving
+// there. A job that can't run on its shard at all moves to the next one in turn.
 func (n *Node) BetterShard(from cluster.ShardID, load float64, m scheduler.Move) (cluster.ShardID, bool) {
 	layout, ok := n.layout(from.Service)
 	if !ok || layout.Shards <= 1 {
@@ -114,7 +113,7 @@
 	return best, best != from
 }
 
-// JobMoved notes the new shards of a job's parts.
+// JobMoved records the new shards of a job's parts.
 func (n *Node) JobMoved(parts []cluster.Job) { n.pins.Add(parts[0].ID, shardsOf(parts)) }
 
 // shardsOf returns the shards of a job's parts.
@@ -135,11 +134,11 @@
 	if !ok {
 		return nil
 	}
-	// The less loaded one is more likely to have the job.
+	// The less loaded shard is more likely to have the job.
 	return n.candidatesByLoad(&layout, id)
 }
 
-// lookUpPin reads the shards of a job's parts, and the row that names them, from the store.
+// lookUpPin reads a job's pin from the store: the row that names the shards of its parts.
 func (n *Node) lookUpPin(ctx context.Context, service, id string) ([]cluster.ShardID, tables.Row, Answer) {
 	row, found, err := tables.Get(ctx, n.store, owner.TablePins, owner.JobPart(service, id), id)
 	if err != nil {
@@ -150,7 +149,7 @@
 	}
 	shards, err := owner.ParsePin(service, row)
 	if err != nil {
-		n.Log.Warn("pin skipped", events.RowSkipped, zap.String("job", id), zap.Error(err))
+		n.Log.Warn("pin row skipped", events.RowSkipped, zap.String("job", id), zap.Error(err))
 		return nil, row, AnswerRefused
 	}
 	n.pins.Add(id, shards)
--- a/internal/cell/reader.go
+++ b/internal/cell/proxyread.go
@@ -12,28 +12,27 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// What an owner reads of the store and of the machines repeats much of itself, and the
-// platform doesn't pack it. An owner on a slow link reads by way of other nodes, which
-// hand it on packed: with 120 workers the list of machines and the directory alone were
-// 65 of the 140 kB a second that an owner used of a link of 2 Mbit/s, and a takeover read
-// 0.5 MB, for two seconds in which nobody else got through.
+// An owner on a slow link reads the store and the list of machines through other nodes, which
+// compress the answers; the platform doesn't, although they are repetitive. With 120 workers,
+// the list of machines and the directory alone took 65 of the 140 kB/s that an owner used of
+// a link of 2 Mbit/s. A takeover read 0.5 MB, which blocked the link for two seconds.
 
 const (
-	// proxyBelowMbps is the link in Mbit/s below which an owner reads by way of another node.
+	// proxyBelowMbps is the link speed below which an owner reads through another node.
 	proxyBelowMbps = 50
-	// proxyTimeout is by when an answer has to begin to arrive: a list takes 0.4 s while the
-	// store is 100 times slower.
+	// proxyTimeout bounds the wait for the first bytes of an answer: a list takes 0.4 s while
+	// the store is 100 times slower.
 	proxyTimeout = 600 * time.Millisecond
-	// machineCacheTTL is for how long a reader hands on the same listing.
+	// machineCacheTTL is how long a node answers other nodes with the same list of machines.
 	machineCacheTTL = 200 * time.Millisecond
 )
 
-// machineList is the reply of a reader.
+// machineList is the reply to a node that reads the list of machines through this one.
 type machineList struct {
 	Machines []cluster.Machine `json:"machines"`
 }
 
-// machineCache is the last machineCache of the machines that this node has made for others.
+// machineCache holds the last list of machines that this node read for others.
 type machineCache struct {
 	mu   sync.Mutex
 	list []cluster.Machine
@@ -56,8 +55,8 @@
 	return machineList{list}, nil
 }
 
-// readProxy returns the node by way of which this one should read; ok is false if it should
-// read itself. What is read under one key goes by way of the same node for all owners.
+// readProxy returns the node through which this one reads a key; ok is false if it reads
+// directly. All owners read a key through the same node, whose cache serves them all.
 func (n *Node) readProxy(key string) (m member, ok bool) {
 	if n.cfg.Limits.LinkMbps <= 0 || n.cfg.Limits.LinkMbps >= proxyBelowMbps {
 		return m, false
@@ -66,7 +65,7 @@
 	return best.member, ok && best.owns == 0
 }
 
-// proxiedMachines is the list of machines for the owner of a shard of a service.
+// proxiedMachines lists the machines for the owner of a shard of a service.
 type proxiedMachines struct {
 	n       *Node
 	service string
@@ -84,8 +83,8 @@
 	return r.n.Machines.Machines(ctx)
 }
 
-// proxiedStore is the store as owners use it: they read by way of other nodes, each part by
-// that of its own, and write themselves.
+// proxiedStore is the store as owners use it: reads go through other nodes, a different one
+// for each part, and writes go directly.
 type proxiedStore struct {
 	*watchedStore
 	n *Node
@@ -96,12 +95,12 @@
 	return readThroughProxy(ctx, s, req.Table+"/"+req.Part+"/"+req.From, 0, req, tables.Service.List)
 }
 
-// Feed waits for changes.
+// Feed waits for changes of rows.
 func (s proxiedStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	return readThroughProxy(ctx, s, req.Table, req.Wait, req, tables.Service.Feed)
 }
 
-// readThroughProxy reads by way of another node, or directly if that fails.
+// readThroughProxy reads through another node, or directly if that fails.
 func readThroughProxy[Req, Res any](ctx context.Context, s proxiedStore, key string, wait time.Duration, req Req, read func(tables.Service, context.Context, Req) (Res, error)) (Res, error) {
 	m, ok := s.n.readProxy(key)
 	if !ok || s.down() {
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// storeDownAfter is how long a call may go without an answer, while no other
-	// call gets one either, before the store counts as down. It answers in 4 ms, and
-	// a write in 0.7 s when it is 100 times slower.
+	// storeDownAfter is how long a call may go without an answer, while no other call gets
+	// one either, before the store counts as down. The store normally answers in 4 ms; a
+	// write takes 0.7 s when it is 100 times slower.
 	storeDownAfter = time.Second
-	// storeFailingAfter is how long every call must have failed before the store counts
-	// as down: a store that resets some connections still answers on others.
+	// storeFailingAfter is how long every call must have failed before the store counts as
+	// down: a store that resets some connections still answers on others.
 	storeFailingAfter = 300 * time.Millisecond
-	// slowCallTime is from when a call is logged as slow, and slowEvery how often at most.
+	// slowCallTime is the duration from which a call is logged as slow, and slowLogInterval
+	// the minimum time between two such log lines.
 	slowCallTime    = 100 * time.Millisecond
 	slowLogInterval = time.Second
-	// probeInterval and probeTimeout bound the search for a store that is down. Looks
-	// overlap: a store that is slow answers after 0.4 s, and it must be found too.
+	// probeInterval and probeTimeout bound the probes of a store that is down. Probes
+	// overlap, because a slow store, which answers after 0.4 s, has to be detected too.
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = time.Second
 )
 
-// watchedStore is the table service as this node reaches it. It notes which
-// calls are answered, so that callers can be refused at once while none is.
+// watchedStore is the table service with a record of which calls are answered, so that
+// callers are refused at once while the store is down.
 type watchedStore struct {
 	tables.Service
 	log *zap.Logger
@@ -40,13 +41,13 @@
 	mu sync.Mutex
 	// lastSeen is when a call was last answered, or when the node started.
 	lastSeen time.Time
-	// pending holds when each open call was sent, by its number; next is the
-	// number last given.
+	// pending holds the time at which each running call was sent, by its ID; lastID is the ID
+	// of the last call.
 	pending map[int64]time.Time
 	lastID  int64
 	// slowLogged is when a slow call was last logged.
 	slowLogged time.Time
-	// failedAt is the first failure since a call was last answered.
+	// failedAt is the time of the first failure since the last answer.
 	failedAt time.Time
 }
 
@@ -54,7 +55,7 @@
 	return &watchedStore{Service: svc, log: log, lastSeen: time.Now(), pending: make(map[int64]time.Time)}
 }
 
-// begin notes that a call is sent, and returns its number.
+// begin records that a call is sent, and returns its ID.
 func (s *watchedStore) begin() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,8 @@
 	return s.lastID
 }
 
-// end notes how a call ended, and logs it if the call was slow or the first answer
-// after an outage.
+// end records the outcome of a call, and logs it if the call was slow or was the first one
+// answered after an outage.
 func (s *watchedStore) end(id int64, err error) {
 	now := time.Now()
 	s.mu.Lock()
@@ -92,9 +93,9 @@
 	}
 }
 
-// down reports whether the store answers by no way: every call has failed for a
-// while, or is without an answer. It is up again with the first call, such as a
-// probe, that is answered.
+// down reports whether the store can't be reached directly or through a relay: every call has
+// failed for a while, or is unanswered. It is up again with the first answered call, such as
+// a probe.
 func (s *watchedStore) down() bool {
 	now := time.Now()
 	s.mu.Lock()
@@ -110,7 +111,7 @@
 	return false
 }
 
-// failing reports whether the last call was not answered, or the store is down.
+// failing reports whether the last call failed or the store is down.
 func (s *watchedStore) failing() bool {
 	s.mu.Lock()
 	failed := !s.failedAt.IsZero()
@@ -118,15 +119,15 @@
 	return failed || s.down()
 }
 
-// silentFor returns how long the store has not answered.
+// silentFor returns the time since the store last answered.
 func (s *watchedStore) silentFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.lastSeen)
 }
 
-// probe looks for the store while it is down. Only the probe calls it then, so
-// that an outage doesn't multiply the calls of all followers and retries.
+// probe calls the store while it is down. No other calls are made meanwhile, so that an
+// outage doesn't multiply the calls of all followers and retries.
 func (s *watchedStore) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.failing() {
@@ -136,7 +137,7 @@
 	}
 }
 
-// probeOnce makes one call, whose outcome is noted.
+// probeOnce makes one call and records its outcome.
 func (s *watchedStore) probeOnce(ctx context.Context) {
 	c, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -145,7 +146,7 @@
 	s.end(id, err)
 }
 
-// errStoreDown answers a call that wasn't sent because the store is down.
+// errStoreDown is the error of a call that isn't sent because the store is down.
 func errStoreDown(op string) error {
 	return &tables.Error{Op: op, Kind: tables.KindRefused, Err: errors.New("the store is down")}
 }
@@ -172,12 +173,12 @@
 	return res, err
 }
 
-// Feed waits for changes; it may be silent for as long as nothing changes.
+// Feed waits for changes of rows; it may be silent for as long as nothing changes.
 func (s *watchedStore) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
 	return readAndRecord(ctx, s, "feed", req, s.Service.Feed)
 }
 
-// readAndRecord makes a read of which only an answer is noted, and not that it fails.
+// readAndRecord makes a read and records an answer, but not a failure.
 func readAndRecord[Req, Res any](ctx context.Context, s *watchedStore, op string, req Req, read func(context.Context, Req) (Res, error)) (res Res, err error) {
 	if s.down() {
 		return res, errStoreDown(op)
--- a/internal/cell/submit.go
+++ b/internal/cell/submit.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// submitTimeout bounds one try of a caller without a deadline. A try without an
-	// answer is repeated while the caller's deadline allows, since its outcome has to
-	// be found out.
+	// submitTimeout bounds one attempt for a caller without a deadline. An attempt without an
+	// answer is repeated while the caller's deadline allows, to determine its outcome.
 	submitTimeout = 3 * time.Second
-	// submitRetryInterval is the pause between two tries, of which a reset connection ends
-	// one at once.
+	// submitRetryInterval is the time between two attempts: a reset connection ends an
+	// attempt at once.
 	submitRetryInterval = 20 * time.Millisecond
-	// answerMargin is left of the caller's deadline for the answer.
+	// answerMargin is the part of the caller's deadline that is left for the answer.
 	answerMargin = 150 * time.Millisecond
-	// RetryAfter is when a refused caller should come back: by then another node
-	// or the next second's share of the store may take the job.
+	// RetryAfter is when a refused caller should retry: by then another node, or the store's
+	// rate limit of the next second, may accept the job.
 	RetryAfter = time.Second
 )
 
-// Submit accepts a job durably. The same job may come any number of times.
+// Submit accepts a job durably. It is idempotent: the same job may be submitted any number of
+// times.
 func (n *Node) Submit(ctx context.Context, job cluster.Job) Answer {
 	job.AcceptedMS = time.Now().UnixMilli()
 	parts, ok := n.place(ctx, job)
@@ -53,8 +53,8 @@
 		case err == nil && res.Committed:
 			return n.sendAccepted(parts, res.Version, time.Since(began))
 		case err == nil:
-			// The job came before, perhaps by a try whose answer was lost.
-			n.Log.Info("job accepted before", events.JobAccepted, zap.String("job", job.ID), zap.String("queue", job.Queue))
+			// The job was accepted before, perhaps by an attempt whose answer was lost.
+			n.Log.Info("job already accepted", events.JobAccepted, zap.String("job", job.ID), zap.String("queue", job.Queue))
 			return AnswerOK
 		case tables.KindOf(err) == tables.KindInvalid && !maybeCommitted:
 			n.refuse(job.ID, err.Error())
@@ -70,19 +70,20 @@
 	return n.answerUnknown(job.ID)
 }
 
-// answerUnknown answers for a job whose acceptance got no answer from the store.
+// answerUnknown returns the answer for a job whose commit got no answer from the store, and
+// logs it.
 func (n *Node) answerUnknown(id string) Answer {
-	n.Log.Warn("acceptance not known", events.JobRefused, zap.String("job", id), zap.String("answer", string(AnswerUnknown)))
+	n.Log.Warn("outcome of job submission unknown", events.JobRefused, zap.String("job", id), zap.String("answer", string(AnswerUnknown)))
 	return AnswerUnknown
 }
 
-// mayRetry reports whether another try may be answered before the caller's deadline.
+// mayRetry reports whether another attempt can be answered before the caller's deadline.
 func (n *Node) mayRetry(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() == nil && (!ok || time.Until(deadline) > answerMargin)
 }
 
-// attemptContext bounds one try so that its caller can still be answered in time.
+// attemptContext bounds one attempt so that its caller can still be answered in time.
 func attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -91,13 +92,13 @@
 	return context.WithDeadline(ctx, deadline.Add(-answerMargin))
 }
 
-// refuse answers for a job that is not accepted, and logs why.
+// refuse returns the answer for a job that isn't accepted, and logs the cause.
 func (n *Node) refuse(id, cause string) Answer {
 	n.Log.Info("job refused", events.JobRefused, zap.String("job", id), zap.String("answer", string(AnswerRefused)), zap.String("cause", cause))
 	return AnswerRefused
 }
 
-// sendAccepted hands the parts of an sendAccepted job to their owners. One that isn't
+// sendAccepted sends the parts of an accepted job to their owners. An owner that isn't
 // reached finds its part in the store.
 func (n *Node) sendAccepted(parts []cluster.Job, version int64, took time.Duration) Answer {
 	shards := shardsOf(parts)
@@ -110,7 +111,7 @@
 	return AnswerOK
 }
 
-// sendToOwner hands a job to the owner of its shard.
+// sendToOwner sends a part of a job to the owner of its shard.
 func (n *Node) sendToOwner(job cluster.Job, version int64) {
 	n.notifyOwner(job.ShardID(), func(o *owner.Owner) { o.AddJob(job, version) }, func(ctx context.Context, m member) error {
 		_, err := call[jobMessage, empty](ctx, n.peers, m.Address, pathJob, jobMessage{job, version}, peerTimeout)
--- a/internal/cell/successors.go
+++ b/internal/cell/successors.go
@@ -15,31 +15,29 @@
 // candidate is a node that may own a shard.
 type candidate struct {
 	member
-	// hash is that of its name.
+	// hash is the hash of its name.
 	hash uint64
-	// owns is how many shards it owns already.
+	// owns is the number of shards that it owns.
 	owns int
 }
 
-// cpuPerShard returns the processor that the node would have for one more shard.
+// cpuPerShard returns the CPU that the node would have for one more shard.
 func (c candidate) cpuPerShard() float64 { return float64(c.CPUMilli) / float64(1+max(0, c.owns)) }
 
-// compareForShard orders nodes as successors of the owner of a shard, whose name has that
-// hash: those with more processor for one more shard first, and those that have the
-// same by rendezvous hash.
+// compareForShard orders candidates for the shard whose name has the given hash: by the CPU
+// that they have for one more shard, largest first, and then by rendezvous hash.
 func (c candidate) compareForShard(shard uint64, o candidate) int {
 	return cmp.Or(cmp.Compare(o.cpuPerShard(), c.cpuPerShard()), cmp.Compare(mixHashes(o.hash, shard), mixHashes(c.hash, shard)), strings.Compare(c.Name, o.Name))
 }
 
-// mixHashes joins two hashes to one. It is called for each node by each node that looks
-// after a shard, so that it has to be cheap.
+// mixHashes combines two hashes into one. It has to be cheap: every node that watches a shard
+// calls it for each other node.
 func mixHashes(a, b uint64) uint64 {
 	x := (a ^ b) * 0x9e3779b97f4a7c15
 	return x ^ x>>32
 }
 
-// asCandidate returns this node as one that may own a shard, with those that it is
-// taking.
+// asCandidate returns this node as a candidate, counting the shards that it is about to take.
 func (n *Node) asCandidate() candidate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,8 +50,9 @@
 	return candidate{n.me, xxhash.Sum64String(n.me.Name), owns}
 }
 
-// rank returns this node's place among the successors of a shard's owner. It counts
-// those before it: each node asks for its rank several times a second and shard.
+// rank returns this node's position among the candidates for a shard. It counts the nodes
+// ahead instead of sorting them, since each node computes its rank several times a second for
+// each shard.
 func (n *Node) rank(shard cluster.ShardID) int {
 	here, hash, before := n.asCandidate(), xxhash.Sum64String(shard.String()), 0
 	n.peers.eachCandidate(here, func(c candidate) {
@@ -64,7 +63,7 @@
 	return before
 }
 
-// successors sorts nodes in the order in which they should own a shard.
+// successors sorts nodes in the order in which they are candidates for a shard.
 func successors(shard cluster.ShardID, nodes []candidate) []candidate {
 	hash := xxhash.Sum64String(shard.String())
 	slices.SortFunc(nodes, func(a, b candidate) int { return a.compareForShard(hash, b) })
--- a/internal/cell/waiting.go
+++ b/internal/cell/waiting.go
@@ -13,10 +13,10 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// waitingTimeout bounds the question for a queue's length.
+// waitingTimeout bounds the query for the length of a queue.
 const waitingTimeout = 600 * time.Millisecond
 
-// Waiting returns how many jobs of a queue have not begun.
+// Waiting returns how many jobs of a queue have not started.
 func (n *Node) Waiting(ctx context.Context, service, queue string) (int, Answer) {
 	layout, ok := n.layout(service)
 	if !ok {
@@ -32,7 +32,7 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		n.Log.Info("queue not counted", events.PeerLost, zap.String("queue", queue), zap.Error(err))
+		n.Log.Info("failed to count jobs of queue", events.PeerLost, zap.String("queue", queue), zap.Error(err))
 		return 0, AnswerRefused
 	}
 	total := 0
@@ -42,7 +42,7 @@
 	return total, AnswerOK
 }
 
-// waitingInShard asks a shard's owner how many jobs of a queue have not begun.
+// waitingInShard asks a shard's owner how many jobs of a queue have not started.
 func (n *Node) waitingInShard(ctx context.Context, shard cluster.ShardID, queue string) (int, error) {
 	reply, err := callOwner(ctx, n, shard, pathWaiting, waitingQuery{shard, queue}, waitingTimeout, n.handleWaiting)
 	return reply.Waiting, err
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// watchInterval is how often a node looks after an owner; the first watchers successors
-	// do it, and each further one less often than the one before it, so that looks grow
-	// with the logarithm of the nodes. watchMost bounds the pause of the last ones: they
-	// count if all before them are lost together with the owner.
+	// watchInterval is the time between two checks of an owner by each of the first
+	// primaryWatchers candidates. Each further candidate checks less often than the one
+	// before it, so that the number of checks grows with the logarithm of the nodes.
+	// maxWatchInterval bounds the interval of the last ones, which matter if all candidates
+	// before them are lost together with the owner.
 	watchInterval    = 150 * time.Millisecond
 	primaryWatchers  = 2
 	maxWatchInterval = 3 * time.Second
-	// firstWatchDelay is how long after it knows a shard a node first looks after its
-	// owner: by then it knows the other nodes too, which come with the same list.
+	// firstWatchDelay is the time from the first knowledge of a shard to the first check of
+	// its owner: by then this node also knows the other nodes, which come with the same list.
 	firstWatchDelay = 20 * time.Millisecond
-	// watchPingTimeout bounds one ping of an owner: nodes are a few milliseconds apart,
-	// and one that has used up its processor quota answers within 0.1 s.
+	// watchPingTimeout bounds one ping of an owner: nodes are a few milliseconds apart, and
+	// one that has used up its CPU quota answers within 0.1 s.
 	watchPingTimeout = 200 * time.Millisecond
-	// maxRefusedPings is how many refused connections show that its process is gone.
+	// maxRefusedPings is how many refused connections prove that the owner's process is gone.
 	maxRefusedPings = 2
 )
 
-// watchServices watches the ownership of each service of the configuration.
+// watchServices starts a watcher for each new service of the configuration.
 func (n *Node) watchServices(services []cluster.Service) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,9 +46,9 @@
 	}
 }
 
-// watchShards looks after the owners of a service's shards, once its layout is known:
-// one loop for all, since a node that comes to the front, as those before it have taken
-// other shards, must not wait a long pause out.
+// watchShards checks the owners of a service's shards once its layout is known. One loop
+// serves all shards: when the candidates ahead of this node have taken other shards, it must
+// check at once and not wait out a long interval.
 func (n *Node) watchShards(ctx context.Context, service string) {
 	layout, ok := n.awaitLayout(ctx, service)
 	if !ok {
@@ -66,18 +67,18 @@
 	}
 }
 
-// ownerWatch is how a node looks after the owner of one shard.
+// ownerWatch is the state of the checks of one shard's owner.
 type ownerWatch struct {
 	shard   cluster.ShardID
 	suspect suspicion
 
 	mu sync.Mutex
-	// checking is set while a look goes on, and looked is when the last one ended.
+	// checking is set while a check runs, and checkedAt is when the last one ended.
 	checking  bool
 	checkedAt time.Time
 }
 
-// startCheckIfDue reports whether it is time to look after an owner, and notes that a look begins.
+// startCheckIfDue reports whether a check of an owner is due, and marks it as running.
 func (n *Node) startCheckIfDue(w *ownerWatch, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,8 +92,8 @@
 	return true
 }
 
-// checkInterval returns the pause between two looks after an owner. The caller holds the
-// watch's mu, and no look goes on.
+// checkInterval returns the time between two checks of an owner. The caller holds the watch's
+// mu, and no check is running.
 func (n *Node) checkInterval(w *ownerWatch) time.Duration {
 	if w.suspect.isOpen() || n.local(w.shard) != nil {
 		return 0
@@ -104,15 +105,15 @@
 	return min(time.Duration(after+1)*watchInterval, maxWatchInterval)
 }
 
-// endCheck notes that a look has endCheck.
+// endCheck records that a check has ended.
 func (w *ownerWatch) endCheck() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.checking, w.checkedAt = false, time.Now()
 }
 
-// checkOwner takes a shard over when its owner is lost, and hands one that runs here
-// to a node with much more room.
+// checkOwner takes a shard over if its owner is lost, and hands one that runs here over to a
+// node with much more CPU.
 func (n *Node) checkOwner(ctx context.Context, w *ownerWatch) {
 	defer w.endCheck()
 	o := n.local(w.shard)
@@ -127,8 +128,8 @@
 	}
 }
 
-// takeIfLost looks after the owner of a shard once, and takes the shard if the owner
-// is lost and no other node is before this one.
+// takeIfLost checks the owner of a shard, and takes the shard if the owner is lost and this
+// node is the first candidate to claim it.
 func (n *Node) takeIfLost(ctx context.Context, shard cluster.ShardID, suspect *suspicion) {
 	rec, version := n.owner(shard)
 	cause := n.ownerLossCause(ctx, shard, rec, suspect)
@@ -140,28 +141,28 @@
 	*suspect = suspicion{}
 }
 
-// suspicion is the evidence against an owner.
+// suspicion is the evidence that an owner is lost.
 type suspicion struct {
 	incarnation string
 	refused     int
-	// silentSince is since when it has not answered, and isolatedSince since when no other
-	// node answers here; zero: it has, and one does.
+	// silentSince is when the owner stopped answering, and isolatedSince when all other nodes
+	// stopped answering this one; zero if they answer.
 	silentSince, isolatedSince time.Time
 }
 
-// isOpen reports whether something speaks against the owner, so that it is looked after
-// again soon.
+// isOpen reports whether there is evidence against the owner, so that it is checked again
+// soon.
 func (s *suspicion) isOpen() bool {
 	return s.refused > 0 || !s.isolatedSince.IsZero() || !s.silentSince.IsZero()
 }
 
-// ownerLossCause returns why the owner has to be replaced, or "".
+// ownerLossCause returns why an owner has to be replaced, or an empty string.
 func (n *Node) ownerLossCause(ctx context.Context, shard cluster.ShardID, rec ownerRecord, s *suspicion) string {
 	if rec.Owner.Name == "" {
 		return "no owner"
 	}
 	if rec.Owner.Name == n.me.Name {
-		return "owner was an earlier life of this node"
+		return "owner was an earlier incarnation of this node"
 	}
 	if s.incarnation != rec.Owner.Incarnation {
 		*s = suspicion{incarnation: rec.Owner.Incarnation}
@@ -172,7 +173,7 @@
 	if err == nil {
 		s.refused, s.silentSince = 0, time.Time{}
 		if reply.Me.Incarnation != rec.Owner.Incarnation {
-			return "owner has started anew"
+			return "owner has restarted"
 		}
 		return ""
 	}
@@ -185,15 +186,16 @@
 	return n.silentOwnerLossCause(ctx, shard, rec.Owner, s)
 }
 
-// silentOwnerLossCause returns why an owner that didn't answer a ping has to be
-// replaced, or "": others are asked about it first, and one that came lately has time.
+// silentOwnerLossCause returns why an owner that didn't answer a ping has to be replaced, or
+// an empty string. It asks other nodes first, and allows more time to an owner that took the
+// shard recently.
 func (n *Node) silentOwnerLossCause(ctx context.Context, shard cluster.ShardID, owner member, s *suspicion) string {
 	if s.silentSince.IsZero() {
 		s.silentSince = time.Now()
 	}
 	opinion := n.askWitnesses(ctx, owner)
 	if opinion.reachedBy != "" {
-		n.Log.Info("owner answers others", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", opinion.reachedBy))
+		n.Log.Info("owner answers other nodes", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", opinion.reachedBy))
 		s.isolatedSince, s.silentSince = time.Time{}, time.Time{}
 		return ""
 	}
@@ -205,7 +207,7 @@
 	}
 	if s.isolatedSince.IsZero() {
 		s.isolatedSince = time.Now()
-		n.Log.Info("no node answers here", events.OwnerSuspected, zap.String("owner", owner.Name))
+		n.Log.Info("no other node answers this one", events.OwnerSuspected, zap.String("owner", owner.Name))
 	}
 	if time.Since(s.isolatedSince) < isolationDelay {
 		return ""
@@ -214,11 +216,11 @@
 }
 
 const (
-	// ownerChangeWindow is for how long a change of a shard's owner counts, and changePatience
-	// how much longer for each one, up to patienceMost, a silent owner is waited for. A
-	// takeover reads all jobs and asks all workers, on top of the load that made the last
-	// owner silent: without this an overloaded shard of 120 workers, on hosts with links
-	// of 2 Mbit/s, changed its owner 44 times in 35 s and served nothing.
+	// A silent owner is waited for longer if the shard changed its owner recently: for each
+	// change within ownerChangeWindow by patiencePerChange, up to maxPatience. A takeover
+	// reads all jobs and asks all workers, on top of the load that made the last owner
+	// silent. Without this, an overloaded shard of 120 workers, on hosts with links of 2
+	// Mbit/s, changed its owner 44 times in 35 s and did no work.
 	ownerChangeWindow = 10 * time.Second
 	patiencePerChange = 2 * time.Second
 	maxPatience       = 4 * time.Second
@@ -228,11 +230,11 @@
 func (n *Node) silencePatience(shard cluster.ShardID) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, lately := time.Now(), 0
+	now, recent := time.Now(), 0
 	for _, at := range n.owners[shard].changes {
 		if now.Sub(at) < ownerChangeWindow {
-			lately++
+			recent++
 		}
 	}
-	return min(time.Duration(lately)*patiencePerChange, maxPatience)
+	return min(time.Duration(recent)*patiencePerChange, maxPatience)
 }
--- a/internal/cell/opinion.go
+++ b/internal/cell/witnesses.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxWitnesses is how many peers are asked before a silent owner is replaced.
+	// maxWitnesses is how many peers are asked about a silent owner before it is replaced.
 	maxWitnesses = 3
-	// isolationDelay is how long a node waits that no other node answers: far more
-	// likely it is cut off itself than are all others lost without a trace.
+	// isolationDelay is how long a node waits while no other node answers it: it is far more
+	// likely that this node is cut off than that all others failed at once.
 	isolationDelay = 3 * time.Second
 )
 
-// witnessTimeout is longer than the ping that a peer makes before it answers.
+// witnessTimeout bounds one question to a witness, which pings the owner before it answers.
 const witnessTimeout = watchPingTimeout + 100*time.Millisecond
 
-// witnessReport is what others say of a node that was silent to this one.
+// witnessReport is what other nodes report of a node that was silent to this one.
 type witnessReport struct {
-	// reachedBy is who gets an answer from it: a peer that was asked to try, or this
-	// node itself at a second try; "" if nobody.
+	// reachedBy names a node that got an answer: a witness, or this node itself at a second
+	// attempt. It is empty if nobody did.
 	reachedBy string
-	// isolated is set if there are other nodes, and none answered here either.
+	// isolated is set if there are other nodes and none of them answered this one.
 	isolated bool
 }
 
-// askWitnesses asks a few peers whether a node answers them, and tries it once more.
+// askWitnesses asks a few peers whether a node answers them, and pings it once more itself.
 func (n *Node) askWitnesses(ctx context.Context, m member) witnessReport {
 	asked, others := n.peers.witnesses(m.Name)
 	var mu sync.Mutex
