--- a/internal/cluster/shard_test.go
+++ b/internal/cluster/shard_test.go
@@ -14,7 +14,7 @@
 	"switchbank.example/switchbank/internal/cluster"
 )
 
-func machines(racks, perRack int) []cluster.Machine {
+func newMachines(racks, perRack int) []cluster.Machine {
 	list := []cluster.Machine{{ID: "other", Service: "another", Rack: "r0-0"}}
 	for i := range racks * perRack {
 		list = append(list, cluster.Machine{ID: fmt.Sprintf("m%d", i), Service: "s", Rack: fmt.Sprintf("r1-%d", i/perRack)})
@@ -27,7 +27,7 @@
 func TestPlanLayout(t *testing.T) {
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	p.Property("layout", prop.ForAll(func(racks, perRack, most int) bool {
-		list := machines(racks, perRack)
+		list := newMachines(racks, perRack)
 		l := cluster.PlanLayout("s", list, most)
 		slices.Reverse(list)
 		if !slices.Equal(cluster.PlanLayout("s", list, most).Racks, l.Racks) || l.Shards < 1 || l.Shards > max(1, racks) {
@@ -45,7 +45,7 @@
 
 // TestChoices checks that a job's two choices are different shards, and that all are chosen.
 func TestChoices(t *testing.T) {
-	l := cluster.PlanLayout("s", machines(30, 12), 90)
+	l := cluster.PlanLayout("s", newMachines(30, 12), 90)
 	seen := make(map[int]bool)
 	for i := range 1000 {
 		c := l.CandidateShards(fmt.Sprintf("%016x", i))
@@ -61,7 +61,7 @@
 
 // TestSplit checks that the parts of a job hold each task once, on different shards.
 func TestSplit(t *testing.T) {
-	l := cluster.PlanLayout("s", machines(30, 12), 90)
+	l := cluster.PlanLayout("s", newMachines(30, 12), 90)
 	for _, count := range []int{1, 2, 3, 4, 31} {
 		job := cluster.Job{ID: "a", Service: "s", Steps: []cluster.Step{{Count: count, LongRunning: true}}}
 		if !job.Splittable() {
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -50,15 +50,15 @@
 	for i := range j.Steps {
 		widest = max(widest, j.Steps[i].Count)
 	}
-	return j.parts(first, min(widest, l.Shards), l, false)
+	return j.splitInto(first, min(widest, l.Shards), l, false)
 }
 
 // SplitJoint returns the job as its parts on all shards of a layout, which run its gangs
 // together. The shard that has it speaks for the whole job.
-func (j *Job) SplitJoint(l *Layout) []Job { return j.parts(j.Shard, l.Shards, l, true) }
+func (j *Job) SplitJoint(l *Layout) []Job { return j.splitInto(j.Shard, l.Shards, l, true) }
 
-// parts returns the job as so many parts, on shards of a layout from the first on.
-func (j *Job) parts(first, of int, l *Layout, joint bool) []Job {
+// splitInto returns the job as so many splitInto, on shards of a layout from the first on.
+func (j *Job) splitInto(first, of int, l *Layout, joint bool) []Job {
 	parts := make([]Job, of)
 	for i := range parts {
 		parts[i] = *j
--- a/internal/conns/answer.go
+++ b/internal/conns/answer.go
@@ -13,9 +13,9 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// answer is the body of an answer. It logs how far the answer had come if it
+// responseBody is the body of an responseBody. It logs how far the responseBody had come if it
 // breaks off, or is given up, before its end.
-type answer struct {
+type responseBody struct {
 	io.ReadCloser
 	t    *Transport
 	r    *http.Request
@@ -26,12 +26,12 @@
 }
 
 // Read reads what has arrived.
-func (a *answer) Read(b []byte) (int, error) {
+func (a *responseBody) Read(b []byte) (int, error) {
 	n, err := a.ReadCloser.Read(b)
 	if n > 0 {
 		a.bytes += int64(n)
 		a.usage.Received.Add(int64(n))
-		heard(a.r.Context())
+		recordProgress(a.r.Context())
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		a.t.Log.Info("answer broke off", events.ResponseAborted, zap.String("url", a.r.URL.String()), zap.Int64("bytes", a.bytes),
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -69,7 +69,7 @@
 	}
 	t := &Transport{Network: network, began: time.Now(), open: make(map[string]map[*conn]struct{})}
 	t.http = &http.Transport{
-		DialContext:         t.connect,
+		DialContext:         t.dial,
 		MaxIdleConnsPerHost: perHost, IdleConnTimeout: idle, DisableCompression: !network.Compressed,
 	}
 	return t
@@ -78,22 +78,22 @@
 // RoundTrip makes one call. One that fails closes the idle connections to its
 // address that have been silent since it was sent.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	sent, usage := t.now(), t.Usage.sending(r)
+	sent, usage := t.now(), t.Usage.countCall(r)
 	res, err := t.http.RoundTrip(r)
 	if err != nil {
-		t.closeSilent(dialled(r.URL), sent)
+		t.closeSilent(dialAddress(r.URL), sent)
 		return res, err
 	}
-	heard(r.Context())
-	res.Body = &answer{ReadCloser: res.Body, t: t, r: r, sent: sent, usage: usage}
+	recordProgress(r.Context())
+	res.Body = &responseBody{ReadCloser: res.Body, t: t, r: r, sent: sent, usage: usage}
 	return res, nil
 }
 
 // httpPort is dialled for a URL without a port; nothing here speaks TLS.
 const httpPort = "80"
 
-// dialled returns the address that is dialled for a URL.
-func dialled(u *url.URL) string {
+// dialAddress returns the address that is dialAddress for a URL.
+func dialAddress(u *url.URL) string {
 	return net.JoinHostPort(u.Hostname(), cmp.Or(u.Port(), httpPort))
 }
 
@@ -103,14 +103,14 @@
 // now returns the time since the transport was made, in nanoseconds.
 func (t *Transport) now() int64 { return int64(time.Since(t.began)) }
 
-// connect makes a connection and keeps an eye on it until it is closed.
-func (t *Transport) connect(ctx context.Context, network, address string) (net.Conn, error) {
+// dial makes a connection and keeps an eye on it until it is closed.
+func (t *Transport) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := t.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	k := &conn{Conn: c, t: t, address: address}
-	k.heard.Store(t.now())
+	k.lastRead.Store(t.now())
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.open[address] == nil {
@@ -126,7 +126,7 @@
 	t.mu.Lock()
 	var silent []*conn
 	for k := range t.open[address] {
-		if !k.awaiting.Load() && k.heard.Load() < since {
+		if !k.awaiting.Load() && k.lastRead.Load() < since {
 			silent = append(silent, k)
 		}
 	}
@@ -145,24 +145,24 @@
 	net.Conn
 	t       *Transport
 	address string
-	// heard is when something arrived last.
-	heard atomic.Int64
+	// lastRead is when something arrived last.
+	lastRead atomic.Int64
 	// awaiting is set from a request until its answer begins to arrive.
 	awaiting atomic.Bool
-	mark     atomic.Int64
+	tag      atomic.Int64
 }
 
 // Tagged is a connection of a Transport, on which its user may keep a number.
 type Tagged interface{ Tag() *atomic.Int64 }
 
 // Tag returns the number that is kept on the connection, 0 at first.
-func (k *conn) Tag() *atomic.Int64 { return &k.mark }
+func (k *conn) Tag() *atomic.Int64 { return &k.tag }
 
 // Read reads what arrives.
 func (k *conn) Read(b []byte) (int, error) {
 	n, err := k.Conn.Read(b)
 	if n > 0 {
-		k.heard.Store(k.t.now())
+		k.lastRead.Store(k.t.now())
 		k.awaiting.Store(false)
 	}
 	return n, err
--- a/internal/conns/limit.go
+++ b/internal/conns/limit.go
@@ -37,13 +37,13 @@
 	return fmt.Sprintf("conns: %s: %s: nothing arrived for %s", e.Op, e.Kind, e.After)
 }
 
-// limit ends a call of which nothing arrives.
-type limit struct {
+// stallTimer ends a call of which nothing arrives.
+type stallTimer struct {
 	timer   *time.Timer
 	arrived atomic.Bool
 }
 
-type limitKey struct{}
+type stallTimerKey struct{}
 
 // WithStallTimeout returns a context for a call by a Transport, or for several one after the
 // other. It ends when nothing of an answer has arrived within begin or, from then on,
@@ -54,7 +54,7 @@
 // configuration of 2,845 routes takes 0.6 s on an empty link of 10 Mbit/s.
 func WithStallTimeout(ctx context.Context, begin time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
-	l := &limit{}
+	l := &stallTimer{}
 	l.timer = time.AfterFunc(begin, func() {
 		if l.arrived.Load() {
 			cancel(&Error{"call", KindStalled, StallTimeout})
@@ -62,7 +62,7 @@
 		}
 		cancel(&Error{"call", KindSilent, begin})
 	})
-	return context.WithValue(c, limitKey{}, l), func() {
+	return context.WithValue(c, stallTimerKey{}, l), func() {
 		l.timer.Stop()
 		cancel(nil)
 	}
@@ -70,13 +70,13 @@
 
 // ResponseStarted reports whether the answer of a call under a limit has begun to arrive.
 func ResponseStarted(ctx context.Context) bool {
-	l, ok := ctx.Value(limitKey{}).(*limit)
+	l, ok := ctx.Value(stallTimerKey{}).(*stallTimer)
 	return ok && l.arrived.Load()
 }
 
-// heard notes that something of a call's answer has arrived.
-func heard(ctx context.Context) {
-	if l, ok := ctx.Value(limitKey{}).(*limit); ok && ctx.Err() == nil {
+// recordProgress notes that something of a call's answer has arrived.
+func recordProgress(ctx context.Context) {
+	if l, ok := ctx.Value(stallTimerKey{}).(*stallTimer); ok && ctx.Err() == nil {
 		l.arrived.Store(true)
 		l.timer.Reset(StallTimeout)
 	}
--- a/internal/conns/usage.go
+++ b/internal/conns/usage.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// sending counts a call that is about to be made.
-func (u *Usage) sending(r *http.Request) *PathUsage {
+// countCall counts a call that is about to be made.
+func (u *Usage) countCall(r *http.Request) *PathUsage {
 	p := u.of(r.URL.Path)
 	p.Calls.Add(1)
 	p.Sent.Add(max(r.ContentLength, 0))
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -14,7 +14,7 @@
 	inPage = regexp.MustCompile(`(?m)^\| (SB\d{4}) \|`)
 )
 
-func numbers(t *testing.T, file string, re *regexp.Regexp) []string {
+func eventCodes(t *testing.T, file string, re *regexp.Regexp) []string {
 	t.Helper()
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -30,7 +30,7 @@
 
 // TestCatalogue holds docs/events.md against the code: each number once in both.
 func TestCatalogue(t *testing.T) {
-	code, page := numbers(t, "events.go", inCode), numbers(t, "../../docs/events.md", inPage)
+	code, page := eventCodes(t, "events.go", inCode), eventCodes(t, "../../docs/events.md", inPage)
 	if !slices.Equal(code, page) {
 		t.Errorf("the code has %v\nthe page has %v", code, page)
 	}
--- a/internal/fanout/outbox.go
+++ b/internal/fanout/batcher.go
@@ -17,22 +17,22 @@
 // lineBytes is the size of the buffer for one packed line, so that most go out in one write.
 const lineBytes = 16 << 10
 
-// outbox gathers messages of one kind and writes them together, as one line of JSON.
-type outbox[T any] struct {
-	// beat is after how long an empty line is written if nothing else is; 0: never.
-	beat  time.Duration
-	ready chan struct{}
+// batcher gathers messages of one kind and writes them together, as one line of JSON.
+type batcher[T any] struct {
+	// keepalive is after how long an empty line is written if nothing else is; 0: never.
+	keepalive time.Duration
+	ready     chan struct{}
 
 	mu   sync.Mutex
 	list []T
 }
 
-func newOutbox[T any](beat time.Duration) *outbox[T] {
-	return &outbox[T]{beat: beat, ready: make(chan struct{}, 1), list: []T{}}
+func newBatcher[T any](beat time.Duration) *batcher[T] {
+	return &batcher[T]{keepalive: beat, ready: make(chan struct{}, 1), list: []T{}}
 }
 
 // add puts a message in.
-func (b *outbox[T]) add(v T) {
+func (b *batcher[T]) add(v T) {
 	b.mu.Lock()
 	b.list = append(b.list, v)
 	b.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// take takes all messages out.
-func (b *outbox[T]) take() []T {
+// drain takes all messages out.
+func (b *batcher[T]) drain() []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := b.list
@@ -54,15 +54,15 @@
 // run writes what comes to w, packed, until ctx ends or a write fails; flushed is called
 // after each line. What repeats from one message to the next, such as a job's text in the
 // starts of its tasks, takes some bytes only.
-func (b *outbox[T]) run(ctx context.Context, w io.Writer, flushed func() error) error {
-	whole := bufio.NewWriterSize(w, lineBytes)
-	packed, err := flate.NewWriter(whole, flate.BestSpeed)
+func (b *batcher[T]) run(ctx context.Context, w io.Writer, flushed func() error) error {
+	buffered := bufio.NewWriterSize(w, lineBytes)
+	compressed, err := flate.NewWriter(buffered, flate.BestSpeed)
 	if err != nil {
 		panic("fanout: the level of compression is a constant: " + err.Error())
 	}
 	var beat <-chan time.Time
-	if b.beat > 0 {
-		t := time.NewTicker(b.beat)
+	if b.keepalive > 0 {
+		t := time.NewTicker(b.keepalive)
 		defer t.Stop()
 		beat = t.C
 	}
@@ -72,19 +72,19 @@
 			return ctx.Err()
 		case <-beat:
 		case <-b.ready:
-			tables.Sleep(ctx, gather)
+			tables.Sleep(ctx, batchDelay)
 		}
-		line, err := json.Marshal(b.take())
+		line, err := json.Marshal(b.drain())
 		if err != nil {
 			panic("fanout: messages hold only strings and numbers: " + err.Error())
 		}
-		if _, err := packed.Write(line); err != nil {
+		if _, err := compressed.Write(line); err != nil {
 			return &Error{"write", KindBroken, err}
 		}
-		if err := packed.Flush(); err != nil {
+		if err := compressed.Flush(); err != nil {
 			return &Error{"write", KindBroken, err}
 		}
-		if err := whole.Flush(); err != nil {
+		if err := buffered.Flush(); err != nil {
 			return &Error{"write", KindBroken, err}
 		}
 		if err := flushed(); err != nil {
--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -38,19 +38,19 @@
 }
 
 const (
-	// helpersEvery is how often the helpers are chosen anew: nodes come and go.
-	helpersEvery = time.Second
-	// helpersGrow is by what factor more workers are called when they are chosen at once.
-	helpersGrow = 2
-	// suspectFor is how long a helper is left alone that has failed.
-	suspectFor = 2 * time.Second
-	// directFor is how long a worker is called directly that did not answer its helper: for
+	// chooseInterval is how often the helpers are chosen anew: nodes come and go.
+	chooseInterval = time.Second
+	// chooseGrowth is by what factor more workers are called when they are chosen at once.
+	chooseGrowth = 2
+	// suspectTime is how long a helper is left alone that has failed.
+	suspectTime = 2 * time.Second
+	// directTime is how long a worker is called directly that did not answer its helper: for
 	// the next hold, which tells whether the owner reaches it.
-	directFor = 500 * time.Millisecond
-	// triesMost is how many helpers one call may be handed to before it is made directly.
-	triesMost = 2
-	// workerGone is how long after its last call a worker no longer counts.
-	workerGone = 5 * time.Second
+	directTime = 500 * time.Millisecond
+	// maxHelperAttempts is how many helpers one call may be handed to before it is made directly.
+	maxHelperAttempts = 2
+	// workerExpiry is how long after its last call a worker no longer counts.
+	workerExpiry = 5 * time.Second
 )
 
 // Client makes the calls of workers of one owner. It is a Workers itself.
@@ -62,23 +62,23 @@
 	began time.Time
 
 	mu sync.Mutex
-	// seen is when each worker was called last.
-	seen    map[string]time.Time
-	helpers []Helper
+	// lastCall is when each worker was called last.
+	lastCall map[string]time.Time
+	helpers  []Helper
 	// chosenAt is when the helpers were chosen, and chosenFor for how many workers.
 	chosenAt  time.Time
 	chosenFor int
 	streams   map[string]*stream
-	// suspect is until when a helper is left alone, and direct until when a worker is
+	// suspectUntil is until when a helper is left alone, and directUntil until when a worker is
 	// called directly.
-	suspect, direct map[string]time.Time
+	suspectUntil, directUntil map[string]time.Time
 }
 
 // New returns a Client, which is to be closed.
 func New(cfg Config) *Client {
 	c := &Client{
-		Config: cfg, began: time.Now(), seen: make(map[string]time.Time), streams: make(map[string]*stream),
-		suspect: make(map[string]time.Time), direct: make(map[string]time.Time),
+		Config: cfg, began: time.Now(), lastCall: make(map[string]time.Time), streams: make(map[string]*stream),
+		suspectUntil: make(map[string]time.Time), directUntil: make(map[string]time.Time),
 	}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	return c
@@ -91,28 +91,28 @@
 func (c *Client) Start(ctx context.Context, order cluster.StartOrder) cluster.Reply {
 	m := newCall(opStart, order.Order)
 	m.Task, m.Run, m.Spec, m.Checkpoint, m.Ticket = order.Task.String(), order.Run, order.Spec, order.Checkpoint, order.Ticket
-	return c.do(ctx, m).Reply
+	return c.dispatch(ctx, m).Reply
 }
 
 // Stop orders a run to stop.
 func (c *Client) Stop(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64) cluster.Reply {
 	m := newCall(opStop, order)
 	m.Task, m.Run = task.String(), run
-	return c.do(ctx, m).Reply
+	return c.dispatch(ctx, m).Reply
 }
 
 // Pace sets the share at which a run works.
 func (c *Client) Pace(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64, percent int) cluster.Reply {
 	m := newCall(opPace, order)
 	m.Task, m.Run, m.Percent = task.String(), run, percent
-	return c.do(ctx, m).Reply
+	return c.dispatch(ctx, m).Reply
 }
 
 // Hold renews the lease, confirms ends and reads what runs and has ended.
 func (c *Client) Hold(ctx context.Context, order cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply) {
 	m := newCall(opHold, order)
 	m.LastSeen, m.WaitMS = lastSeen, wait.Milliseconds()
-	a := c.do(ctx, m)
+	a := c.dispatch(ctx, m)
 	if a.Report == nil {
 		return cluster.Report{}, a.Reply
 	}
@@ -124,19 +124,19 @@
 	return r, a.Reply
 }
 
-// do makes a call by way of a helper, of another one if that fails, and directly if there
+// dispatch makes a call by way of a helper, of another one if that fails, and directly if there
 // is none: helpers that all fail at once tell of the owner's own link, which direct calls
 // would fill. A worker that has the call already answers as to the first one: runs and
 // ends have numbers.
-func (c *Client) do(ctx context.Context, m call) answer {
+func (c *Client) dispatch(ctx context.Context, m call) answer {
 	began, maySent := time.Now(), false
-	for range triesMost {
+	for range maxHelperAttempts {
 		s := c.streamFor(m.Worker)
 		if s == nil {
 			break
 		}
-		m.SentMS, m.LimitMS = time.Since(c.began).Milliseconds(), leftMS(ctx)
-		a, ok := s.do(ctx, m)
+		m.SentMS, m.LimitMS = time.Since(c.began).Milliseconds(), remainingMS(ctx)
+		a, ok := s.call(ctx, m)
 		switch {
 		case ok && a.Reply == cluster.ReplyNotSent:
 			c.callDirectly(m.Worker)
@@ -145,9 +145,9 @@
 			c.callDirectly(m.Worker)
 			return a
 		case ok:
-			return settled(a, maySent)
+			return finalAnswer(a, maySent)
 		}
-		c.failed(s)
+		c.dropOnce(s)
 		if ctx.Err() != nil {
 			return answer{Reply: cluster.ReplyUnknown}
 		}
@@ -157,7 +157,7 @@
 	if maySent && c.hasHelpers() {
 		return answer{Reply: cluster.ReplyUnknown}
 	}
-	return settled(m.make(ctx, c.Direct), maySent)
+	return finalAnswer(m.execute(ctx, c.Direct), maySent)
 }
 
 // hasHelpers reports whether any helper is chosen.
@@ -167,9 +167,9 @@
 	return len(c.helpers) > 0
 }
 
-// settled returns the answer to a call that an earlier helper may have made too: that
+// finalAnswer returns the answer to a call that an earlier helper may have made too: that
 // nothing was done is then not known any more.
-func settled(a answer, maySent bool) answer {
+func finalAnswer(a answer, maySent bool) answer {
 	if !maySent {
 		return a
 	}
@@ -185,20 +185,20 @@
 func (c *Client) callDirectly(worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.direct[worker] = time.Now().Add(directFor)
+	c.directUntil[worker] = time.Now().Add(directTime)
 }
 
-// leftMS returns how long a call may take.
-func leftMS(ctx context.Context) int64 {
+// remainingMS returns how long a call may take.
+func remainingMS(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return callMost.Milliseconds()
+		return defaultCallTimeout.Milliseconds()
 	}
 	return max(1, time.Until(deadline).Milliseconds())
 }
 
-// callMost bounds a call without a deadline.
-const callMost = 3 * time.Second
+// defaultCallTimeout bounds a call without a deadline.
+const defaultCallTimeout = 3 * time.Second
 
 // streamFor returns the connection to the helper of a worker; nil: it is called directly.
 // Each worker has its helper by rendezvous hash, so that few change theirs when the
@@ -207,12 +207,12 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen[worker] = now
-	if now.Before(c.direct[worker]) || c.ctx.Err() != nil {
+	c.lastCall[worker] = now
+	if now.Before(c.directUntil[worker]) || c.ctx.Err() != nil {
 		return nil
 	}
-	if now.Sub(c.chosenAt) >= helpersEvery || len(c.seen) > helpersGrow*c.chosenFor {
-		c.choose(now)
+	if now.Sub(c.chosenAt) >= chooseInterval || len(c.lastCall) > chooseGrowth*c.chosenFor {
+		c.chooseHelpers(now)
 	}
 	best := c.helperFor(worker, now)
 	if best == nil {
@@ -223,7 +223,7 @@
 		c.drop(s)
 		best = c.helperFor(worker, now)
 	}
-	return c.open(*best)
+	return c.streamTo(*best)
 }
 
 // helperFor returns the helper of a worker; one that has failed lately counts only if all
@@ -234,7 +234,7 @@
 	var bestSuspect bool
 	for i := range c.helpers {
 		h := &c.helpers[i]
-		suspect, weight := now.Before(c.suspect[h.Name]), xxhash.Sum64String(h.Name+"/"+worker)
+		suspect, weight := now.Before(c.suspectUntil[h.Name]), xxhash.Sum64String(h.Name+"/"+worker)
 		if best == nil || (bestSuspect && !suspect) || (bestSuspect == suspect && weight > most) {
 			best, most, bestSuspect = h, weight, suspect
 		}
@@ -242,16 +242,16 @@
 	return best
 }
 
-// choose chooses the helpers anew. The caller holds mu.
-func (c *Client) choose(now time.Time) {
+// chooseHelpers chooses the helpers anew. The caller holds mu.
+func (c *Client) chooseHelpers(now time.Time) {
 	c.chosenAt = now
-	for id, at := range c.seen {
-		if now.Sub(at) > workerGone {
-			delete(c.seen, id)
-			delete(c.direct, id)
+	for id, at := range c.lastCall {
+		if now.Sub(at) > workerExpiry {
+			delete(c.lastCall, id)
+			delete(c.directUntil, id)
 		}
 	}
-	c.chosenFor = max(len(c.seen), c.Workers)
+	c.chosenFor = max(len(c.lastCall), c.Workers)
 	list, needed := c.Helpers(c.chosenFor)
 	if needed && len(list) == 0 {
 		// Nobody answers here: that tells of this node, and those it had may be there.
@@ -270,32 +270,32 @@
 	}
 }
 
-// open returns the connection to a helper. One that has just failed fails its call as well,
+// streamTo returns the connection to a helper. One that has just failed fails its call as well,
 // which notes that: opened anew here, its helper would go on without being suspected, and
 // calls that had failed on the old one would be handed to it again. The caller holds mu.
-func (c *Client) open(h Helper) *stream {
+func (c *Client) streamTo(h Helper) *stream {
 	s := c.streams[h.Name]
 	if s == nil {
-		s = openStream(c.ctx, c.Client, h, func() time.Duration { return c.patienceWith(h.Name) })
+		s = openStream(c.ctx, c.Client, h, func() time.Duration { return c.silenceLimit(h.Name) })
 		c.streams[h.Name] = s
 	}
 	return s
 }
 
-// patienceWith returns how long a helper may say nothing: less if others have been heard.
-func (c *Client) patienceWith(name string) time.Duration {
+// silenceLimit returns how long a helper may say nothing: less if others have been heard.
+func (c *Client) silenceLimit(name string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for other, s := range c.streams {
-		if other != name && s.silentFor(time.Time{}) < silentAfter {
-			return silentAfter
+		if other != name && s.silentFor(time.Time{}) < helperSilence {
+			return helperSilence
 		}
 	}
-	return silentAll
+	return allHelpersSilence
 }
 
-// failed notes that a connection has ended, unless that is noted already.
-func (c *Client) failed(s *stream) {
+// dropOnce notes that a connection has ended, unless that is noted already.
+func (c *Client) dropOnce(s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.streams[s.helper.Name] == s {
@@ -307,7 +307,7 @@
 // caller holds mu.
 func (c *Client) drop(s *stream) {
 	delete(c.streams, s.helper.Name)
-	c.suspect[s.helper.Name] = time.Now().Add(suspectFor)
+	c.suspectUntil[s.helper.Name] = time.Now().Add(suspectTime)
 	if c.ctx.Err() == nil {
 		c.OnFailure(s.helper.Name)
 		c.Log.Info("helper has failed", events.HelperFailed, zap.String("peer", s.helper.Name), zap.Error(context.Cause(s.ctx)))
--- a/internal/fanout/delay.go
+++ b/internal/fanout/delay.go
@@ -8,33 +8,33 @@
 // drift apart by 4 %, which is 0.2 s in twice that time.
 const delayWindow = 2500 * time.Millisecond
 
-// delays tells how much later calls come than others of the same connection. The two
+// delayEstimator tells how much later calls come than others of the same connection. The two
 // hosts' clocks have nothing in common but their pace.
-type delays struct {
+type delayEstimator struct {
 	began time.Time
-	// least are the least differences of the two clocks seen in this window and the last.
-	least [2]int64
-	since time.Time
+	// minDiffs are the minDiffs differences of the two clocks seen in this window and the last.
+	minDiffs    [2]int64
+	windowStart time.Time
 }
 
-func newDelays() *delays {
+func newDelayEstimator() *delayEstimator {
 	now := time.Now()
-	return &delays{began: now, since: now, least: [2]int64{never, never}}
+	return &delayEstimator{began: now, windowStart: now, minDiffs: [2]int64{noDelay, noDelay}}
 }
 
-// never is more than any difference of clocks.
-const never = 1 << 62
+// noDelay is more than any difference of clocks.
+const noDelay = 1 << 62
 
-// of returns how much later than others a call came that was sent then.
-func (d *delays) of(sentMS int64) time.Duration {
+// observe returns how much later than others a call came that was sent then.
+func (d *delayEstimator) observe(sentMS int64) time.Duration {
 	now := time.Now()
-	if now.Sub(d.since) > delayWindow {
-		d.since, d.least = now, [2]int64{never, d.least[0]}
+	if now.Sub(d.windowStart) > delayWindow {
+		d.windowStart, d.minDiffs = now, [2]int64{noDelay, d.minDiffs[0]}
 	}
 	diff := now.Sub(d.began).Milliseconds() - sentMS
-	usual := min(d.least[0], d.least[1])
-	d.least[0] = min(d.least[0], diff)
-	if usual == never {
+	usual := min(d.minDiffs[0], d.minDiffs[1])
+	d.minDiffs[0] = min(d.minDiffs[0], diff)
+	if usual == noDelay {
 		return 0
 	}
 	return time.Duration(max(0, diff-usual)) * time.Millisecond
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// make carries a call out.
-func (c *call) make(ctx context.Context, w Workers) answer {
+// execute carries a call out.
+func (c *call) execute(ctx context.Context, w Workers) answer {
 	a := answer{N: c.N, Reply: cluster.ReplyInvalid}
 	order := cluster.Order{
 		Worker: c.Worker, Started: c.Started, Address: c.Address,
@@ -204,7 +204,7 @@
 	return a
 }
 
-// gather is how long calls, and answers, are gathered before they are sent on: it delays
+// batchDelay is how long calls, and answers, are gathered before they are sent on: it delays
 // a start, and the news of its end, by this much, and saves a write and a wake-up on both
 // sides for each that comes in that time.
-const gather = 3 * time.Millisecond
+const batchDelay = 3 * time.Millisecond
--- a/internal/fanout/server.go
+++ b/internal/fanout/server.go
@@ -53,7 +53,7 @@
 	if err := rc.Flush(); err != nil {
 		return
 	}
-	answers := newOutbox[answer](beatEvery)
+	answers := newBatcher[answer](keepaliveInterval)
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer cancel()
@@ -65,16 +65,16 @@
 	// The body is read in a goroutine of its own, since a read doesn't end with ctx.
 	go func() {
 		defer cancel()
-		s.read(ctx, r.Body, answers)
+		s.readCalls(ctx, r.Body, answers)
 	}()
 	<-ctx.Done()
 	// A read that goes on ends with this.
 	_ = rc.SetReadDeadline(time.Now())
 }
 
-// read makes the calls that come, until the body ends.
-func (s *Server) read(ctx context.Context, body io.Reader, answers *outbox[answer]) {
-	delay := newDelays()
+// readCalls makes the calls that come, until the body ends.
+func (s *Server) readCalls(ctx context.Context, body io.Reader, answers *batcher[answer]) {
+	delay := newDelayEstimator()
 	for d := json.NewDecoder(flate.NewReader(body)); ctx.Err() == nil; {
 		var calls []call
 		if err := d.Decode(&calls); err != nil {
@@ -84,14 +84,14 @@
 			return
 		}
 		for i := range calls {
-			go s.make(ctx, &calls[i], delay.of(calls[i].SentMS), answers)
+			go s.execute(ctx, &calls[i], delay.observe(calls[i].SentMS), answers)
 		}
 	}
 }
 
-// make makes one call that came so much later than others do, unless its time is over: a
+// execute makes one call that came so much later than others do, unless its time is over: a
 // helper that stood still must not carry out orders that the owner has long given up.
-func (s *Server) make(ctx context.Context, c *call, late time.Duration, answers *outbox[answer]) {
+func (s *Server) execute(ctx context.Context, c *call, late time.Duration, answers *batcher[answer]) {
 	left := time.Duration(c.LimitMS)*time.Millisecond - late
 	if left <= 0 {
 		answers.add(answer{N: c.N, Reply: cluster.ReplyNotSent})
@@ -100,7 +100,7 @@
 	limited, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	// What was cut short because the connection ends tells nothing of the worker.
-	if a := c.make(limited, s.workers); ctx.Err() == nil {
+	if a := c.execute(limited, s.workers); ctx.Err() == nil {
 		answers.add(a)
 	}
 }
--- a/internal/fanout/stream.go
+++ b/internal/fanout/stream.go
@@ -19,25 +19,25 @@
 // stream is the connection to one helper.
 type stream struct {
 	helper Helper
-	calls  *outbox[call]
+	calls  *batcher[call]
 	ctx    context.Context
 	fail   context.CancelCauseFunc
 
-	// patience returns how long the helper may say nothing.
-	patience func() time.Duration
+	// silenceLimit returns how long the helper may say nothing.
+	silenceLimit func() time.Duration
 
-	mu    sync.Mutex
-	next  int64
-	open  map[int64]chan answer
-	heard time.Time
+	mu         sync.Mutex
+	lastNumber int64
+	pending    map[int64]chan answer
+	lastHeard  time.Time
 }
 
 // openStream connects to a helper. Calls may be made at once; they fail if that doesn't succeed.
 func openStream(ctx context.Context, client *http.Client, helper Helper, patience func() time.Duration) *stream {
-	s := &stream{helper: helper, patience: patience, calls: newOutbox[call](0), open: make(map[int64]chan answer), heard: time.Now()}
+	s := &stream{helper: helper, silenceLimit: patience, calls: newBatcher[call](0), pending: make(map[int64]chan answer), lastHeard: time.Now()}
 	s.ctx, s.fail = context.WithCancelCause(ctx)
 	body, lines := io.Pipe()
-	go func() { s.fail(s.read(client, body)) }()
+	go func() { s.fail(s.readAnswers(client, body)) }()
 	go func() {
 		err := s.calls.run(s.ctx, lines, func() error { return nil })
 		s.fail(err)
@@ -47,8 +47,8 @@
 	return s
 }
 
-// read makes the request and takes the answers, until the connection ends.
-func (s *stream) read(client *http.Client, body io.Reader) error {
+// readAnswers makes the request and takes the answers, until the connection ends.
+func (s *stream) readAnswers(client *http.Client, body io.Reader) error {
 	r, err := http.NewRequestWithContext(s.ctx, http.MethodPost, s.helper.URL, body)
 	if err != nil {
 		return &Error{"open", KindOpen, err}
@@ -66,33 +66,33 @@
 		if err := d.Decode(&list); err != nil {
 			return &Error{"read", KindBroken, err}
 		}
-		s.take(list)
+		s.deliver(list)
 	}
 }
 
-// take hands answers to those who wait for them.
-func (s *stream) take(list []answer) {
+// deliver hands answers to those who wait for them.
+func (s *stream) deliver(list []answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = time.Now()
+	s.lastHeard = time.Now()
 	for _, a := range list {
-		if waiting := s.open[a.N]; waiting != nil {
-			delete(s.open, a.N)
+		if waiting := s.pending[a.N]; waiting != nil {
+			delete(s.pending, a.N)
 			waiting <- a
 		}
 	}
 }
 
-// do makes a call by way of the helper; ok is false if the helper is to blame that there
+// call makes a call by way of the helper; ok is false if the helper is to blame that there
 // is no answer.
-func (s *stream) do(ctx context.Context, c call) (a answer, ok bool) {
+func (s *stream) call(ctx context.Context, c call) (a answer, ok bool) {
 	waiting := make(chan answer, 1)
 	n, sent := s.begin(waiting), time.Now()
 	defer s.end(n)
 	c.N = n
 	s.calls.add(c)
-	look := time.NewTimer(silentAfter)
-	defer look.Stop()
+	check := time.NewTimer(helperSilence)
+	defer check.Stop()
 	for {
 		select {
 		case a = <-waiting:
@@ -101,13 +101,13 @@
 			return a, false
 		case <-ctx.Done():
 			return answer{Reply: cluster.ReplyUnknown}, true
-		case <-look.C:
+		case <-check.C:
 		}
-		if s.silentFor(sent) >= s.patience() {
+		if s.silentFor(sent) >= s.silenceLimit() {
 			s.fail(&Error{"call", KindSilent, errors.New("the helper says nothing")})
 			return a, false
 		}
-		look.Reset(silentAfter)
+		check.Reset(helperSilence)
 	}
 }
 
@@ -115,36 +115,36 @@
 func (s *stream) begin(waiting chan answer) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.open[s.next] = waiting
-	return s.next
+	s.lastNumber++
+	s.pending[s.lastNumber] = waiting
+	return s.lastNumber
 }
 
 // end forgets a call.
 func (s *stream) end(n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, n)
+	delete(s.pending, n)
 }
 
 // silentFor returns for how long the helper has said nothing since a call was sent.
 func (s *stream) silentFor(sent time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heard.Before(sent) {
+	if s.lastHeard.Before(sent) {
 		return time.Since(sent)
 	}
-	return time.Since(s.heard)
+	return time.Since(s.lastHeard)
 }
 
 const (
-	// silentAfter is how long a helper may say nothing while calls are open: one that has
+	// helperSilence is how long a helper may say nothing while calls are open: one that has
 	// used up its processor quota stands still for 0.1 s.
-	silentAfter = 200 * time.Millisecond
-	// silentAll is the same if no other helper has said anything lately either: it is more
+	helperSilence = 200 * time.Millisecond
+	// allHelpersSilence is the same if no other helper has said anything lately either: it is more
 	// likely the owner's host or link that stands still.
-	silentAll = 600 * time.Millisecond
-	// beatEvery is how often a helper says that it is there while calls are open and no
+	allHelpersSilence = 600 * time.Millisecond
+	// keepaliveInterval is how often a helper says that it is there while calls are open and no
 	// worker answers.
-	beatEvery = 70 * time.Millisecond
+	keepaliveInterval = 70 * time.Millisecond
 )
