--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -33,26 +33,26 @@
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]bool
-	// cut holds the directed pairs between which nothing passes, "*" for all.
-	cut map[link]bool
+	// partitioned holds the directed pairs between which nothing passes, "*" for all.
+	partitioned map[hostPair]bool
 	// stalled holds the directed pairs between which bytes are on their way for now.
-	stalled map[link]bool
+	stalled map[hostPair]bool
 	// paused holds the hosts that neither send nor receive now.
 	paused map[string]chan struct{}
-	// in and out are what each host receives and sends over its link.
-	in, out map[string]*lane
+	// received and sent are what each host receives and sends over its link.
+	received, sent map[string]*direction
 	// quotas are the shares of a processor that hosts have for what they send and receive.
-	quotas map[string]*quota
+	quotas map[string]*cpuQuota
 }
 
-type link struct{ from, to string }
+type hostPair struct{ from, to string }
 
 // New returns a network without hosts.
 func New() *Network {
 	return &Network{
 		listeners: make(map[string]*listener), conns: make(map[*conn]bool),
-		cut: make(map[link]bool), stalled: make(map[link]bool), paused: make(map[string]chan struct{}),
-		in: make(map[string]*lane), out: make(map[string]*lane), quotas: make(map[string]*quota),
+		partitioned: make(map[hostPair]bool), stalled: make(map[hostPair]bool), paused: make(map[string]chan struct{}),
+		received: make(map[string]*direction), sent: make(map[string]*direction), quotas: make(map[string]*cpuQuota),
 	}
 }
 
@@ -68,14 +68,14 @@
 }
 
 // SetPartitioned cuts or mends everything between two hosts; "*" stands for all.
-func (n *Network) SetPartitioned(a, b string, cut bool) {
+func (n *Network) SetPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range []link{{a, b}, {b, a}} {
-		if cut {
-			n.cut[l] = true
+	for _, l := range []hostPair{{a, b}, {b, a}} {
+		if partitioned {
+			n.partitioned[l] = true
 		} else {
-			delete(n.cut, l)
+			delete(n.partitioned, l)
 		}
 	}
 }
@@ -85,13 +85,13 @@
 func (n *Network) Stall(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stalled[link{from, to}] = true
+	n.stalled[hostPair{from, to}] = true
 }
 
 // Release lets what Stall has held arrive.
 func (n *Network) Release(from, to string) {
 	n.mu.Lock()
-	delete(n.stalled, link{from, to})
+	delete(n.stalled, hostPair{from, to})
 	var held []*conn
 	for c := range n.conns {
 		if c.local == from && c.remote == to {
@@ -108,14 +108,14 @@
 func (n *Network) isStalled(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stalled[link{from, to}]
+	return n.stalled[hostPair{from, to}]
 }
 
 // IsPartitioned reports whether nothing passes from one host to another.
 func (n *Network) IsPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[link{from, to}] || n.cut[link{from, "*"}] || n.cut[link{"*", to}]
+	return n.partitioned[hostPair{from, to}] || n.partitioned[hostPair{from, "*"}] || n.partitioned[hostPair{"*", to}]
 }
 
 // Pause holds a host's traffic back until Resume.
@@ -156,25 +156,25 @@
 // ResetConnections closes all connections of a host, as the end of its process does.
 func (n *Network) ResetConnections(host string) {
 	n.mu.Lock()
-	var mine []*conn
+	var affected []*conn
 	for c := range n.conns {
 		if c.local == host || c.remote == host {
-			mine = append(mine, c)
+			affected = append(affected, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range mine {
+	for _, c := range affected {
 		_ = c.Close()
 	}
 }
 
 // SilenceOpenConnections makes all connections that are open now, but for those of one host, pass
 // nothing any more, without closing them; new ones work.
-func (n *Network) SilenceOpenConnections(but string) {
+func (n *Network) SilenceOpenConnections(except string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if c.local != but && c.remote != but {
+		if c.local != except && c.remote != except {
 			c.silent.Store(true)
 		}
 	}
@@ -229,16 +229,16 @@
 		l := n.listeners[to]
 		n.mu.Unlock()
 		if l == nil {
-			return nil, refused(to)
+			return nil, refusedError(to)
 		}
 		a, b := net.Pipe()
-		near := n.conn(a, from, HostOf(to))
-		far := n.conn(b, HostOf(to), from)
+		local := n.newConn(a, from, HostOf(to))
+		remote := n.newConn(b, HostOf(to), from)
 		select {
-		case l.backlog <- far:
-			return near, nil
+		case l.backlog <- remote:
+			return local, nil
 		case <-l.closed:
-			return nil, refused(to)
+			return nil, refusedError(to)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -260,12 +260,12 @@
 	closing bool
 }
 
-func (n *Network) conn(c net.Conn, local, remote string) *conn {
-	mc := &conn{Conn: c, n: n, local: local, remote: remote, closed: make(chan struct{})}
+func (n *Network) newConn(c net.Conn, local, remote string) *conn {
+	wrapped := &conn{Conn: c, n: n, local: local, remote: remote, closed: make(chan struct{})}
 	n.mu.Lock()
-	n.conns[mc] = true
+	n.conns[wrapped] = true
 	n.mu.Unlock()
-	return mc
+	return wrapped
 }
 
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
@@ -282,13 +282,13 @@
 	if c.silent.Load() || c.n.IsPartitioned(c.local, c.remote) {
 		return len(b), nil
 	}
-	if c.hold(b) {
+	if c.holdIfStalled(b) {
 		return len(b), nil
 	}
 	written := 0
 	for {
-		chunk := b[written:min(len(b), written+maxChunk)]
-		if err := c.n.carry(c.local, c.remote, len(chunk), c.closed); err != nil {
+		chunk := b[written:min(len(b), written+maxChunkBytes)]
+		if err := c.n.waitForLink(c.local, c.remote, len(chunk), c.closed); err != nil {
 			return written, err
 		}
 		n, err := c.Conn.Write(chunk)
@@ -298,8 +298,8 @@
 	}
 }
 
-// hold keeps what is written while the way is stalled, and reports whether it did.
-func (c *conn) hold(b []byte) bool {
+// holdIfStalled keeps what is written while the way is stalled, and reports whether it did.
+func (c *conn) holdIfStalled(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.held) == 0 && !c.n.isStalled(c.local, c.remote) {
@@ -324,8 +324,8 @@
 	}
 }
 
-// closeLater leaves the closing of a connection to deliver while something is on its way.
-func (c *conn) closeLater() bool {
+// deferClose leaves the closing of a connection to deliver while something is on its way.
+func (c *conn) deferClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = c.closing || len(c.held) > 0
@@ -333,7 +333,7 @@
 }
 
 func (c *conn) Close() error {
-	if c.closeLater() {
+	if c.deferClose() {
 		return nil
 	}
 	c.once.Do(func() {
@@ -345,7 +345,7 @@
 	return c.Conn.Close()
 }
 
-// refused is the error of a dial to an address on which nothing listens.
-func refused(to string) error {
+// refusedError is the error of a dial to an address on which nothing listens.
+func refusedError(to string) error {
 	return &net.OpError{Op: "dial", Net: "mem", Addr: addr(to), Err: errors.New("connection refused")}
 }
