--- a/standin/network/link.go
+++ b/standin/network/link.go
@@ -4,34 +4,35 @@
 
 import "time"
 
-// maxChunkBytes is how much of what is written passes a link at once; what several
-// connections write takes turns. A packet's size would cost too many timers.
+// maxChunkBytes is how much of a write passes a link at once, so that the connections of a
+// host share its bandwidth. Chunks of the size of a packet would need too many timers.
 const maxChunkBytes = 16 << 10
 
 // direction is one direction of a host's link.
 type direction struct {
-	// bandwidth is in bytes a second; 0: no limit.
+	// bandwidth is in bytes per second; 0: unlimited.
 	bandwidth int
-	// idleAt is when all that was given to the lane so far has passed.
+	// idleAt is when all bytes that have been scheduled so far will have passed.
 	idleAt time.Time
-	// bytes is how much was given to it.
+	// bytes is how many bytes have been scheduled so far.
 	bytes int64
 }
 
-// schedule lets n bytes pass, and returns when they have.
-func (l *direction) schedule(n int, now time.Time) time.Time {
-	l.bytes += int64(n)
-	if l.bandwidth == 0 {
+// schedule queues n bytes behind those that came before, and returns when they will have
+// passed.
+func (d *direction) schedule(n int, now time.Time) time.Time {
+	d.bytes += int64(n)
+	if d.bandwidth == 0 {
 		return now
 	}
-	if l.idleAt.Before(now) {
-		l.idleAt = now
+	if d.idleAt.Before(now) {
+		d.idleAt = now
 	}
-	l.idleAt = l.idleAt.Add(time.Duration(n) * time.Second / time.Duration(l.bandwidth))
-	return l.idleAt
+	d.idleAt = d.idleAt.Add(time.Duration(n) * time.Second / time.Duration(d.bandwidth))
+	return d.idleAt
 }
 
-// SetBandwidth limits what a host receives, and what it sends, to so many bytes a second each.
+// SetBandwidth limits each direction of a host's link to a number of bytes per second.
 func (n *Network) SetBandwidth(host string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -39,24 +40,26 @@
 	directionOf(n.sent, host).bandwidth = bytesPerSecond
 }
 
-// ReceivedBytes returns how many bytes were sent to a host so far.
+// ReceivedBytes returns how many bytes have been sent to a host so far.
 func (n *Network) ReceivedBytes(host string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return directionOf(n.received, host).bytes
 }
 
-// directionOf returns a host's lane in one direction. The caller holds mu.
+// directionOf returns the direction of a host's link, which it adds if the host is new. The
+// caller holds mu.
 func directionOf(directions map[string]*direction, host string) *direction {
-	l := directions[host]
-	if l == nil {
-		l = &direction{}
-		directions[host] = l
+	d := directions[host]
+	if d == nil {
+		d = &direction{}
+		directions[host] = d
 	}
-	return l
+	return d
 }
 
-// waitForLink waits until size bytes have passed both hosts' links, or closed is closed.
+// waitForLink waits until size bytes have passed the links of both hosts and their processors
+// have handled them. It returns an error if closed is closed before.
 func (n *Network) waitForLink(from, to string, size int, closed <-chan struct{}) error {
 	n.mu.Lock()
 	now := time.Now()
--- a/standin/network/network.go
+++ b/standin/network/network.go
@@ -1,15 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package network is an in-memory network of hosts for tests in virtual time:
-// whole nodes and stand-ins talk over it, and it can be cut, paused and reset.
+// Package network is an in-memory network of hosts for tests in virtual time.
+// Whole nodes and stand-ins communicate over it. Tests can partition hosts, pause
+// them, close their connections, hold data in transit, and limit the bandwidth
+// and the processor time of a host.
 //
 // # Usage
 //
 //	n := network.New()
 //	l := n.Listen("n0:1")
 //	client := &http.Transport{DialContext: n.Dial("n1")}
-//	n.SetCut("n0", "n1", true)
-//	n.SetRate("n2", 1_250_000) // a link of 10 Mbit/s
+//	n.SetPartitioned("n0", "n1", true)
+//	n.SetBandwidth("n2", 1_250_000) // a link of 10 Mbit/s
 package network
 
 import (
@@ -22,7 +24,7 @@
 	"time"
 )
 
-// dialTimeout bounds a dial to a host that is cut off or takes no connection.
+// dialTimeout bounds a dial to a host that is partitioned or accepts no connection.
 const dialTimeout = 2 * time.Second
 
 var errClosed = errors.New("connection closed")
@@ -33,18 +35,20 @@
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]bool
-	// partitioned holds the directed pairs between which nothing passes, "*" for all.
+	// partitioned holds the pairs of hosts between which all data is lost; "*" is any host.
 	partitioned map[hostPair]bool
-	// stalled holds the directed pairs between which bytes are on their way for now.
+	// stalled holds the pairs of hosts between which data is held in transit.
 	stalled map[hostPair]bool
-	// paused holds the hosts that neither send nor receive now.
+	// paused holds the hosts that neither send nor receive; the channel of a host is closed
+	// when it resumes.
 	paused map[string]chan struct{}
-	// received and sent are what each host receives and sends over its link.
+	// received and sent are the two directions of each host's link.
 	received, sent map[string]*direction
-	// quotas are the shares of a processor that hosts have for what they send and receive.
+	// quotas are the processor quotas of the hosts that have one.
 	quotas map[string]*cpuQuota
 }
 
+// hostPair names a sending and a receiving host.
 type hostPair struct{ from, to string }
 
 // New returns a network without hosts.
@@ -67,28 +71,30 @@
 	return host
 }
 
-// SetPartitioned cuts or mends everything between two hosts; "*" stands for all.
+// SetPartitioned starts or ends a partition between two hosts, in both directions; "*" stands
+// for any host.
 func (n *Network) SetPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range []hostPair{{a, b}, {b, a}} {
+	for _, p := range []hostPair{{a, b}, {b, a}} {
 		if partitioned {
-			n.partitioned[l] = true
+			n.partitioned[p] = true
 		} else {
-			delete(n.partitioned, l)
+			delete(n.partitioned, p)
 		}
 	}
 }
 
-// Stall holds what one host sends to another on its way: it is taken from the sender, also
-// from one that closes its connection then, and arrives once Release is called.
+// Stall holds the data that one host sends to another in transit until Release is called. The
+// sender's writes succeed, and the data arrives even if the sender closes its connection
+// meanwhile.
 func (n *Network) Stall(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stalled[hostPair{from, to}] = true
 }
 
-// Release lets what Stall has held arrive.
+// Release ends a stall and delivers the data that was held.
 func (n *Network) Release(from, to string) {
 	n.mu.Lock()
 	delete(n.stalled, hostPair{from, to})
@@ -104,21 +110,21 @@
 	}
 }
 
-// isStalled reports whether what one host sends to another is held on its way.
+// isStalled reports whether the data that one host sends to another is held in transit.
 func (n *Network) isStalled(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stalled[hostPair{from, to}]
 }
 
-// IsPartitioned reports whether nothing passes from one host to another.
+// IsPartitioned reports whether all data from one host to another is lost.
 func (n *Network) IsPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.partitioned[hostPair{from, to}] || n.partitioned[hostPair{from, "*"}] || n.partitioned[hostPair{"*", to}]
 }
 
-// Pause holds a host's traffic back until Resume.
+// Pause blocks a host's dials, and all writes from and to it, until Resume.
 func (n *Network) Pause(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,7 +133,7 @@
 	}
 }
 
-// Resume lets a paused host go on.
+// Resume ends the pause of a host.
 func (n *Network) Resume(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,7 +143,8 @@
 	}
 }
 
-// WaitWhilePaused blocks while host is paused.
+// WaitWhilePaused blocks while a host is paused. It returns an error if closed is closed before
+// the host resumes.
 func (n *Network) WaitWhilePaused(host string, closed <-chan struct{}) error {
 	n.mu.Lock()
 	ch := n.paused[host]
@@ -153,7 +160,7 @@
 	}
 }
 
-// ResetConnections closes all connections of a host, as the end of its process does.
+// ResetConnections closes all connections of a host, as when its process ends.
 func (n *Network) ResetConnections(host string) {
 	n.mu.Lock()
 	var affected []*conn
@@ -168,8 +175,8 @@
 	}
 }
 
-// SilenceOpenConnections makes all connections that are open now, but for those of one host, pass
-// nothing any more, without closing them; new ones work.
+// SilenceOpenConnections makes all open connections, except those of one host, lose whatever
+// is written to them from now on, without closing them. New connections work.
 func (n *Network) SilenceOpenConnections(except string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -188,7 +195,7 @@
 	once    sync.Once
 }
 
-// Listen opens an address, host:port; a later one under the same address replaces it.
+// Listen listens on an address, host:port. It replaces an earlier listener on the same address.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -213,7 +220,7 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.address) }
 
-// Dial returns the dial function of a host.
+// Dial returns the function with which a host dials others.
 func (n *Network) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -251,11 +258,12 @@
 	local, remote string
 	closed        chan struct{}
 	once          sync.Once
-	// silent is set when what is written gets lost for good.
+	// silent is set once all that is written is lost.
 	silent atomic.Bool
 
 	mu sync.Mutex
-	// held is what is on its way, and closing is set once the sender has closed meanwhile.
+	// held is the data that is held in transit, and closing is set if the sender has closed the
+	// connection meanwhile.
 	held    []byte
 	closing bool
 }
@@ -271,7 +279,8 @@
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
 func (c *conn) LocalAddr() net.Addr  { return addr(c.local) }
 
-// Write drops what a cut link would lose, and waits while the host is paused.
+// Write loses the data if the hosts are partitioned or the connection is silent, and waits
+// while one of the hosts is paused.
 func (c *conn) Write(b []byte) (int, error) {
 	if err := c.n.WaitWhilePaused(c.local, c.closed); err != nil {
 		return 0, err
@@ -298,7 +307,8 @@
 	}
 }
 
-// holdIfStalled keeps what is written while the way is stalled, and reports whether it did.
+// holdIfStalled holds the data if the hosts are stalled or earlier data is still held, and
+// reports whether it did.
 func (c *conn) holdIfStalled(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -309,14 +319,14 @@
 	return true
 }
 
-// deliver passes on what was held, and closes the connection if its sender has.
+// deliver delivers the data that was held, and closes the connection if its sender has.
 func (c *conn) deliver() {
 	c.mu.Lock()
 	held, closing := c.held, c.closing
 	c.held, c.closing = nil, false
 	c.mu.Unlock()
 	if len(held) > 0 {
-		// A receiver that has gone takes nothing.
+		// An error means that the receiver has closed the connection; the data is lost.
 		_, _ = c.Conn.Write(held)
 	}
 	if closing {
@@ -324,7 +334,8 @@
 	}
 }
 
-// deferClose leaves the closing of a connection to deliver while something is on its way.
+// deferClose leaves the closing of the connection to deliver if data is held in transit, and
+// reports whether it did.
 func (c *conn) deferClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -345,7 +356,7 @@
 	return c.Conn.Close()
 }
 
-// refusedError is the error of a dial to an address on which nothing listens.
+// refusedError returns the error of a dial to an address on which nothing listens.
 func refusedError(to string) error {
 	return &net.OpError{Op: "dial", Net: "mem", Addr: addr(to), Err: errors.New("connection refused")}
 }
--- a/standin/network/quota.go
+++ b/standin/network/quota.go
@@ -4,29 +4,31 @@
 
 import "time"
 
-// quotaPeriod is after what time a host's processor quota begins anew.
+// quotaPeriod is the time after which a host gets its processor quota anew.
 const quotaPeriod = 100 * time.Millisecond
 
-// cpuQuota is a model of a host with a cpuQuota of processor: what it sends and receives is
-// charged, and when the cpuQuota is spent the host stands still until the next period.
+// cpuQuota simulates a host with a quota of processor time, as a container has one: messages
+// that it sends and receives are charged, and once the quota is used up the host is throttled
+// until the next period.
 type cpuQuota struct {
-	// budget is what may be used in each period, and cost what each piece of a message
-	// takes that is sent or received.
+	// budget is the processor time that may be used in each period, and cost what each chunk
+	// of a message takes that is sent or received.
 	budget, cost time.Duration
-	// periodStart is the beginning of the one that is being used up, and used how much of it is.
+	// periodStart is the start of the period that is being charged, and used the time that has
+	// been charged to it. The period may lie in the future.
 	periodStart time.Time
 	used        time.Duration
 }
 
-// SetCPUQuota lets a host use a share of a processor, of which each message that it sends or
-// receives, or piece of a large one, takes cost.
+// SetCPUQuota limits a host to a share of a processor. Each message that it sends or receives,
+// or each chunk of a large one, takes cost of it.
 func (n *Network) SetCPUQuota(host string, share float64, cost time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quotas[host] = &cpuQuota{budget: time.Duration(share * float64(quotaPeriod)), cost: cost}
 }
 
-// charge uses up what one message costs, and returns when the host has worked on it.
+// charge charges one chunk of a message, and returns when the host has processed it.
 func (q *cpuQuota) charge(now time.Time) time.Time {
 	if current := now.Truncate(quotaPeriod); current.After(q.periodStart) {
 		q.periodStart, q.used = current, 0
