--- a/standin/site/announce.go
+++ b/standin/site/announce.go
@@ -40,13 +40,13 @@
 		w.mu.Unlock()
 		return
 	}
-	b := w.entry()
+	e := w.entry()
 	if w.draining {
-		b.State, b.RemainingMS = "draining", drainDuration.Milliseconds()
+		e.State, e.RemainingMS = "draining", drainDuration.Milliseconds()
 		w.site.recordDrained(w.ID)
 	}
 	w.mu.Unlock()
-	w.site.Store.Put("servers", w.ID, b)
+	w.site.Store.Put("servers", w.ID, e)
 }
 
 // entry returns the worker's entry in the directory. The caller holds mu.
--- a/standin/site/corrupt.go
+++ b/standin/site/corrupt.go
@@ -70,9 +70,9 @@
 }
 
 // Encode returns the worker's entry, corrupted in this way.
-func (s CorruptEntry) Encode(w *Worker) []byte {
-	if s.Field == "" {
-		return []byte(s.raw)
+func (c CorruptEntry) Encode(w *Worker) []byte {
+	if c.Field == "" {
+		return []byte(c.raw)
 	}
 	w.mu.Lock()
 	entry := w.entry()
@@ -81,9 +81,9 @@
 	if err := json.Unmarshal(encode(entry), &fields); err != nil {
 		panic("site: entry can't be decoded: " + err.Error())
 	}
-	fields[s.Field] = s.value
-	if s.value == nil {
-		delete(fields, s.Field)
+	fields[c.Field] = c.value
+	if c.value == nil {
+		delete(fields, c.Field)
 	}
 	return encode(fields)
 }
@@ -98,8 +98,8 @@
 
 // OverwriteEntry replaces the worker's entry by a corrupt one, as another program may. The
 // worker's next announcement restores it, unless its announcements are paused.
-func (w *Worker) OverwriteEntry(s CorruptEntry) {
-	w.site.Store.PutRaw("servers", "", w.ID, s.Encode(w))
+func (w *Worker) OverwriteEntry(c CorruptEntry) {
+	w.site.Store.PutRaw("servers", "", w.ID, c.Encode(w))
 }
 
 // SetAnnouncementsPaused stops the worker's announcements, while its entry stays, or resumes
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -68,8 +68,9 @@
 	Worker string
 	Task   string
 	Run    int64
-	Kind   string
-	Fence  int64
+	// Kind is one of the constants below.
+	Kind  string
+	Fence int64
 	// Failed is set for the end of a run that failed by itself or because of its worker.
 	Failed bool
 }
--- a/standin/site/violations.go
+++ b/standin/site/violations.go
@@ -55,74 +55,74 @@
 
 // Violations checks the events on the workers against the platform's guarantees, and describes
 // each violation.
-func (s *Site) Violations(c Expectations) []string {
-	v := &checker{expected: c, running: make(map[string]string), highestFence: make(map[string]int64),
+func (s *Site) Violations(want Expectations) []string {
+	c := &checker{expected: want, running: make(map[string]string), highestFence: make(map[string]int64),
 		succeeded: make(map[string][]int64), restartedAfter: make(map[runKey]bool), confirmed: make(map[string]bool)}
 	for _, e := range s.Events() {
-		v.check(e)
+		c.check(e)
 	}
-	for _, l := range c.LongRunning {
-		v.violations = append(v.violations, l.Violations(s.Events())...)
+	for _, l := range want.LongRunning {
+		c.violations = append(c.violations, l.Violations(s.Events())...)
 	}
-	return v.violations
+	return c.violations
 }
 
 // addViolation adds the description of a violation.
-func (v *checker) addViolation(format string, args ...any) {
-	v.violations = append(v.violations, fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // check checks one event.
-func (v *checker) check(e Event) {
+func (c *checker) check(e Event) {
 	switch e.Kind {
 	case EventStart:
-		v.checkStart(e)
+		c.checkStart(e)
 	case EventEnd, EventGangTimeout:
-		delete(v.running, e.Task)
+		delete(c.running, e.Task)
 	case EventSuccess:
-		delete(v.running, e.Task)
-		v.succeeded[e.Task] = append(v.succeeded[e.Task], e.Run)
+		delete(c.running, e.Task)
+		c.succeeded[e.Task] = append(c.succeeded[e.Task], e.Run)
 	case EventSuccessConfirmed:
-		v.confirmed[e.Task] = true
-		if v.restartedAfter[runKey{e.Task, e.Run}] {
-			v.addViolation("%s was started again after a success that was confirmed", e.Task)
+		c.confirmed[e.Task] = true
+		if c.restartedAfter[runKey{e.Task, e.Run}] {
+			c.addViolation("%s was started again after a success that was confirmed", e.Task)
 		}
 	case EventOverload:
-		v.addViolation("%s exceeds its capacity with %s", e.Worker, e.Task)
+		c.addViolation("%s exceeds its capacity with %s", e.Worker, e.Task)
 	case EventInvalidTicket:
-		if v.expected.OrdersDelayed != nil && v.expected.OrdersDelayed(e.Worker, e.At) {
+		if c.expected.OrdersDelayed != nil && c.expected.OrdersDelayed(e.Worker, e.At) {
 			return
 		}
-		v.addViolation("%s was ordered to start on %s without a valid ticket", e.Task, e.Worker)
+		c.addViolation("%s was ordered to start on %s without a valid ticket", e.Task, e.Worker)
 	case EventStartWhileDraining:
-		if at, ok := v.expected.DrainedAt[e.Worker]; ok && e.At.Sub(at) > maxStartAfterDrain {
-			v.addViolation("%s starts on %s, which has been draining for %s", e.Task, e.Worker, e.At.Sub(at))
+		if at, ok := c.expected.DrainedAt[e.Worker]; ok && e.At.Sub(at) > maxStartAfterDrain {
+			c.addViolation("%s starts on %s, which has been draining for %s", e.Task, e.Worker, e.At.Sub(at))
 		}
 	}
 }
 
 // checkStart checks a start against the other runs of the task, the refusal and the cancel of
 // its job, and the fences that the worker has accepted.
-func (v *checker) checkStart(e Event) {
+func (c *checker) checkStart(e Event) {
 	job, _, _ := strings.Cut(e.Task, ".")
-	if worker, ok := v.running[e.Task]; ok {
-		v.addViolation("%s runs on %s and starts on %s", e.Task, worker, e.Worker)
+	if worker, ok := c.running[e.Task]; ok {
+		c.addViolation("%s runs on %s and starts on %s", e.Task, worker, e.Worker)
 	}
-	v.running[e.Task] = e.Worker
-	for _, run := range v.succeeded[e.Task] {
-		v.restartedAfter[runKey{e.Task, run}] = true
+	c.running[e.Task] = e.Worker
+	for _, run := range c.succeeded[e.Task] {
+		c.restartedAfter[runKey{e.Task, run}] = true
 	}
-	if v.confirmed[e.Task] {
-		v.addViolation("%s starts on %s although its success was confirmed", e.Task, e.Worker)
+	if c.confirmed[e.Task] {
+		c.addViolation("%s starts on %s although its success was confirmed", e.Task, e.Worker)
 	}
-	if v.expected.Refused[job] {
-		v.addViolation("%s starts although its job was refused", e.Task)
+	if c.expected.Refused[job] {
+		c.addViolation("%s starts although its job was refused", e.Task)
 	}
-	if at, ok := v.expected.CancelledAt[job]; ok && e.At.Sub(at) > maxStartAfterCancel {
-		v.addViolation("%s starts %s after its job was cancelled", e.Task, e.At.Sub(at))
+	if at, ok := c.expected.CancelledAt[job]; ok && e.At.Sub(at) > maxStartAfterCancel {
+		c.addViolation("%s starts %s after its job was cancelled", e.Task, e.At.Sub(at))
 	}
-	if e.Fence < v.highestFence[e.Worker] {
-		v.addViolation("%s accepted fence %d after %d", e.Worker, e.Fence, v.highestFence[e.Worker])
+	if e.Fence < c.highestFence[e.Worker] {
+		c.addViolation("%s accepted fence %d after %d", e.Worker, e.Fence, c.highestFence[e.Worker])
 	}
-	v.highestFence[e.Worker] = max(v.highestFence[e.Worker], e.Fence)
+	c.highestFence[e.Worker] = max(c.highestFence[e.Worker], e.Fence)
 }
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -47,6 +47,7 @@
 	// finishedRuns holds for each task the highest run that has ended or was stopped here.
 	finishedRuns map[string]int64
 	ended        []runEnd
+	// lastEnd is the number of the latest end, confirmedEnd the highest one that was confirmed.
 	lastEnd      int64
 	confirmedEnd int64
 	changed      chan struct{}
@@ -215,7 +216,7 @@
 	}
 }
 
-// SetFailNewRuns makes all runs fail at once that start from now on, including those of
+// SetFailNewRuns makes all runs that start from now on fail at once, including those of
 // long-running tasks. Earlier runs and other faults aren't affected.
 func (w *Worker) SetFailNewRuns(fails bool) {
 	w.mu.Lock()
