--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package cluster holds the types that the scheduler, the nodes and the
-// adapter of the users' platform share: jobs, queues, workers and what workers
-// report. It holds no behaviour beyond small helpers on those types.
+// adapter of the users' platform share: jobs, queues, workers and workers'
+// reports. It holds no behaviour beyond small helpers on those types.
 //
 // # Usage
 //
@@ -27,13 +27,13 @@
 
 // The kinds of error.
 const (
-	// KindInvalid is a value that can't be accepted.
+	// KindInvalid is a value that isn't accepted.
 	KindInvalid Kind = "invalid"
-	// KindMissing is a field that is not there.
+	// KindMissing is a required field that is absent.
 	KindMissing Kind = "missing"
-	// KindType is a field of another type.
+	// KindType is a field of the wrong type.
 	KindType Kind = "type"
-	// KindUnreadable is a message that can't be read at all.
+	// KindUnreadable is a message that can't be decoded at all.
 	KindUnreadable Kind = "unreadable"
 )
 
@@ -62,18 +62,19 @@
 	Policy  Policy `json:"policy"`
 }
 
-// Policy is how the jobs of a queue are treated. Each job keeps a copy, so that
-// it can be finished after its queue was removed.
+// Policy sets how the jobs of a queue are treated. Each job keeps a copy, so that it can be
+// finished after its queue was removed.
 type Policy struct {
-	// Priority 0 is the most urgent; a lower number may preempt a higher one.
+	// Priority 0 is the most urgent; a job may preempt jobs with a higher number.
 	Priority int `json:"priority,omitempty"`
 	// MaxAttempts is how many failed runs a task may have.
 	MaxAttempts int `json:"max_attempts,omitempty"`
-	// Stretch is the allowed ratio of a job's time to its longest chain of work.
+	// Stretch is the allowed ratio of a job's total time to the length of its critical path.
 	Stretch float64 `json:"stretch,omitempty"`
-	// TargetMS is the allowance on top of the stretched chain, in milliseconds.
+	// TargetMS is the time allowed in addition to the stretched critical path, in
+	// milliseconds.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Advice is what one call of the advice service costs; nil: no tickets needed.
+	// Advice is the cost of one call to the advice service; nil if no tickets are needed.
 	Advice *AdviceCost `json:"advice,omitempty"`
 }
 
@@ -81,11 +82,11 @@
 type AdviceCost struct {
 	BaseMS      float64 `json:"base_ms"`
 	PerWorkerMS float64 `json:"per_worker_ms"`
-	// ValidMS is how long a ticket holds.
+	// ValidMS is how long a ticket is valid, in milliseconds.
 	ValidMS int64 `json:"valid_ms"`
 }
 
-// Duration returns what a call about n workers takes.
+// Duration returns how long a call about n workers takes.
 func (a AdviceCost) Duration(n int) time.Duration {
 	return time.Duration((a.BaseMS + a.PerWorkerMS*float64(n)) * float64(time.Millisecond))
 }
@@ -93,7 +94,7 @@
 // Service is a pool of workers.
 type Service struct {
 	Name string `json:"name"`
-	// EnforcesCapacity is true when the workers themselves reject what doesn't fit.
+	// EnforcesCapacity is set if the workers themselves reject tasks that don't fit.
 	EnforcesCapacity bool `json:"guards_capacity,omitempty"`
 }
 
@@ -102,11 +103,12 @@
 	Version  int64     `json:"version"`
 	Queues   []Queue   `json:"queues"`
 	Services []Service `json:"services"`
-	// MaxBodyBytes bounds the body of a submitted job; 0: not bounded by the operators.
+	// MaxBodyBytes bounds the body of a submitted job; 0 if the operators set no bound.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
 }
 
-// FindQueue returns the queue for a host name and a path: the longest matching prefix wins.
+// FindQueue returns the queue for a host name and a path: the one with the longest matching
+// prefix.
 func (c *Config) FindQueue(host, path string) (Queue, bool) {
 	best := -1
 	for i, q := range c.Queues {
@@ -120,39 +122,42 @@
 	return c.Queues[best], true
 }
 
-// Step is a set of like tasks of a job.
+// Step is a set of identical tasks of a job.
 type Step struct {
 	Count int             `json:"count"`
 	Need  resource.Amount `json:"need"`
-	// EstimateMS is the submitter's rough guess of a task's run time.
+	// EstimateMS is the submitter's rough estimate of a task's run time, in milliseconds.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After lists the steps whose tasks must all have succeeded before.
+	// After lists the steps whose tasks must all have succeeded before this step starts.
 	After       []int `json:"after,omitempty"`
 	Checkpoints bool  `json:"checkpoints,omitempty"`
 	// Gang tasks start, work and end together.
 	Gang bool `json:"gang,omitempty"`
-	// OneRack asks for the whole gang on one rack.
+	// OneRack requires that the whole gang runs on one rack.
 	OneRack bool `json:"one_rack,omitempty"`
-	// Label is one that the worker must have.
+	// Label is a label that the worker must have.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack on which the step's data lies.
+	// DataRack is the rack that holds the step's data.
 	DataRack string `json:"data_rack,omitempty"`
-	// MaxPerWorker is the most tasks of the step on one worker; 0: no bound.
+	// MaxPerWorker is the maximum number of the step's tasks on one worker; 0 for no limit.
 	MaxPerWorker int `json:"max_per_worker,omitempty"`
-	// Speculative tasks may run in two copies; the first end counts.
+	// Speculative tasks may run in two copies; the first one to end counts.
 	Speculative bool `json:"speculative,omitempty"`
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool   `json:"long_running,omitempty"`
 	Image       string `json:"image,omitempty"`
-	// LatencyTargetMS is the bound of a serving task's tail latency; 0: it doesn't serve.
+	// LatencyTargetMS is the target for the tail latency of a serving task; 0 if it doesn't
+	// serve.
 	LatencyTargetMS int64 `json:"latency_target_ms,omitempty"`
-	// BestEffortCPU tasks take no processors of the worker's room, only what others leave unused.
+	// BestEffortCPU tasks reserve no CPU of the worker, and only use what other tasks leave
+	// idle.
 	BestEffortCPU bool `json:"fills,omitempty"`
-	// MaxUnavailable is how many tasks of a long-running step may be away at once by our doing.
+	// MaxUnavailable is how many tasks of a long-running step the scheduler may interrupt at
+	// the same time.
 	MaxUnavailable int `json:"max_away,omitempty"`
 }
 
-// Allocation returns what a task of the step takes of a worker's room.
+// Allocation returns the resources of a worker that a task of the step occupies.
 func (s *Step) Allocation() resource.Amount {
 	a := s.Need
 	if s.BestEffortCPU {
@@ -168,21 +173,22 @@
 	Service string `json:"service"`
 	// Shard is the index of the service's shard on which the job runs.
 	Shard int `json:"shard,omitempty"`
-	// Epoch is that of the shard's owner as the node knew it that accepted the job; 0: it
-	// knew none. An owner of a higher epoch may not have been the first to have the job.
+	// Epoch is the epoch of the shard's owner as known to the node that accepted the job; 0
+	// if it knew none. An owner with a higher epoch can't assume that it is the first one to
+	// have the job.
 	Epoch int64 `json:"epoch,omitempty"`
-	// Share is the part of the job's tasks that the shard runs.
+	// Share selects the job's tasks that run on the shard.
 	Share Share `json:"share,omitzero"`
-	// Moves is how often the job went from one shard to another, and CarriedProgress the progress
-	// that it had when it last did, as the owner there would have persisted it.
+	// Moves is how often the job has moved to another shard. CarriedProgress is its progress
+	// at the last move, as the owner there would have persisted it.
 	Moves           int             `json:"moves,omitempty"`
 	CarriedProgress json.RawMessage `json:"carried,omitempty"`
 	Policy          Policy          `json:"policy"`
 	Spec            string          `json:"spec"`
 	Steps           []Step          `json:"steps"`
-	// AcceptedMS is the time of day of the acceptance, in Unix milliseconds.
+	// AcceptedMS is the time of acceptance, in Unix milliseconds.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Repeats is how often the steps run; 0: once, at once.
+	// Repeats is how many times the steps run; 0 for once, at once.
 	Repeats    int   `json:"repeats,omitempty"`
 	StartMS    int64 `json:"start_ms,omitempty"`
 	IntervalMS int64 `json:"interval_ms,omitempty"`
@@ -191,11 +197,11 @@
 // ShardID returns the shard on which the job runs.
 func (j *Job) ShardID() ShardID { return ShardID{j.Service, j.Shard} }
 
-// MaxTasks bounds the tasks of one job, over all its repeats: a guard against
-// malformed jobs, far above the widest job of the users' sites (some 200 tasks).
+// MaxTasks bounds the tasks of one job, over all its repeats. It guards against malformed
+// jobs, far above real ones of some 200 tasks.
 const MaxTasks = 100_000
 
-// Validate checks the job's shape and names the field that is wrong.
+// Validate checks the job, and names the first invalid field.
 func (j *Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return invalid("steps", "there is none")
@@ -236,7 +242,7 @@
 	return &Error{Op: "validate", Kind: KindInvalid, Field: field, Err: errors.New(text)}
 }
 
-// TaskID names a task: job, repeat, step and index.
+// TaskID identifies a task by its job, repeat, step and index.
 type TaskID struct {
 	Job    string
 	Repeat int
@@ -244,12 +250,12 @@
 	Index  int
 }
 
-// String returns the task's name, its parts joined by dots.
+// String returns the task's name: the four parts joined by dots.
 func (t TaskID) String() string {
 	return t.Job + "." + strconv.Itoa(t.Repeat) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// ParseTaskID reads a task's name.
+// ParseTaskID parses a task's name.
 func ParseTaskID(s string) (TaskID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
@@ -266,7 +272,7 @@
 	return TaskID{Job: parts[0], Repeat: n[0], Step: n[1], Index: n[2]}, nil
 }
 
-// State is how far a job is.
+// State is the state of a job.
 type State string
 
 // The states of a job.
@@ -278,7 +284,7 @@
 	StateCancelled State = "cancelled"
 )
 
-// Finished reports whether s is final.
+// Finished reports whether the state is final.
 func (s State) Finished() bool {
 	return s == StateSucceeded || s == StateFailed || s == StateCancelled
 }
--- a/internal/cluster/layout.go
+++ b/internal/cluster/layout.go
@@ -10,30 +10,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxShards bounds the shards of a service: the platform's store has 100 tables,
-// and each index has one for its jobs.
+// MaxShards bounds the shards of a service: each has a table for its jobs, and the platform's
+// store has 100 tables.
 const MaxShards = 64
 
-// Layout divides the workers of a service into shards, by rack. It is made once
-// and persisted; all nodes must use the same.
+// Layout assigns the workers of a service to shards, by rack. It is created once and
+// persisted; all nodes have to use the same one.
 type Layout struct {
 	Service string `json:"service"`
 	Shards  int    `json:"shards"`
-	// Workers is how many there were in all when the layout was made.
+	// Workers is the number of workers when the layout was created.
 	Workers int `json:"workers,omitempty"`
-	// Racks are those that were there when the layout was made; a rack that comes
-	// later belongs to the shard that its name hashes to.
+	// Racks holds the racks known when the layout was created. Racks that are added later are
+	// assigned to a shard by the hash of their name.
 	Racks []RackShard `json:"racks,omitempty"`
 }
 
-// RackShard is the shard of one rack.
+// RackShard assigns a rack to a shard.
 type RackShard struct {
 	Rack  string `json:"rack"`
 	Shard int    `json:"shard"`
 }
 
-// PlanLayout divides the machines of a service by racks into shards of at most
-// perShard workers, of like numbers of workers.
+// PlanLayout divides the racks of a service's machines into shards with similar numbers of
+// workers, as many as shards of perShard workers require.
 func PlanLayout(service string, machines []Machine, perShard int) Layout {
 	racks, total := racksOf(service, machines)
 	l := Layout{Service: service, Workers: total, Shards: max(1, min((total+perShard-1)/perShard, len(racks), MaxShards))}
@@ -50,14 +50,14 @@
 	return l
 }
 
-// rack is how many machines of a service stand in a rack.
+// rack is a rack and the number of a service's machines in it.
 type rack struct {
 	name    string
 	workers int
 }
 
-// racksOf returns the racks of a service's machines, the largest first, and how
-// many machines there are in all.
+// racksOf returns the racks of a service's machines, the largest first, and the number of the
+// machines.
 func racksOf(service string, machines []Machine) (racks []rack, total int) {
 	for _, m := range machines {
 		if m.Service != service {
@@ -99,8 +99,8 @@
 }
 
 // CandidateShards returns the indexes of the two shards (one, if there is only one) among
-// which a job is placed by their load. They depend on its ID alone, so that any
-// node knows where to ask for it first.
+// which a job is placed by their load. They depend on the job's ID alone, so that any node
+// knows which shards to ask for the job first.
 func (l *Layout) CandidateShards(job string) []int {
 	if l.Shards <= 1 {
 		return []int{0}
--- a/internal/cluster/shard.go
+++ b/internal/cluster/shard.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// ShardID names a shard: some racks of a service's workers, together with the
-// jobs that run on them.
+// ShardID identifies a shard: some racks of a service's workers, with the jobs that run on
+// them.
 type ShardID struct {
 	Service string
 	Index   int
 }
 
-// String returns the shard's name, its parts joined by a slash.
+// String returns the shard's name: the service and the index, joined by a slash.
 func (s ShardID) String() string { return s.Service + "/" + strconv.Itoa(s.Index) }
 
-// ParseShardID reads a shard's name.
+// ParseShardID parses a shard's name.
 func ParseShardID(name string) (ShardID, error) {
 	at := strings.LastIndexByte(name, '/')
 	if at < 0 {
--- a/internal/cluster/shard_test.go
+++ b/internal/cluster/shard_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// TestPlanLayout checks that every rack lies in one shard, that shards differ by
-// at most one rack, and that the order of the machines doesn't matter.
+// TestPlanLayout checks that every rack is assigned to one shard, that shards differ by at
+// most one rack, and that the order of the machines doesn't matter.
 func TestPlanLayout(t *testing.T) {
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	p.Property("layout", prop.ForAll(func(racks, perRack, most int) bool {
@@ -43,7 +43,8 @@
 	p.TestingRun(t)
 }
 
-// TestChoices checks that a job's two choices are different shards, and that all are chosen.
+// TestCandidateShards checks that a job's two candidates are different shards, and that each
+// shard is the first candidate of some job.
 func TestChoices(t *testing.T) {
 	l := cluster.PlanLayout("s", newMachines(30, 12), 90)
 	seen := make(map[int]bool)
@@ -59,7 +60,7 @@
 	}
 }
 
-// TestSplit checks that the parts of a job hold each task once, on different shards.
+// TestSplit checks that the parts of a job contain each task once, on different shards.
 func TestSplit(t *testing.T) {
 	l := cluster.PlanLayout("s", newMachines(30, 12), 90)
 	for _, count := range []int{1, 2, 3, 4, 31} {
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestShardNames checks that names are read back, and that others are rejected.
+// TestShardNames checks that shard names are parsed, and that invalid ones are rejected.
 func TestShardNames(t *testing.T) {
 	id := cluster.ShardID{Service: "a/b", Index: 12}
 	if got, err := cluster.ParseShardID(id.String()); err != nil || got != id {
--- a/internal/cluster/share.go
+++ b/internal/cluster/share.go
@@ -2,23 +2,24 @@
 
 package cluster
 
-// Share is the part of a job's tasks that one shard runs: every Of-th task, beginning
-// with Index. The zero value is the whole job.
+// Share selects the tasks of a job that one shard runs: every Of-th task, starting with
+// Index. The zero value selects all tasks.
 type Share struct {
 	Index int `json:"index"`
 	Of    int `json:"of"`
-	// Joint shares are told apart by steps: the first shard runs all steps but the gangs,
-	// whose members all shards run together, each as many as the first one tells it.
+	// Joint shares are divided by steps instead: the first shard runs all steps except gangs.
+	// All shards run members of the gangs, each as many as the first one orders.
 	Joint bool `json:"joint,omitempty"`
 }
 
-// Has reports whether the share holds the task of that index.
+// Has reports whether the share contains the task with that index.
 func (s Share) Has(task int) bool { return s.Of <= 1 || task%s.Of == s.Index }
 
 // Whole reports whether the share is the whole job.
 func (s Share) Whole() bool { return s.Of <= 1 }
 
-// Leads reports whether the shard with the share speaks for the whole job.
+// Leads reports whether the shard with this share leads the job: it answers for the whole
+// job.
 func (s Share) Leads() bool { return s.Index == 0 }
 
 // MayRun reports whether the job's shard may run a task of a step.
@@ -29,10 +30,10 @@
 	return j.Share.Has(task)
 }
 
-// Splittable reports whether the job's tasks may run on several shards: tasks that run
-// until the job is cancelled, need nothing of each other, and may all be away at
-// once. A shard alone can be too small for them where few of its workers may run
-// them and each may carry only one.
+// Splittable reports whether the job's tasks may run on several shards: they run until the
+// job is cancelled, don't depend on each other, and may all be interrupted at once. A single
+// shard can be too small for such a job if few of its workers are suitable and each may run
+// only one task.
 func (j *Job) Splittable() bool {
 	for i := range j.Steps {
 		s := &j.Steps[i]
@@ -43,8 +44,8 @@
 	return true
 }
 
-// Split returns the job as its parts on the shards of a layout, beginning with the
-// shard named first, which speaks for the whole job.
+// Split returns the job's parts for the shards of a layout, beginning with the given shard,
+// which leads the job.
 func (j *Job) Split(first int, l *Layout) []Job {
 	widest := 0
 	for i := range j.Steps {
@@ -53,11 +54,11 @@
 	return j.splitInto(first, min(widest, l.Shards), l, false)
 }
 
-// SplitJoint returns the job as its parts on all shards of a layout, which run its gangs
-// together. The shard that has it speaks for the whole job.
+// SplitJoint returns the job's parts for all shards of a layout, which run its gangs
+// together. The shard that has the job leads it.
 func (j *Job) SplitJoint(l *Layout) []Job { return j.splitInto(j.Shard, l.Shards, l, true) }
 
-// splitInto returns the job as so many splitInto, on shards of a layout from the first on.
+// splitInto returns the job as the given number of parts, on consecutive shards of a layout.
 func (j *Job) splitInto(first, of int, l *Layout, joint bool) []Job {
 	parts := make([]Job, of)
 	for i := range parts {
@@ -67,7 +68,7 @@
 	return parts
 }
 
-// DataRack returns the first rack on which data of the job lies, or "".
+// DataRack returns the first rack that holds data of the job, or an empty string.
 func (j *Job) DataRack() string {
 	for i := range j.Steps {
 		if rack := j.Steps[i].DataRack; rack != "" {
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -8,7 +8,7 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// Worker is one life of a worker, as the platform's directory describes it.
+// Worker is one incarnation of a worker, as the platform's directory describes it.
 type Worker struct {
 	ID string
 	// Started is as in Incarnation.
@@ -19,17 +19,17 @@
 	Rack       string
 	Labels     []string
 	Capacity   resource.Amount
-	// Draining workers take no new task; Remaining is at least the time left to them.
+	// Draining workers accept no new tasks; Remaining is at least the time left to them.
 	Draining  bool
 	Remaining time.Duration
-	// ClockMS is a reading of the worker's steady clock, in milliseconds.
+	// ClockMS is a reading of the worker's monotonic clock, in milliseconds.
 	ClockMS int64
 }
 
-// Incarnation returns which life of the worker it is.
+// Incarnation returns the incarnation that the entry describes.
 func (w *Worker) Incarnation() Incarnation { return Incarnation{w.ID, w.Started} }
 
-// HasLabel reports whether the worker carries the label.
+// HasLabel reports whether the worker has the label.
 func (w *Worker) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
@@ -39,26 +39,26 @@
 	return false
 }
 
-// Machine is the platform's record of the machine that a worker lives on.
+// Machine is the platform's record of the machine on which a worker runs.
 type Machine struct {
 	ID      string
 	Service string
-	// Up is false while the machine is down, moving or in upkeep.
+	// Up is false while the machine is down, being moved or under maintenance.
 	Up bool
-	// Worker is the ID of the life on it, or "".
+	// Worker is the ID of the worker on it, or empty.
 	Worker string
-	// Rack is the rack in which the machine stands, or "".
+	// Rack is the rack of the machine, or empty.
 	Rack string
 }
 
-// RunStatus is one entry of what a worker says is running on it.
+// RunStatus is the state of a run that a worker reports as running.
 type RunStatus struct {
 	Task       TaskID
 	Run        int64
 	Checkpoint string
 	Percent    int
-	// Usage is the tail latency in milliseconds for a serving task, and the
-	// processors in use in thousandths otherwise, over the last half second.
+	// Usage is the tail latency in milliseconds of a serving task, and the CPU in use in
+	// thousandths of a core of any other, over the last half second.
 	Usage int64
 }
 
@@ -70,16 +70,16 @@
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"
 	OutcomeStopped Outcome = "stopped"
-	// OutcomeLeaseExpired is a run killed because its lease ran out.
+	// OutcomeLeaseExpired is a run that was killed because its lease expired.
 	OutcomeLeaseExpired Outcome = "lapsed"
-	// OutcomeGangBroken is a gang member ended because another member ended.
+	// OutcomeGangBroken is a gang member that was ended because another member ended.
 	OutcomeGangBroken Outcome = "broken"
-	// OutcomeGangIncomplete is a gang member that waited in vain for the others.
+	// OutcomeGangIncomplete is a gang member that gave up waiting for the others.
 	OutcomeGangIncomplete Outcome = "alone"
 )
 
-// RunEnd is a run that ended on a worker. Ends are numbered from 1 in each life
-// and are repeated until the owner confirms that it has persisted them.
+// RunEnd is a run that ended on a worker. Ends are numbered from 1 in each incarnation and
+// are reported again until the owner confirms that it has persisted them.
 type RunEnd struct {
 	N          int64
 	Task       TaskID
@@ -88,30 +88,32 @@
 	Checkpoint string
 }
 
-// Report is a worker's answer to its owner: all that runs there, and the ends
-// that have not been confirmed.
+// Report is a worker's answer to its owner: all active runs, and the ends that haven't been
+// confirmed.
 type Report struct {
-	// Started is as in Incarnation: that of the life which answers.
+	// Started is as in Incarnation, for the incarnation that answers.
 	Started int64
 	ClockMS int64
 	Running []RunStatus
 	Ended   []RunEnd
 }
 
-// Order is what every order to a worker carries.
+// Order holds the fields of every order to a worker.
 type Order struct {
 	Worker string
-	// Started is the start of the life that is meant. A worker compares its ID only.
+	// Started is the start of the incarnation that the order is for. A worker compares its ID
+	// only.
 	Started int64
 	Address string
-	// Fence is the owner's epoch, and Generation counts the lives of the worker that the
-	// owner has known: a worker ignores an order of a lower epoch than it has seen, and of
-	// the same epoch one of a lower generation.
+	// Fence is the owner's epoch. Generation counts the incarnations of the worker that the
+	// owner has known. A worker ignores an order with a lower epoch than it has seen, or with
+	// the same epoch and a lower generation.
 	Fence, Generation int64
-	// ClockMS is a time that the life's steady clock had passed when the order was given;
-	// 0: not known. An answer from before it is of another life.
+	// ClockMS is a time that the incarnation's monotonic clock had passed when the order was
+	// given; 0 if unknown. An answer with an earlier clock comes from another incarnation.
 	ClockMS int64
-	// DeadlineMS renews the lease of all that runs there, on the worker's steady clock; 0: unchanged.
+	// DeadlineMS renews the lease of all runs on the worker, on its monotonic clock; 0 leaves
+	// it unchanged.
 	DeadlineMS int64
 }
 
@@ -125,7 +127,7 @@
 	Ticket     string
 }
 
-// Reply is how a worker took an order.
+// Reply is a worker's reply to an order.
 type Reply string
 
 // The replies to an order.
@@ -137,17 +139,18 @@
 	ReplyStaleRun Reply = "old"
 	// ReplyDeadlinePassed: the deadline has passed on the worker's clock.
 	ReplyDeadlinePassed Reply = "late"
-	// ReplyNoRoom: the worker has no room.
+	// ReplyNoRoom: the worker has too few free resources.
 	ReplyNoRoom Reply = "room"
 	// ReplyTicketInvalid: the ticket is not valid.
 	ReplyTicketInvalid Reply = "ticket"
 	// ReplyBusy: the worker is unhealthy and has done nothing.
 	ReplyBusy Reply = "busy"
-	// ReplyInvalid: the worker can't read the order, and has done nothing.
+	// ReplyInvalid: the worker can't decode the order, and has done nothing.
 	ReplyInvalid Reply = "invalid"
-	// ReplyOtherIncarnation: another life answers at that address; this one is over.
+	// ReplyOtherIncarnation: another incarnation answers at that address; the one addressed
+	// has ended.
 	ReplyOtherIncarnation Reply = "other_life"
-	// ReplyNewIncarnation: another life of the same ID has taken the order.
+	// ReplyNewIncarnation: another incarnation with the same ID has received the order.
 	ReplyNewIncarnation Reply = "new_life"
 	// ReplyNotSent: no connection was made; nothing was done.
 	ReplyNotSent Reply = "not_sent"
@@ -155,7 +158,7 @@
 	ReplyUnknown Reply = "unknown"
 )
 
-// Ticket lets tasks of one step run on one worker.
+// Ticket permits tasks of one step to run on one worker.
 type Ticket struct {
 	Worker string
 	Value  string
--- a/internal/conns/answer.go
+++ b/internal/conns/answer.go
@@ -13,19 +13,19 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// responseBody is the body of an responseBody. It logs how far the responseBody had come if it
-// breaks off, or is given up, before its end.
+// responseBody is the body of a response. It logs how much had arrived if the response is
+// aborted before its end.
 type responseBody struct {
 	io.ReadCloser
 	t    *Transport
 	r    *http.Request
 	sent int64
-	// bytes is how much has arrived.
+	// bytes is the number of bytes that have arrived.
 	bytes int64
 	usage *PathUsage
 }
 
-// Read reads what has arrived.
+// Read reads from the body and records the progress.
 func (a *responseBody) Read(b []byte) (int, error) {
 	n, err := a.ReadCloser.Read(b)
 	if n > 0 {
@@ -34,7 +34,7 @@
 		recordProgress(a.r.Context())
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		a.t.Log.Info("answer broke off", events.ResponseAborted, zap.String("url", a.r.URL.String()), zap.Int64("bytes", a.bytes),
+		a.t.Log.Info("response aborted", events.ResponseAborted, zap.String("url", a.r.URL.String()), zap.Int64("bytes", a.bytes),
 			zap.Duration("took", time.Duration(a.t.now()-a.sent)), zap.Error(err))
 	}
 	return n, err
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package conns is an HTTP transport that keeps connections open and doesn't use
-// those again that have gone silent.
+// Package conns is an HTTP transport with persistent connections that doesn't reuse
+// dead ones.
 //
-// A network can lose the state of open connections, so that they pass nothing any
-// more and are not reset either, while new ones work. Each call on such a connection
-// runs into its time limit. The transport takes that as evidence against the other
-// connections to the same address: those that no call uses and on which nothing has
-// arrived since the failed call was sent are closed, and the next call makes a new
-// one. Calls that are open are left alone; they end by their own limits.
+// A network can lose the state of open connections: they pass no data any more and
+// aren't reset either, while new ones work. Each call on such a connection times out.
+// The transport takes a failed call as evidence against the other connections to the
+// same address. It closes those that no call is using and on which nothing has arrived
+// since the failed call was sent, and the next call opens a new one. Calls in progress
+// aren't touched; they end by their own timeouts.
 //
-// WithStallTimeout bounds a call by what arrives of its answer: a large answer on a slow link
-// takes as long as it takes, while one that doesn't come, or stands still, is given up.
+// WithStallTimeout bounds a call by the progress of its response: a large response on a
+// slow link may take any time, while one that doesn't begin, or stalls, is given up.
 //
 // # Usage
 //
@@ -39,30 +39,30 @@
 // Dial makes a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Network is how connections are made, and where what befalls them is logged.
+// Network configures how connections are made and logged.
 type Network struct {
 	Dial Dial
 	Log  *zap.Logger
-	// Compressed asks for packed answers, which are unpacked as they are read.
+	// Compressed requests compressed responses, which are decompressed as they are read.
 	Compressed bool
-	// Usage counts what passes; nil: nothing does.
+	// Usage counts the calls and their bytes; nil to count nothing.
 	Usage *Usage
 }
 
-// Transport is an http.RoundTripper over connections that are kept open.
+// Transport is an http.RoundTripper over persistent connections.
 type Transport struct {
 	http *http.Transport
 	Network
-	// began is the zero of the times that connections keep.
+	// began is the start of the clock for the connections' times.
 	began time.Time
 
 	mu sync.Mutex
-	// open are the open connections by the address that was dialled.
+	// open holds the open connections by the address that was dialed.
 	open map[string]map[*conn]struct{}
 }
 
-// New returns a Transport that keeps up to perHost idle connections to each address,
-// each for as long as idle.
+// New returns a Transport that keeps up to perHost idle connections to each address, each for
+// up to idle.
 func New(network Network, perHost int, idle time.Duration) *Transport {
 	if network.Usage == nil {
 		network.Usage = &Usage{}
@@ -75,8 +75,8 @@
 	return t
 }
 
-// RoundTrip makes one call. One that fails closes the idle connections to its
-// address that have been silent since it was sent.
+// RoundTrip makes one call. If it fails, the idle connections to its address that have been
+// silent since it was sent are closed.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent, usage := t.now(), t.Usage.countCall(r)
 	res, err := t.http.RoundTrip(r)
@@ -89,21 +89,21 @@
 	return res, nil
 }
 
-// httpPort is dialled for a URL without a port; nothing here speaks TLS.
+// httpPort is the port of a URL without one; there is no TLS here.
 const httpPort = "80"
 
-// dialAddress returns the address that is dialAddress for a URL.
+// dialAddress returns the address to dial for a URL.
 func dialAddress(u *url.URL) string {
 	return net.JoinHostPort(u.Hostname(), cmp.Or(u.Port(), httpPort))
 }
 
-// CloseIdleConnections closes all connections that no call uses.
+// CloseIdleConnections closes all connections that no call is using.
 func (t *Transport) CloseIdleConnections() { t.http.CloseIdleConnections() }
 
-// now returns the time since the transport was made, in nanoseconds.
+// now returns the time since the transport was created, in nanoseconds.
 func (t *Transport) now() int64 { return int64(time.Since(t.began)) }
 
-// dial makes a connection and keeps an eye on it until it is closed.
+// dial opens a connection and tracks it until it is closed.
 func (t *Transport) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := t.Dial(ctx, network, address)
 	if err != nil {
@@ -120,8 +120,8 @@
 	return k, nil
 }
 
-// closeSilent closes the connections to an address that wait for no answer and on
-// which nothing has arrived since a time.
+// closeSilent closes the connections to an address that aren't waiting for a response and on
+// which nothing has arrived since the given time.
 func (t *Transport) closeSilent(address string, since int64) {
 	t.mu.Lock()
 	var silent []*conn
@@ -140,25 +140,25 @@
 	}
 }
 
-// conn is a connection that notes what passes.
+// conn is a connection that records when data arrives.
 type conn struct {
 	net.Conn
 	t       *Transport
 	address string
-	// lastRead is when something arrived last.
+	// lastRead is when data last arrived.
 	lastRead atomic.Int64
-	// awaiting is set from a request until its answer begins to arrive.
+	// awaiting is set from a request until its response begins to arrive.
 	awaiting atomic.Bool
 	tag      atomic.Int64
 }
 
-// Tagged is a connection of a Transport, on which its user may keep a number.
+// Tagged is a connection of a Transport to which its user may attach a number.
 type Tagged interface{ Tag() *atomic.Int64 }
 
-// Tag returns the number that is kept on the connection, 0 at first.
+// Tag returns the number attached to the connection, 0 at first.
 func (k *conn) Tag() *atomic.Int64 { return &k.tag }
 
-// Read reads what arrives.
+// Read reads from the connection and records the time.
 func (k *conn) Read(b []byte) (int, error) {
 	n, err := k.Conn.Read(b)
 	if n > 0 {
@@ -168,13 +168,13 @@
 	return n, err
 }
 
-// Write sends.
+// Write writes to the connection, which then awaits a response.
 func (k *conn) Write(b []byte) (int, error) {
 	k.awaiting.Store(true)
 	return k.Conn.Write(b)
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and stops tracking it.
 func (k *conn) Close() error {
 	k.t.mu.Lock()
 	delete(k.t.open[k.address], k)
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -20,19 +20,19 @@
 	"switchbank.example/switchbank/standin/network"
 )
 
-// scene is a client with open connections to two servers.
+// fixture is a client with open connections to two servers.
 type scene struct {
 	t      *testing.T
 	net    *network.Network
 	client *http.Client
-	// accepted counts the connections that each server took.
+	// accepted counts the connections that each server accepted.
 	accepted map[string]*atomic.Int64
 	stop     []func()
 }
 
 const (
 	kept = 4
-	// port is the one that a URL without one means.
+	// port is the port of a URL without one.
 	port    = "80"
 	timeout = 100 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 	return s
 }
 
-// serve answers on a host; a path of /wait/D is answered after D.
+// serve starts a server on a host. It answers a path of /wait/D after D.
 func (s *scene) serve(host string) {
 	n := &atomic.Int64{}
 	s.accepted[host] = n
@@ -69,7 +69,7 @@
 	s.stop = append(s.stop, func() { _ = srv.Close() })
 }
 
-// open makes kept connections to a host.
+// open makes idleConns connections to a host.
 func (s *scene) open(host string) {
 	var wg sync.WaitGroup
 	for range kept {
@@ -83,7 +83,7 @@
 	s.check(host, kept)
 }
 
-// get makes a call within the timeout.
+// get makes a call that is bounded by timeout.
 func (s *scene) get(host, path string) error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), timeout)
 	defer cancel()
@@ -100,7 +100,7 @@
 	return err
 }
 
-// check checks how many connections a server took.
+// checkAccepted checks how many connections a server accepted.
 func (s *scene) check(host string, want int64) {
 	s.t.Helper()
 	if got := s.accepted[host].Load(); got != want {
@@ -116,8 +116,9 @@
 	s.net.ResetConnections("client")
 }
 
-// TestSilentConnectionsAreNotUsedAgain lets all open connections go silent: one call
-// to an address fails, and the next ones get a new connection.
+// TestSilentConnectionsAreNotUsedAgain checks that dead connections cost one failed call for
+// each address: all open connections stop passing data, one call fails, and the next ones get
+// a new connection.
 func TestSilentConnectionsAreNotUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene(t)
@@ -137,8 +138,8 @@
 	})
 }
 
-// TestOpenCallsAreLeftAlone checks that a call which fails breaks off no other one
-// that is open, and costs no connection to another address.
+// TestFailedCallKeepsOtherConnections checks that a failed call doesn't break off other calls
+// in progress, and costs no connection to another address.
 func TestOpenCallsAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene(t)
@@ -162,7 +163,7 @@
 		}
 		s.check("a", kept)
 		s.check("b", kept)
-		// The server still waits to answer the call that was given up.
+		// Let the server finish the call that was given up.
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/conns/limit_test.go
+++ b/internal/conns/limit_test.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// begin is the limit of the calls until their answer begins to arrive.
+	// begin bounds the wait for the first part of a response.
 	begin = 300 * time.Millisecond
 	piece = "0123456789"
 )
 
-// piecewise answers with pieces, with a pause before each.
+// piecewise answers in pieces, with a pause before each.
 func piecewise(pauses ...time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for _, d := range pauses {
@@ -37,14 +37,15 @@
 	})
 }
 
-// TestLimit checks that a call is ended by what arrives of its answer, and not by how
-// long the whole answer takes.
+// TestStallTimeout checks that a call is bounded by the progress of its response, and not by
+// the time that the whole response takes.
 func TestLimit(t *testing.T) {
 	const hour = time.Hour
 	for _, c := range []struct {
 		name   string
 		pauses []time.Duration
-		// kind is that of the call's end, "" if the answer is read whole; after is when it ends.
+		// kind is the kind of the error that ends the call, empty if the response is read
+		// completely; after is when the call ends.
 		kind  conns.Kind
 		after time.Duration
 	}{
--- a/internal/conns/usage.go
+++ b/internal/conns/usage.go
@@ -8,15 +8,15 @@
 	"sync/atomic"
 )
 
-// Usage counts calls and the bytes of their bodies by path, over all Transports that
-// share it. The zero value is ready.
+// Usage counts calls and the bytes of their bodies by path, for all Transports that share it.
+// The zero value is ready to use.
 type Usage struct {
 	paths sync.Map // of *PathUsage, by path
 }
 
-// PathUsage are the calls of one path.
+// PathUsage counts the calls to one path.
 type PathUsage struct {
-	// Calls counts calls, Sent and Received are the bytes of the bodies.
+	// Calls is the number of calls. Sent and Received are the bytes of their bodies.
 	Calls, Sent, Received atomic.Int64
 }
 
@@ -29,7 +29,7 @@
 	return p.(*PathUsage)
 }
 
-// Each calls fn for each path that was called.
+// Each calls fn for each path with calls.
 func (u *Usage) Each(fn func(path string, p *PathUsage)) {
 	u.paths.Range(func(path, p any) bool {
 		fn(path.(string), p.(*PathUsage))
@@ -37,7 +37,7 @@
 	})
 }
 
-// countCall counts a call that is about to be made.
+// countCall counts a call that is about to be sent.
 func (u *Usage) countCall(r *http.Request) *PathUsage {
 	p := u.of(r.URL.Path)
 	p.Calls.Add(1)
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package events numbers the log events, so that an operator can look each one
-// up in docs/events.md.
+// Package events holds the codes of the log events, by which an operator finds each
+// one in docs/events.md.
 //
 // # Usage
 //
@@ -10,10 +10,10 @@
 
 import "go.uber.org/zap"
 
-// Field is the name of the log field that carries the number.
+// Field is the name of the log field that carries the code.
 const Field = "event"
 
-// The events of the node's own life.
+// The events of the node's start, stop and settings.
 var (
 	NodeStarted  = zap.String(Field, "SB1001")
 	NodeDraining = zap.String(Field, "SB1002")
@@ -132,5 +132,5 @@
 	HelperFailed       = zap.String(Field, "SB1723")
 )
 
-// LogLinesDropped is written by the log's writer itself, beside the logger.
+// LogLinesDropped is written by the log's writer itself, not through the logger.
 const LogLinesDropped = "SB1801"
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -28,7 +28,7 @@
 	return found
 }
 
-// TestCatalogue holds docs/events.md against the code: each number once in both.
+// TestCatalogue checks that docs/events.md and the code list the same event codes, each once.
 func TestCatalogue(t *testing.T) {
 	code, page := eventCodes(t, "events.go", inCode), eventCodes(t, "../../docs/events.md", inPage)
 	if !slices.Equal(code, page) {
--- a/internal/fanout/batcher.go
+++ b/internal/fanout/batcher.go
@@ -14,12 +14,14 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// lineBytes is the size of the buffer for one packed line, so that most go out in one write.
+// lineBytes is the size of the buffer for one compressed line, so that most lines are sent in
+// one write.
 const lineBytes = 16 << 10
 
-// batcher gathers messages of one kind and writes them together, as one line of JSON.
+// batcher collects messages of one kind and writes them in batches, each as one line of JSON.
 type batcher[T any] struct {
-	// keepalive is after how long an empty line is written if nothing else is; 0: never.
+	// keepalive is the time after which an empty line is written if there are no messages; 0
+	// for never.
 	keepalive time.Duration
 	ready     chan struct{}
 
@@ -31,7 +33,7 @@
 	return &batcher[T]{keepalive: beat, ready: make(chan struct{}, 1), list: []T{}}
 }
 
-// add puts a message in.
+// add adds a message to the next batch.
 func (b *batcher[T]) add(v T) {
 	b.mu.Lock()
 	b.list = append(b.list, v)
@@ -42,7 +44,7 @@
 	}
 }
 
-// drain takes all messages out.
+// drain returns and removes all messages.
 func (b *batcher[T]) drain() []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,9 +53,9 @@
 	return list
 }
 
-// run writes what comes to w, packed, until ctx ends or a write fails; flushed is called
-// after each line. What repeats from one message to the next, such as a job's text in the
-// starts of its tasks, takes some bytes only.
+// run writes the batches to w, compressed, until ctx ends or a write fails; flushed is called
+// after each line. All lines share one compression state, so that content that repeats
+// between messages, such as a job's spec in the starts of its tasks, takes a few bytes only.
 func (b *batcher[T]) run(ctx context.Context, w io.Writer, flushed func() error) error {
 	buffered := bufio.NewWriterSize(w, lineBytes)
 	compressed, err := flate.NewWriter(buffered, flate.BestSpeed)
--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -15,66 +15,70 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// Helper is a node that makes calls for others.
+// Helper is a node that calls workers for other nodes.
 type Helper struct {
 	Name string
-	// URL is where its Server is.
+	// URL is the address of its Server.
 	URL string
 }
 
-// Config is what a Client works with.
+// Config holds the settings and dependencies of a Client.
 type Config struct {
-	// Direct makes the calls for which there is no helper.
+	// Direct makes the calls that don't go through a helper.
 	Direct Workers
-	// Helpers returns the nodes that should help with the calls of so many workers;
-	// needed is false if the owner should make them itself.
+	// Helpers returns the nodes that help with the calls of the given number of workers;
+	// needed is false if the owner makes them itself.
 	Helpers func(workers int) (list []Helper, needed bool)
-	// Workers is how many workers there are likely to be, before they have been called.
+	// Workers is the expected number of workers before they have been called.
 	Workers int
-	// OnFailure is told of a helper that has failed.
+	// OnFailure is called with the name of a helper that has failed.
 	OnFailure func(name string)
 	Client    *http.Client
 	Log       *zap.Logger
 }
 
 const (
-	// chooseInterval is how often the helpers are chosen anew: nodes come and go.
+	// chooseInterval is the time after which the helpers are chosen again, since nodes come
+	// and go.
 	chooseInterval = time.Second
-	// chooseGrowth is by what factor more workers are called when they are chosen at once.
+	// chooseGrowth is the growth of the number of workers at which the helpers are chosen
+	// again at once.
 	chooseGrowth = 2
-	// suspectTime is how long a helper is left alone that has failed.
+	// suspectTime is how long a helper that has failed is avoided.
 	suspectTime = 2 * time.Second
-	// directTime is how long a worker is called directly that did not answer its helper: for
-	// the next hold, which tells whether the owner reaches it.
+	// directTime is how long a worker that didn't answer its helper is called directly: long
+	// enough for the next hold, which tells whether the owner reaches it.
 	directTime = 500 * time.Millisecond
-	// maxHelperAttempts is how many helpers one call may be handed to before it is made directly.
+	// maxHelperAttempts is how many helpers are tried for one call before it is made
+	// directly.
 	maxHelperAttempts = 2
 	// workerExpiry is how long after its last call a worker no longer counts.
 	workerExpiry = 5 * time.Second
 )
 
-// Client makes the calls of workers of one owner. It is a Workers itself.
+// Client calls the workers of one owner. It implements Workers.
 type Client struct {
 	Config
 	ctx  context.Context
 	stop context.CancelFunc
-	// began is the zero of the times of calls.
+	// began is the start of the clock for the times that calls carry.
 	began time.Time
 
 	mu sync.Mutex
-	// lastCall is when each worker was called last.
+	// lastCall is when each worker was last called.
 	lastCall map[string]time.Time
 	helpers  []Helper
-	// chosenAt is when the helpers were chosen, and chosenFor for how many workers.
+	// chosenAt is when the helpers were last chosen, and chosenFor the number of workers they
+	// were chosen for.
 	chosenAt  time.Time
 	chosenFor int
 	streams   map[string]*stream
-	// suspectUntil is until when a helper is left alone, and directUntil until when a worker is
-	// called directly.
+	// suspectUntil is the time until which a failed helper is avoided, and directUntil the
+	// time until which a worker is called directly.
 	suspectUntil, directUntil map[string]time.Time
 }
 
-// New returns a Client, which is to be closed.
+// New returns a Client. The caller has to close it.
 func New(cfg Config) *Client {
 	c := &Client{
 		Config: cfg, began: time.Now(), lastCall: make(map[string]time.Time), streams: make(map[string]*stream),
@@ -84,7 +88,7 @@
 	return c
 }
 
-// Close ends the connections to all helpers.
+// Close closes the connections to all helpers.
 func (c *Client) Close() { c.stop() }
 
 // Start orders a run.
@@ -101,14 +105,15 @@
 	return c.dispatch(ctx, m).Reply
 }
 
-// Pace sets the share at which a run works.
+// Pace sets the percentage of its full speed at which a run works.
 func (c *Client) Pace(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64, percent int) cluster.Reply {
 	m := newCall(opPace, order)
 	m.Task, m.Run, m.Percent = task.String(), run, percent
 	return c.dispatch(ctx, m).Reply
 }
 
-// Hold renews the lease, confirms ends and reads what runs and has ended.
+// Hold renews the lease, confirms ended runs, and reads which runs are active and which have
+// ended.
 func (c *Client) Hold(ctx context.Context, order cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply) {
 	m := newCall(opHold, order)
 	m.LastSeen, m.WaitMS = lastSeen, wait.Milliseconds()
@@ -118,16 +123,16 @@
 	}
 	r, err := a.Report.decode()
 	if err != nil {
-		c.Log.Warn("report can't be read", events.HelperFailed, zap.String("worker", order.Worker), zap.Error(err))
+		c.Log.Warn("failed to decode worker report", events.HelperFailed, zap.String("worker", order.Worker), zap.Error(err))
 		return cluster.Report{}, cluster.ReplyInvalid
 	}
 	return r, a.Reply
 }
 
-// dispatch makes a call by way of a helper, of another one if that fails, and directly if there
-// is none: helpers that all fail at once tell of the owner's own link, which direct calls
-// would fill. A worker that has the call already answers as to the first one: runs and
-// ends have numbers.
+// dispatch makes a call through a helper, through another one if that fails, and directly if
+// there is no helper. If all helpers fail at once, the owner's own link is the likely cause,
+// and direct calls would only fill it, so none is made. A worker that receives a call twice
+// gives the same answer, since runs and their ends have numbers.
 func (c *Client) dispatch(ctx context.Context, m call) answer {
 	began, maySent := time.Now(), false
 	for range maxHelperAttempts {
@@ -167,8 +172,8 @@
 	return len(c.helpers) > 0
 }
 
-// finalAnswer returns the answer to a call that an earlier helper may have made too: that
-// nothing was done is then not known any more.
+// finalAnswer returns the answer to a call that an earlier helper may have made already: an
+// answer that nothing was done then no longer proves it.
 func finalAnswer(a answer, maySent bool) answer {
 	if !maySent {
 		return a
@@ -180,15 +185,15 @@
 	return answer{Reply: cluster.ReplyUnknown}
 }
 
-// callDirectly lets the owner call a worker itself for a while that did not answer its
-// helper: the helper may be the one that is cut off.
+// callDirectly makes the owner call a worker itself for a while after the worker didn't
+// answer its helper: the helper may be the node that is cut off.
 func (c *Client) callDirectly(worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.directUntil[worker] = time.Now().Add(directTime)
 }
 
-// remainingMS returns how long a call may take.
+// remainingMS returns the time left for a call, in milliseconds.
 func remainingMS(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -200,9 +205,9 @@
 // defaultCallTimeout bounds a call without a deadline.
 const defaultCallTimeout = 3 * time.Second
 
-// streamFor returns the connection to the helper of a worker; nil: it is called directly.
-// Each worker has its helper by rendezvous hash, so that few change theirs when the
-// helpers do.
+// streamFor returns the connection to a worker's helper, or nil if the worker is called
+// directly. Workers are assigned to helpers by rendezvous hash, so that few workers change
+// theirs when the helpers change.
 func (c *Client) streamFor(worker string) *stream {
 	now := time.Now()
 	c.mu.Lock()
@@ -219,14 +224,14 @@
 		return nil
 	}
 	if s := c.streams[best.Name]; s != nil && s.ctx.Err() != nil {
-		// Nobody has noted yet that it failed.
+		// The stream has failed, but no call has recorded it yet.
 		c.drop(s)
 		best = c.helperFor(worker, now)
 	}
 	return c.streamTo(*best)
 }
 
-// helperFor returns the helper of a worker; one that has failed lately counts only if all
+// helperFor returns the helper of a worker. One that failed recently is used only if all
 // have. The caller holds mu.
 func (c *Client) helperFor(worker string, now time.Time) *Helper {
 	var best *Helper
@@ -242,7 +247,7 @@
 	return best
 }
 
-// chooseHelpers chooses the helpers anew. The caller holds mu.
+// chooseHelpers chooses the helpers again. The caller holds mu.
 func (c *Client) chooseHelpers(now time.Time) {
 	c.chosenAt = now
 	for id, at := range c.lastCall {
@@ -254,7 +259,8 @@
 	c.chosenFor = max(len(c.lastCall), c.Workers)
 	list, needed := c.Helpers(c.chosenFor)
 	if needed && len(list) == 0 {
-		// Nobody answers here: that tells of this node, and those it had may be there.
+		// No node answers, so this node is probably cut off. Its current helpers may still be
+		// up: keep them.
 		return
 	}
 	c.helpers = list
@@ -270,9 +276,10 @@
 	}
 }
 
-// streamTo returns the connection to a helper. One that has just failed fails its call as well,
-// which notes that: opened anew here, its helper would go on without being suspected, and
-// calls that had failed on the old one would be handed to it again. The caller holds mu.
+// streamTo returns the connection to a helper, and opens one if there is none. A connection
+// that has just failed is returned too: the call on it fails and marks the helper as suspect.
+// Replacing it here would leave the helper in use, and calls that had failed on the old
+// connection would be sent to it again. The caller holds mu.
 func (c *Client) streamTo(h Helper) *stream {
 	s := c.streams[h.Name]
 	if s == nil {
@@ -282,7 +289,8 @@
 	return s
 }
 
-// silenceLimit returns how long a helper may say nothing: less if others have been heard.
+// silenceLimit returns how long a helper may be silent: less if another helper has been heard
+// recently.
 func (c *Client) silenceLimit(name string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -294,7 +302,7 @@
 	return allHelpersSilence
 }
 
-// dropOnce notes that a connection has ended, unless that is noted already.
+// dropOnce records that a connection has ended, unless that has been recorded before.
 func (c *Client) dropOnce(s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -303,13 +311,13 @@
 	}
 }
 
-// drop forgets a connection that has ended, and leaves its helper alone for a while. The
-// caller holds mu.
+// drop removes a connection that has ended, and avoids its helper for a while. The caller
+// holds mu.
 func (c *Client) drop(s *stream) {
 	delete(c.streams, s.helper.Name)
 	c.suspectUntil[s.helper.Name] = time.Now().Add(suspectTime)
 	if c.ctx.Err() == nil {
 		c.OnFailure(s.helper.Name)
-		c.Log.Info("helper has failed", events.HelperFailed, zap.String("peer", s.helper.Name), zap.Error(context.Cause(s.ctx)))
+		c.Log.Info("helper failed", events.HelperFailed, zap.String("peer", s.helper.Name), zap.Error(context.Cause(s.ctx)))
 	}
 }
--- a/internal/fanout/delay.go
+++ b/internal/fanout/delay.go
@@ -4,15 +4,16 @@
 
 import "time"
 
-// delayWindow is for how long the least delay counts. The steady clocks of two hosts may
+// delayWindow is how long a minimum delay is valid. The monotonic clocks of two hosts may
 // drift apart by 4 %, which is 0.2 s in twice that time.
 const delayWindow = 2500 * time.Millisecond
 
-// delayEstimator tells how much later calls come than others of the same connection. The two
-// hosts' clocks have nothing in common but their pace.
+// delayEstimator estimates how much later a call arrives than other calls on the same
+// connection. It assumes only that the clocks of the two hosts run at the same rate.
 type delayEstimator struct {
 	began time.Time
-	// minDiffs are the minDiffs differences of the two clocks seen in this window and the last.
+	// minDiffs holds the minimum differences of the two clocks seen in this window and in the
+	// previous one.
 	minDiffs    [2]int64
 	windowStart time.Time
 }
@@ -22,10 +23,11 @@
 	return &delayEstimator{began: now, windowStart: now, minDiffs: [2]int64{noDelay, noDelay}}
 }
 
-// noDelay is more than any difference of clocks.
+// noDelay is larger than any difference of the clocks.
 const noDelay = 1 << 62
 
-// observe returns how much later than others a call came that was sent then.
+// observe returns how much later than others a call arrived that was sent at sentMS on the
+// sender's clock.
 func (d *delayEstimator) observe(sentMS int64) time.Duration {
 	now := time.Now()
 	if now.Sub(d.windowStart) > delayWindow {
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fanout lets the calls of many workers go by way of other nodes.
+// Package fanout distributes the calls to many workers over other nodes.
 //
-// Most of what a shard's owner uses of its processor are calls of workers: some four
-// a second for each worker that is busy, each with the cost of an HTTP call. A Client
-// hands them to helpers, which are nodes that make the calls and hand the answers back,
-// both many at a time over one connection that stays open. Decisions stay with the owner:
-// a helper keeps nothing, and orders carry the owner's fence.
+// A shard's owner spends most of its CPU on calls to workers: about four a second for
+// each busy worker, each with the cost of an HTTP call. A Client sends them to helpers
+// instead, which are nodes that make the calls and return the answers. Calls and answers
+// are sent in batches over one persistent connection for each helper. Decisions stay with
+// the owner: a helper is stateless, and orders carry the owner's fence.
 //
-// A helper that dies, stands still or is cut off is found by what is open with it: its
-// calls go by way of another helper, or from the owner itself if there is none. A call
-// may then reach its worker twice, or late, like any call whose answer is lost.
+// A helper that dies, hangs or is cut off is detected when its pending calls stay without
+// an answer. They are then made through another helper, or by the owner itself if there
+// is none. Such a call may reach its worker twice, or late, like any call whose answer is
+// lost.
 //
 // # Usage
 //
@@ -33,13 +34,13 @@
 
 // The kinds of error.
 const (
-	// KindOpen: no connection to the helper.
+	// KindOpen means that no connection to the helper could be made.
 	KindOpen Kind = "open"
-	// KindBroken: the connection to the helper has ended.
+	// KindBroken means that the connection to the helper has ended.
 	KindBroken Kind = "broken"
-	// KindSilent: the helper doesn't answer.
+	// KindSilent means that the helper doesn't answer.
 	KindSilent Kind = "silent"
-	// KindDecode: an answer can't be read.
+	// KindDecode means that an answer can't be decoded.
 	KindDecode Kind = "decode"
 )
 
@@ -56,7 +57,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Workers gives orders to workers.
+// Workers sends orders to workers.
 type Workers interface {
 	Start(ctx context.Context, order cluster.StartOrder) cluster.Reply
 	Stop(ctx context.Context, order cluster.Order, task cluster.TaskID, run int64) cluster.Reply
@@ -64,7 +65,7 @@
 	Hold(ctx context.Context, order cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply)
 }
 
-// op is what a call orders.
+// op is the operation of a call.
 type op string
 
 // The operations.
@@ -75,9 +76,9 @@
 	opHold  op = "hold"
 )
 
-// call is one call of a worker; which of the members count depends on Op.
+// call is one call to a worker. Op determines which of its fields are used.
 type call struct {
-	// N numbers the calls of a connection.
+	// N is the number of the call on its connection.
 	N          int64  `json:"n"`
 	Op         op     `json:"o"`
 	Worker     string `json:"w"`
@@ -87,8 +88,8 @@
 	Generation int64  `json:"g,omitempty"`
 	ClockMS    int64  `json:"q,omitempty"`
 	DeadlineMS int64  `json:"d,omitempty"`
-	// SentMS is when the call was sent, on the owner's steady clock, and LimitMS how long
-	// after that it is given up.
+	// SentMS is when the call was sent, on the owner's monotonic clock. LimitMS is how long
+	// after that the owner gives it up.
 	SentMS     int64  `json:"z"`
 	LimitMS    int64  `json:"l"`
 	Task       string `json:"t,omitempty"`
@@ -101,14 +102,14 @@
 	WaitMS     int64  `json:"h,omitempty"`
 }
 
-// answer is what a worker replied to a call.
+// answer is a worker's reply to a call.
 type answer struct {
 	N      int64         `json:"n"`
 	Reply  cluster.Reply `json:"y"`
 	Report *report       `json:"p,omitempty"`
 }
 
-// report is a cluster.Report.
+// report is a cluster.Report as it is sent between nodes.
 type report struct {
 	Started int64       `json:"b,omitempty"`
 	ClockMS int64       `json:"c"`
@@ -116,7 +117,7 @@
 	Ended   []runEnd    `json:"e,omitempty"`
 }
 
-// runStatus is a cluster.RunStatus.
+// runStatus is a cluster.RunStatus as it is sent between nodes.
 type runStatus struct {
 	Task       string `json:"t"`
 	Run        int64  `json:"r"`
@@ -125,7 +126,7 @@
 	Usage      int64  `json:"u,omitempty"`
 }
 
-// runEnd is a cluster.RunEnd.
+// runEnd is a cluster.RunEnd as it is sent between nodes.
 type runEnd struct {
 	N          int64           `json:"n"`
 	Task       string          `json:"t"`
@@ -146,7 +147,7 @@
 	return out
 }
 
-// decode returns the report that was encoded.
+// decode decodes the report.
 func (r *report) decode() (cluster.Report, error) {
 	out := cluster.Report{Started: r.Started, ClockMS: r.ClockMS}
 	for _, e := range r.Running {
@@ -166,7 +167,7 @@
 	return out, nil
 }
 
-// newCall returns a call without what its operation needs beside the order.
+// newCall returns a call with the fields of its order, without those of its operation.
 func newCall(what op, order cluster.Order) call {
 	return call{
 		Op: what, Worker: order.Worker, Started: order.Started, Address: order.Address,
@@ -174,7 +175,7 @@
 	}
 }
 
-// execute carries a call out.
+// execute makes the call.
 func (c *call) execute(ctx context.Context, w Workers) answer {
 	a := answer{N: c.N, Reply: cluster.ReplyInvalid}
 	order := cluster.Order{
@@ -204,7 +205,7 @@
 	return a
 }
 
-// batchDelay is how long calls, and answers, are gathered before they are sent on: it delays
-// a start, and the news of its end, by this much, and saves a write and a wake-up on both
-// sides for each that comes in that time.
+// batchDelay is how long calls and answers are collected before they are sent. It delays a
+// start, and the report of its end, by this much, and saves a write and a wake-up on both
+// sides for each message that is added in that time.
 const batchDelay = 3 * time.Millisecond
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -23,13 +23,14 @@
 // orderTime is how long an owner waits for the answer to a start.
 const orderTime = 300 * time.Millisecond
 
-// workers are the workers as one node reaches them. They note who called.
+// workers simulates the workers as one node reaches them, and counts the calls that the node
+// makes.
 type workers struct {
 	node string
 	mu   sync.Mutex
 	// calls counts the calls of each worker.
 	calls map[string]int
-	// reply is what a start is answered; "" is ReplyOK.
+	// reply is the answer to a start; empty for ReplyOK.
 	reply cluster.Reply
 }
 
@@ -73,7 +74,7 @@
 	return cluster.ReplyOK
 }
 
-// Hold is kept open until its wait is over, as by a worker on which nothing ends.
+// Hold answers when its wait is over, like a worker on which no run ends.
 func (w *workers) Hold(ctx context.Context, o cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply) {
 	w.note(o.Worker)
 	select {
@@ -84,7 +85,7 @@
 	return cluster.Report{ClockMS: lastSeen, Running: []cluster.RunStatus{{Task: cluster.TaskID{Job: "j", Index: 3}, Run: 7, Percent: 50}}}, cluster.ReplyOK
 }
 
-// rig is an owner and helpers on an in-memory network.
+// fixture is an owner with helpers on an in-memory network.
 type rig struct {
 	net     *network.Network
 	client  *fanout.Client
@@ -122,8 +123,8 @@
 	time.Sleep(5 * time.Second)
 }
 
-// start starts one run on each of n workers at once, and returns how they were answered
-// and how long the last one took.
+// start starts one run on each of n workers at once. It returns how many starts got each
+// reply, and the time until the last reply.
 func (r *rig) start(n int) (map[cluster.Reply]int, time.Duration) {
 	replies, began := make(map[cluster.Reply]int), time.Now()
 	var mu sync.Mutex
@@ -152,8 +153,8 @@
 	})
 }
 
-// TestCallsGoByWayOfHelpers checks that helpers make all calls, each those of workers of
-// its own, and that answers come back whole.
+// TestCallsGoThroughHelpers checks that helpers make all calls, each for its own workers, and
+// that answers arrive unchanged.
 func TestCallsGoByWayOfHelpers(t *testing.T) {
 	play(t, 4, func(t *testing.T, r *rig) {
 		const busy = 60
@@ -175,8 +176,8 @@
 	})
 }
 
-// TestWithoutHelpersCallsAreMadeDirectly checks that an owner without helpers makes all
-// calls itself.
+// TestWithoutHelpersCallsAreMadeDirectly checks that an owner without helpers makes all calls
+// itself.
 func TestWithoutHelpersCallsAreMadeDirectly(t *testing.T) {
 	play(t, 0, func(t *testing.T, r *rig) {
 		if r.start(10); r.direct.total() != 10 {
@@ -185,8 +186,8 @@
 	})
 }
 
-// TestHelperLost checks that calls are answered in time when a helper is lost, whichever
-// way: starts, and holds that are open with it.
+// TestHelperLost checks that calls are answered in time when a helper is lost in any way: new
+// starts, and holds that are pending on it.
 func TestHelperLost(t *testing.T) {
 	for name, lose := range map[string]func(r *rig){
 		"its process ends": func(r *rig) { r.net.SetPartitioned("h0", "*", true); r.net.ResetConnections("h0") },
@@ -226,8 +227,8 @@
 	}
 }
 
-// TestWorkerThatHelperDoesNotReach checks that a worker is called directly that its
-// helper can't reach: it may be the helper that is cut off from it.
+// TestWorkerThatHelperDoesNotReach checks that a worker which its helper can't reach is
+// called directly: the helper may be the node that is cut off.
 func TestWorkerThatHelperDoesNotReach(t *testing.T) {
 	play(t, 1, func(t *testing.T, r *rig) {
 		r.helpers["h0"].reply = cluster.ReplyNotSent
@@ -237,11 +238,9 @@
 	})
 }
 
-// TestStartThatMayHaveBeenMade checks that a start which a lost helper may have made is
-// not taken for one that was not made, whatever the next one is answered.
-//
-// A task ran twice, 0.9 s apart on two workers, after a helper had been given up with the
-// first start: the second try was answered "not_sent", which let the task start elsewhere.
+// TestStartThatMayHaveBeenMade guards against a task that runs twice after the loss of a
+// helper. The lost helper may have made the start; if the answer to a second attempt, such as
+// "not_sent", were taken for the outcome, the task would start on another worker as well.
 func TestStartThatMayHaveBeenMade(t *testing.T) {
 	for _, second := range []cluster.Reply{cluster.ReplyNotSent, cluster.ReplyBusy, cluster.ReplyStaleRun, cluster.ReplyTicketInvalid, cluster.ReplyNoRoom} {
 		t.Run(string(second), func(t *testing.T) {
@@ -267,8 +266,8 @@
 	}
 }
 
-// TestHelperMakesNoOldCalls checks that a helper does not carry out starts that it reads
-// long after they were sent, as one that stood still does: their owner has given them up.
+// TestHelperMakesNoExpiredCalls checks that a helper which was paused doesn't make the starts
+// that it reads long after they were sent: their owner has given them up.
 func TestHelperMakesNoOldCalls(t *testing.T) {
 	play(t, 1, func(t *testing.T, r *rig) {
 		body, lines := io.Pipe()
--- a/internal/fanout/server.go
+++ b/internal/fanout/server.go
@@ -18,8 +18,8 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// Server makes calls of workers for other nodes: each request is a connection that stays
-// open, with lines of calls in its body and lines of answers in the reply.
+// Server calls workers for other nodes. Each request is a persistent connection, with lines
+// of calls in its body and lines of answers in the response.
 type Server struct {
 	workers Workers
 	log     *zap.Logger
@@ -28,24 +28,24 @@
 	stop context.CancelFunc
 }
 
-// NewServer returns a Server that makes calls by workers.
+// NewServer returns a Server that makes calls through workers.
 func NewServer(workers Workers, log *zap.Logger) *Server {
 	s := &Server{workers: workers, log: log}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// Close ends all connections; the owners go on by way of others.
+// Close closes all connections; the owners switch to other helpers.
 func (s *Server) Close() { s.stop() }
 
-// ServeHTTP serves one owner until one of the two ends.
+// ServeHTTP serves one owner until either side ends the connection.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(s.ctx, cancel)()
 	rc := http.NewResponseController(w)
 	if err := rc.EnableFullDuplex(); err != nil {
-		s.log.Warn("calls can't be helped with", events.NodeFailed, zap.Error(err))
+		s.log.Warn("connection does not support full duplex", events.NodeFailed, zap.Error(err))
 		w.WriteHeader(http.StatusNotImplemented)
 		return
 	}
@@ -59,27 +59,27 @@
 	defer cancel()
 	group.Go(func() {
 		defer cancel()
-		// An owner that has gone finds out by itself.
+		// A failed write needs no handling: the owner detects the lost connection itself.
 		_ = answers.run(ctx, w, rc.Flush)
 	})
-	// The body is read in a goroutine of its own, since a read doesn't end with ctx.
+	// The body is read in a goroutine of its own, since a read isn't interrupted by ctx.
 	go func() {
 		defer cancel()
 		s.readCalls(ctx, r.Body, answers)
 	}()
 	<-ctx.Done()
-	// A read that goes on ends with this.
+	// The deadline interrupts a read that is still waiting.
 	_ = rc.SetReadDeadline(time.Now())
 }
 
-// readCalls makes the calls that come, until the body ends.
+// readCalls makes the calls that arrive, until the body ends.
 func (s *Server) readCalls(ctx context.Context, body io.Reader, answers *batcher[answer]) {
 	delay := newDelayEstimator()
 	for d := json.NewDecoder(flate.NewReader(body)); ctx.Err() == nil; {
 		var calls []call
 		if err := d.Decode(&calls); err != nil {
 			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
-				s.log.Info("owner that was helped has gone", events.PeerLost, zap.Error(err))
+				s.log.Info("connection from owner lost", events.PeerLost, zap.Error(err))
 			}
 			return
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// execute makes one call that came so much later than others do, unless its time is over: a
-// helper that stood still must not carry out orders that the owner has long given up.
+// execute makes one call that arrived later than others by late, unless its time is over: a
+// helper that was paused must not carry out orders that the owner has long given up.
 func (s *Server) execute(ctx context.Context, c *call, late time.Duration, answers *batcher[answer]) {
 	left := time.Duration(c.LimitMS)*time.Millisecond - late
 	if left <= 0 {
@@ -99,7 +99,7 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	// What was cut short because the connection ends tells nothing of the worker.
+	// A call that was interrupted by the end of the connection says nothing about the worker.
 	if a := c.execute(limited, s.workers); ctx.Err() == nil {
 		answers.add(a)
 	}
--- a/internal/fanout/stream.go
+++ b/internal/fanout/stream.go
@@ -23,7 +23,7 @@
 	ctx    context.Context
 	fail   context.CancelCauseFunc
 
-	// silenceLimit returns how long the helper may say nothing.
+	// silenceLimit returns how long the helper may be silent.
 	silenceLimit func() time.Duration
 
 	mu         sync.Mutex
@@ -32,7 +32,8 @@
 	lastHeard  time.Time
 }
 
-// openStream connects to a helper. Calls may be made at once; they fail if that doesn't succeed.
+// openStream connects to a helper in the background. Calls may be made at once, and fail if
+// the connection can't be made.
 func openStream(ctx context.Context, client *http.Client, helper Helper, patience func() time.Duration) *stream {
 	s := &stream{helper: helper, silenceLimit: patience, calls: newBatcher[call](0), pending: make(map[int64]chan answer), lastHeard: time.Now()}
 	s.ctx, s.fail = context.WithCancelCause(ctx)
@@ -41,13 +42,13 @@
 	go func() {
 		err := s.calls.run(s.ctx, lines, func() error { return nil })
 		s.fail(err)
-		// A pipe's writer is always closed without an error.
+		// Closing the writer of a pipe never fails.
 		_ = lines.CloseWithError(err)
 	}()
 	return s
 }
 
-// readAnswers makes the request and takes the answers, until the connection ends.
+// readAnswers sends the request and delivers the answers, until the connection ends.
 func (s *stream) readAnswers(client *http.Client, body io.Reader) error {
 	r, err := http.NewRequestWithContext(s.ctx, http.MethodPost, s.helper.URL, body)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 }
 
-// deliver hands answers to those who wait for them.
+// deliver passes answers to the calls that wait for them.
 func (s *stream) deliver(list []answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,8 +84,7 @@
 	}
 }
 
-// call makes a call by way of the helper; ok is false if the helper is to blame that there
-// is no answer.
+// call makes a call through the helper; ok is false if the helper failed to answer.
 func (s *stream) call(ctx context.Context, c call) (a answer, ok bool) {
 	waiting := make(chan answer, 1)
 	n, sent := s.begin(waiting), time.Now()
@@ -104,14 +104,14 @@
 		case <-check.C:
 		}
 		if s.silentFor(sent) >= s.silenceLimit() {
-			s.fail(&Error{"call", KindSilent, errors.New("the helper says nothing")})
+			s.fail(&Error{"call", KindSilent, errors.New("helper does not answer")})
 			return a, false
 		}
 		check.Reset(helperSilence)
 	}
 }
 
-// begin numbers a call whose answer goes to waiting.
+// begin assigns a number to a call whose answer goes to waiting.
 func (s *stream) begin(waiting chan answer) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +120,14 @@
 	return s.lastNumber
 }
 
-// end forgets a call.
+// end removes a call.
 func (s *stream) end(n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, n)
 }
 
-// silentFor returns for how long the helper has said nothing since a call was sent.
+// silentFor returns how long the helper has been silent since a call was sent.
 func (s *stream) silentFor(sent time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,13 +138,13 @@
 }
 
 const (
-	// helperSilence is how long a helper may say nothing while calls are open: one that has
-	// used up its processor quota stands still for 0.1 s.
+	// helperSilence is how long a helper may be silent while calls are pending: one that has
+	// used up its CPU quota pauses for 0.1 s.
 	helperSilence = 200 * time.Millisecond
-	// allHelpersSilence is the same if no other helper has said anything lately either: it is more
-	// likely the owner's host or link that stands still.
+	// allHelpersSilence is the limit if no other helper has been heard recently either: then
+	// the owner's own host or link is the likely cause.
 	allHelpersSilence = 600 * time.Millisecond
-	// keepaliveInterval is how often a helper says that it is there while calls are open and no
-	// worker answers.
+	// keepaliveInterval is how often a helper signals that it is up while calls are pending
+	// and no worker answers.
 	keepaliveInterval = 70 * time.Millisecond
 )
