--- a/internal/cluster/shard_test.go
+++ b/internal/cluster/shard_test.go
@@ -45,18 +45,18 @@
 
 // TestCandidateShards checks that a job's two candidates are different shards, and that each
 // shard is the first candidate of some job.
-func TestChoices(t *testing.T) {
+func TestCandidateShards(t *testing.T) {
 	l := cluster.PlanLayout("s", newMachines(30, 12), 90)
 	seen := make(map[int]bool)
 	for i := range 1000 {
 		c := l.CandidateShards(fmt.Sprintf("%016x", i))
 		if len(c) != 2 || c[0] == c[1] || c[0] < 0 || c[0] >= l.Shards || c[1] < 0 || c[1] >= l.Shards {
-			t.Fatalf("choices %v of %d shards", c, l.Shards)
+			t.Fatalf("candidates %v of %d shards", c, l.Shards)
 		}
 		seen[c[0]] = true
 	}
 	if len(seen) != l.Shards {
-		t.Errorf("only %d of %d shards are chosen", len(seen), l.Shards)
+		t.Errorf("only %d of %d shards are first candidates", len(seen), l.Shards)
 	}
 }
 
@@ -66,7 +66,7 @@
 	for _, count := range []int{1, 2, 3, 4, 31} {
 		job := cluster.Job{ID: "a", Service: "s", Steps: []cluster.Step{{Count: count, LongRunning: true}}}
 		if !job.Splittable() {
-			t.Fatal("a job of lasting tasks doesn't split")
+			t.Fatal("a job of long-running tasks is not splittable")
 		}
 		holders := make(map[int]int)
 		shards := make(map[int]bool)
@@ -80,21 +80,21 @@
 				}
 			}
 			if own == 0 {
-				t.Errorf("%d tasks: a part has none", count)
+				t.Errorf("%d tasks: a part has no task", count)
 			}
 		}
 		if len(shards) != min(count, l.Shards) || len(holders) != count {
-			t.Errorf("%d tasks lie on %d shards, %d are held", count, len(shards), len(holders))
+			t.Errorf("%d tasks: parts on %d shards hold %d tasks", count, len(shards), len(holders))
 		}
 		for task, n := range holders {
 			if n != 1 {
-				t.Errorf("%d tasks: task %d is held %d times", count, task, n)
+				t.Errorf("%d tasks: task %d is in %d parts", count, task, n)
 			}
 		}
 	}
 	for _, step := range []cluster.Step{{Count: 2}, {Count: 2, LongRunning: true, Gang: true}, {Count: 2, LongRunning: true, MaxUnavailable: 1}, {Count: 2, LongRunning: true, DataRack: "r1-1"}} {
 		if job := (cluster.Job{Steps: []cluster.Step{step}}); job.Splittable() {
-			t.Errorf("splits: %+v", step)
+			t.Errorf("job is splittable with step %+v", step)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	}
 	for _, bad := range []string{"", "a", "a/", "a/x", "a/-1"} {
 		if _, err := cluster.ParseShardID(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("ParseShardID accepts %q", bad)
 		}
 	}
 }
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -21,7 +21,7 @@
 )
 
 // fixture is a client with open connections to two servers.
-type scene struct {
+type fixture struct {
 	t      *testing.T
 	net    *network.Network
 	client *http.Client
@@ -31,15 +31,15 @@
 }
 
 const (
-	kept = 4
+	idleConns = 4
 	// port is the port of a URL without one.
 	port    = "80"
 	timeout = 100 * time.Millisecond
 )
 
-func newScene(t *testing.T) *scene {
-	s := &scene{t: t, net: network.New(), accepted: make(map[string]*atomic.Int64)}
-	s.client = &http.Client{Transport: conns.New(conns.Network{Dial: s.net.Dial("client"), Log: zap.NewNop()}, kept, time.Hour)}
+func newFixture(t *testing.T) *fixture {
+	s := &fixture{t: t, net: network.New(), accepted: make(map[string]*atomic.Int64)}
+	s.client = &http.Client{Transport: conns.New(conns.Network{Dial: s.net.Dial("client"), Log: zap.NewNop()}, idleConns, time.Hour)}
 	for _, host := range []string{"a", "b"} {
 		s.serve(host)
 		s.open(host)
@@ -48,7 +48,7 @@
 }
 
 // serve starts a server on a host. It answers a path of /wait/D after D.
-func (s *scene) serve(host string) {
+func (s *fixture) serve(host string) {
 	n := &atomic.Int64{}
 	s.accepted[host] = n
 	srv := &http.Server{
@@ -70,9 +70,9 @@
 }
 
 // open makes idleConns connections to a host.
-func (s *scene) open(host string) {
+func (s *fixture) open(host string) {
 	var wg sync.WaitGroup
-	for range kept {
+	for range idleConns {
 		wg.Go(func() {
 			if err := s.get(host, "/wait/10ms"); err != nil {
 				s.t.Error(err)
@@ -80,11 +80,11 @@
 		})
 	}
 	wg.Wait()
-	s.check(host, kept)
+	s.checkAccepted(host, idleConns)
 }
 
 // get makes a call that is bounded by timeout.
-func (s *scene) get(host, path string) error {
+func (s *fixture) get(host, path string) error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+path, nil)
@@ -101,14 +101,14 @@
 }
 
 // checkAccepted checks how many connections a server accepted.
-func (s *scene) check(host string, want int64) {
+func (s *fixture) checkAccepted(host string, want int64) {
 	s.t.Helper()
 	if got := s.accepted[host].Load(); got != want {
-		s.t.Errorf("%s took %d connections, want %d", host, got, want)
+		s.t.Errorf("%s accepted %d connections, want %d", host, got, want)
 	}
 }
 
-func (s *scene) close() {
+func (s *fixture) close() {
 	s.client.CloseIdleConnections()
 	for _, stop := range s.stop {
 		stop()
@@ -121,48 +121,48 @@
 // a new connection.
 func TestSilentConnectionsAreNotUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		defer s.close()
 		time.Sleep(time.Second)
 		s.net.SilenceOpenConnections("")
 		if err := s.get("a", "/"); err == nil {
-			t.Error("a call on a silent connection was answered")
+			t.Error("a call on a dead connection succeeded")
 		}
 		for range 3 {
 			if err := s.get("a", "/"); err != nil {
-				t.Errorf("after the first failure: %v", err)
+				t.Errorf("call after the first failure: %v", err)
 			}
 		}
-		s.check("a", kept+1)
-		s.check("b", kept)
+		s.checkAccepted("a", idleConns+1)
+		s.checkAccepted("b", idleConns)
 	})
 }
 
 // TestFailedCallKeepsOtherConnections checks that a failed call doesn't break off other calls
 // in progress, and costs no connection to another address.
-func TestOpenCallsAreLeftAlone(t *testing.T) {
+func TestFailedCallKeepsOtherConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t)
+		s := newFixture(t)
 		defer s.close()
 		time.Sleep(time.Second)
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			if err := s.get("a", "/wait/1s"); err == nil {
-				t.Error("a call beyond its limit was answered")
+				t.Error("a call past its timeout succeeded")
 			}
 		})
 		wg.Go(func() {
 			time.Sleep(timeout / 2)
 			if err := s.get("a", "/wait/90ms"); err != nil {
-				t.Errorf("a call beside it: %v", err)
+				t.Errorf("concurrent call: %v", err)
 			}
 		})
 		wg.Wait()
 		if err := s.get("b", "/"); err != nil {
 			t.Error(err)
 		}
-		s.check("a", kept)
-		s.check("b", kept)
+		s.checkAccepted("a", idleConns)
+		s.checkAccepted("b", idleConns)
 		// Let the server finish the call that was given up.
 		time.Sleep(time.Second)
 	})
--- a/internal/conns/limit_test.go
+++ b/internal/conns/stall_test.go
@@ -39,7 +39,7 @@
 
 // TestStallTimeout checks that a call is bounded by the progress of its response, and not by
 // the time that the whole response takes.
-func TestLimit(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	const hour = time.Hour
 	for _, c := range []struct {
 		name   string
@@ -49,10 +49,10 @@
 		kind  conns.Kind
 		after time.Duration
 	}{
-		{"a large answer on a slow link", []time.Duration{200 * time.Millisecond, time.Second, time.Second, time.Second}, "", 3200 * time.Millisecond},
-		{"no answer", []time.Duration{hour}, conns.KindSilent, begin},
-		{"an answer that stands still", []time.Duration{200 * time.Millisecond, hour}, conns.KindStalled, 200*time.Millisecond + conns.StallTimeout},
-		{"one that stands still later", []time.Duration{0, time.Second, hour}, conns.KindStalled, time.Second + conns.StallTimeout},
+		{"a large response on a slow link", []time.Duration{200 * time.Millisecond, time.Second, time.Second, time.Second}, "", 3200 * time.Millisecond},
+		{"no response", []time.Duration{hour}, conns.KindSilent, begin},
+		{"a response that stalls", []time.Duration{200 * time.Millisecond, hour}, conns.KindStalled, 200*time.Millisecond + conns.StallTimeout},
+		{"a response that stalls later", []time.Duration{0, time.Second, hour}, conns.KindStalled, time.Second + conns.StallTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,14 +72,14 @@
 				began := time.Now()
 				body, err := readAll(client, r)
 				if took := time.Since(began); took != c.after {
-					t.Errorf("the call ended after %s, want %s", took, c.after)
+					t.Errorf("call ended after %s, want %s", took, c.after)
 				}
 				var e *conns.Error
 				switch {
 				case c.kind == "" && (err != nil || len(body) != len(c.pauses)*len(piece)):
-					t.Errorf("read %q and %v, want all", body, err)
+					t.Errorf("read %q with error %v, want the whole response", body, err)
 				case c.kind != "" && (!errors.As(err, &e) || e.Kind != c.kind):
-					t.Errorf("the call ended with %v, want %s", err, c.kind)
+					t.Errorf("call ended with error %v, want kind %s", err, c.kind)
 				}
 				if got, want := conns.ResponseStarted(ctx), c.pauses[0] < begin; got != want {
 					t.Errorf("ResponseStarted is %t, want %t", got, want)
--- a/internal/conns/usage.go
+++ b/internal/conns/usage.go
@@ -20,8 +20,8 @@
 	Calls, Sent, Received atomic.Int64
 }
 
-// of returns the counters of a path.
-func (u *Usage) of(path string) *PathUsage {
+// counters returns the counters counters a path.
+func (u *Usage) counters(path string) *PathUsage {
 	if p, ok := u.paths.Load(path); ok {
 		return p.(*PathUsage)
 	}
@@ -39,7 +39,7 @@
 
 // countCall counts a call that is about to be sent.
 func (u *Usage) countCall(r *http.Request) *PathUsage {
-	p := u.of(r.URL.Path)
+	p := u.counters(r.URL.Path)
 	p.Calls.Add(1)
 	p.Sent.Add(max(r.ContentLength, 0))
 	return p
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -32,9 +32,9 @@
 func TestCatalogue(t *testing.T) {
 	code, page := eventCodes(t, "events.go", inCode), eventCodes(t, "../../docs/events.md", inPage)
 	if !slices.Equal(code, page) {
-		t.Errorf("the code has %v\nthe page has %v", code, page)
+		t.Errorf("codes in events.go: %v\ncodes in docs/events.md: %v", code, page)
 	}
 	if len(slices.Compact(slices.Clone(code))) != len(code) {
-		t.Error("a number stands twice")
+		t.Error("an event code is defined twice")
 	}
 }
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -20,8 +20,8 @@
 	"switchbank.example/switchbank/standin/network"
 )
 
-// orderTime is how long an owner waits for the answer to a start.
-const orderTime = 300 * time.Millisecond
+// startTimeout is how long an owner waits for the answer to a start.
+const startTimeout = 300 * time.Millisecond
 
 // workers simulates the workers as one node reaches them, and counts the calls that the node
 // makes.
@@ -34,14 +34,14 @@
 	reply cluster.Reply
 }
 
-func (w *workers) note(worker string) {
+func (w *workers) record(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[worker]++
 }
 
-// of returns how often a worker was called.
-func (w *workers) of(worker string) int {
+// callsTo returns how often a worker was called.
+func (w *workers) callsTo(worker string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls[worker]
@@ -57,7 +57,7 @@
 }
 
 func (w *workers) Start(_ context.Context, o cluster.StartOrder) cluster.Reply {
-	w.note(o.Worker)
+	w.record(o.Worker)
 	if w.reply != "" {
 		return w.reply
 	}
@@ -65,18 +65,18 @@
 }
 
 func (w *workers) Stop(_ context.Context, o cluster.Order, _ cluster.TaskID, _ int64) cluster.Reply {
-	w.note(o.Worker)
+	w.record(o.Worker)
 	return cluster.ReplyOK
 }
 
 func (w *workers) Pace(_ context.Context, o cluster.Order, _ cluster.TaskID, _ int64, _ int) cluster.Reply {
-	w.note(o.Worker)
+	w.record(o.Worker)
 	return cluster.ReplyOK
 }
 
 // Hold answers when its wait is over, like a worker on which no run ends.
 func (w *workers) Hold(ctx context.Context, o cluster.Order, lastSeen int64, wait time.Duration) (cluster.Report, cluster.Reply) {
-	w.note(o.Worker)
+	w.record(o.Worker)
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -86,7 +86,7 @@
 }
 
 // fixture is an owner with helpers on an in-memory network.
-type rig struct {
+type fixture struct {
 	net     *network.Network
 	client  *fanout.Client
 	direct  *workers
@@ -94,8 +94,8 @@
 	stops   []func()
 }
 
-func newRig(helpers int) *rig {
-	r := &rig{net: network.New(), direct: &workers{node: "owner", calls: make(map[string]int)}, helpers: make(map[string]*workers)}
+func newFixture(helpers int) *fixture {
+	r := &fixture{net: network.New(), direct: &workers{node: "owner", calls: make(map[string]int)}, helpers: make(map[string]*workers)}
 	var list []fanout.Helper
 	for i := range helpers {
 		name := fmt.Sprintf("h%d", i)
@@ -115,7 +115,7 @@
 	return r
 }
 
-func (r *rig) close() {
+func (r *fixture) close() {
 	r.client.Close()
 	for _, stop := range r.stops {
 		stop()
@@ -125,13 +125,13 @@
 
 // start starts one run on each of n workers at once. It returns how many starts got each
 // reply, and the time until the last reply.
-func (r *rig) start(n int) (map[cluster.Reply]int, time.Duration) {
+func (r *fixture) start(n int) (map[cluster.Reply]int, time.Duration) {
 	replies, began := make(map[cluster.Reply]int), time.Now()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+			ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 			defer cancel()
 			reply := r.client.Start(ctx, cluster.StartOrder{
 				Order: cluster.Order{Worker: fmt.Sprintf("w%d", i), Address: "a:1", Fence: 4}, Task: cluster.TaskID{Job: "j"}, Run: 1, Spec: "spec",
@@ -145,9 +145,9 @@
 	return replies, time.Since(began)
 }
 
-func play(t *testing.T, helpers int, fn func(t *testing.T, r *rig)) {
+func withFixture(t *testing.T, helpers int, fn func(t *testing.T, r *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(helpers)
+		r := newFixture(helpers)
 		defer r.close()
 		fn(t, r)
 	})
@@ -155,14 +155,14 @@
 
 // TestCallsGoThroughHelpers checks that helpers make all calls, each for its own workers, and
 // that answers arrive unchanged.
-func TestCallsGoByWayOfHelpers(t *testing.T) {
-	play(t, 4, func(t *testing.T, r *rig) {
+func TestCallsGoThroughHelpers(t *testing.T) {
+	withFixture(t, 4, func(t *testing.T, r *fixture) {
 		const busy = 60
 		if replies, _ := r.start(busy); replies[cluster.ReplyOK] != busy {
 			t.Errorf("replies %v, want %d %q", replies, busy, cluster.ReplyOK)
 		}
 		if n := r.direct.total(); n > 0 {
-			t.Errorf("the owner made %d calls itself", n)
+			t.Errorf("the owner made %d direct calls", n)
 		}
 		for name, w := range r.helpers {
 			if n := w.total(); n < busy/10 {
@@ -179,9 +179,9 @@
 // TestWithoutHelpersCallsAreMadeDirectly checks that an owner without helpers makes all calls
 // itself.
 func TestWithoutHelpersCallsAreMadeDirectly(t *testing.T) {
-	play(t, 0, func(t *testing.T, r *rig) {
+	withFixture(t, 0, func(t *testing.T, r *fixture) {
 		if r.start(10); r.direct.total() != 10 {
-			t.Errorf("the owner made %d calls itself, want 10", r.direct.total())
+			t.Errorf("the owner made %d direct calls, want 10", r.direct.total())
 		}
 	})
 }
@@ -189,19 +189,19 @@
 // TestHelperLost checks that calls are answered in time when a helper is lost in any way: new
 // starts, and holds that are pending on it.
 func TestHelperLost(t *testing.T) {
-	for name, lose := range map[string]func(r *rig){
-		"its process ends": func(r *rig) { r.net.SetPartitioned("h0", "*", true); r.net.ResetConnections("h0") },
-		"it stands still":  func(r *rig) { r.net.Pause("h0") },
-		"it is cut off":    func(r *rig) { r.net.SetPartitioned("h0", "*", true) },
-		"it stops":         func(r *rig) { r.stops[0]() },
+	for name, breakHelper := range map[string]func(r *fixture){
+		"its process ends": func(r *fixture) { r.net.SetPartitioned("h0", "*", true); r.net.ResetConnections("h0") },
+		"it hangs":         func(r *fixture) { r.net.Pause("h0") },
+		"it is cut off":    func(r *fixture) { r.net.SetPartitioned("h0", "*", true) },
+		"it stops":         func(r *fixture) { r.stops[0]() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 3, func(t *testing.T, r *rig) { loseHelper(t, r, lose) })
+			withFixture(t, 3, func(t *testing.T, r *fixture) { checkHelperLost(t, r, breakHelper) })
 		})
 	}
 }
 
-func loseHelper(t *testing.T, r *rig, lose func(r *rig)) {
+func checkHelperLost(t *testing.T, r *fixture, breakHelper func(r *fixture)) {
 	defer r.net.Resume("h0")
 	const busy = 30
 	r.start(busy)
@@ -212,25 +212,25 @@
 			ctx, cancel := context.WithTimeout(t.Context(), wait+slack)
 			defer cancel()
 			if _, reply := r.client.Hold(ctx, cluster.Order{Worker: fmt.Sprintf("w%d", i)}, 1, wait); reply != cluster.ReplyOK {
-				t.Errorf("a hold of w%d was answered %q", i, reply)
+				t.Errorf("hold of w%d: reply %q", i, reply)
 			}
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	lose(r)
+	breakHelper(r)
 	if replies, took := r.start(busy); replies[cluster.ReplyOK] != busy {
 		t.Errorf("replies %v after %s, want %d %q", replies, took, busy, cluster.ReplyOK)
 	}
 	holds.Wait()
 	if n := r.direct.total(); n > 0 {
-		t.Errorf("the owner made %d calls itself while two helpers were there", n)
+		t.Errorf("the owner made %d direct calls while two helpers were up", n)
 	}
 }
 
-// TestWorkerThatHelperDoesNotReach checks that a worker which its helper can't reach is
+// TestUnreachableWorkerIsCalledDirectly checks that a worker which its helper can't reach is
 // called directly: the helper may be the node that is cut off.
-func TestWorkerThatHelperDoesNotReach(t *testing.T) {
-	play(t, 1, func(t *testing.T, r *rig) {
+func TestUnreachableWorkerIsCalledDirectly(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		r.helpers["h0"].reply = cluster.ReplyNotSent
 		if replies, _ := r.start(3); replies[cluster.ReplyOK] != 3 {
 			t.Errorf("replies %v, want 3 %q", replies, cluster.ReplyOK)
@@ -238,13 +238,13 @@
 	})
 }
 
-// TestStartThatMayHaveBeenMade guards against a task that runs twice after the loss of a
+// TestSecondStartDoesNotHideFirst guards against a task that runs twice after the loss of a
 // helper. The lost helper may have made the start; if the answer to a second attempt, such as
 // "not_sent", were taken for the outcome, the task would start on another worker as well.
-func TestStartThatMayHaveBeenMade(t *testing.T) {
+func TestSecondStartDoesNotHideFirst(t *testing.T) {
 	for _, second := range []cluster.Reply{cluster.ReplyNotSent, cluster.ReplyBusy, cluster.ReplyStaleRun, cluster.ReplyTicketInvalid, cluster.ReplyNoRoom} {
 		t.Run(string(second), func(t *testing.T) {
-			play(t, 2, func(t *testing.T, r *rig) {
+			withFixture(t, 2, func(t *testing.T, r *fixture) {
 				r.start(1)
 				first := "h0"
 				if r.helpers[first].total() == 0 {
@@ -259,7 +259,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
 				if reply := r.client.Start(ctx, cluster.StartOrder{Order: cluster.Order{Worker: "w0"}, Run: 2}); reply != cluster.ReplyUnknown {
-					t.Errorf("the start was answered %q, want %q", reply, cluster.ReplyUnknown)
+					t.Errorf("reply %q to the start, want %q", reply, cluster.ReplyUnknown)
 				}
 			})
 		})
@@ -268,8 +268,8 @@
 
 // TestHelperMakesNoExpiredCalls checks that a helper which was paused doesn't make the starts
 // that it reads long after they were sent: their owner has given them up.
-func TestHelperMakesNoOldCalls(t *testing.T) {
-	play(t, 1, func(t *testing.T, r *rig) {
+func TestHelperMakesNoExpiredCalls(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		body, lines := io.Pipe()
 		packed, err := flate.NewWriter(lines, flate.BestSpeed)
 		if err != nil {
@@ -301,11 +301,11 @@
 		send(4, time.Since(began))
 		time.Sleep(time.Second)
 		_ = lines.Close()
-		if n := r.helpers["h0"].of("w3"); n != 0 {
-			t.Errorf("%d calls of w3, whose start was read 4 s after it was sent, want none", n)
+		if n := r.helpers["h0"].callsTo("w3"); n != 0 {
+			t.Errorf("%d calls to w3, whose start was read 4 s after it was sent, want none", n)
 		}
-		if n := r.helpers["h0"].of("w4"); n != 1 {
-			t.Errorf("%d calls of w4, want one", n)
+		if n := r.helpers["h0"].callsTo("w4"); n != 1 {
+			t.Errorf("%d calls to w4, want one", n)
 		}
 	})
 }
