--- a/matrix/site/env_test.go
+++ b/matrix/site/env_test.go
@@ -69,7 +69,8 @@
 	// acknowledged a job's cancellation.
 	accepted  []string
 	cancelled map[string]time.Time
-	refused   map[string]bool
+	// refused holds the jobs of which every submission was refused.
+	refused map[string]bool
 	// succeeded holds the jobs that a node has reported as succeeded.
 	succeeded map[string]bool
 	// stalls are the periods in which orders to a worker were held back in the network.
@@ -84,6 +85,7 @@
 	done chan struct{}
 }
 
+// newEnv returns an environment whose service has one shard.
 func newEnv(t *testing.T) *testEnv {
 	return newEnvWith(t, cellWorkers, cellWorkers, func(env *testEnv) { env.site.Configure(1, routes()...) })
 }
@@ -93,8 +95,8 @@
 	return newEnvWith(t, shardedWorkers, workersPerShard, func(env *testEnv) { env.site.Configure(1, routes()...) })
 }
 
-// envBuilders build an environment whose service has one shard, one with two shards, and one in
-// which owners delegate calls to other nodes.
+// envBuilders holds constructors of an environment whose service has one shard, of one with two
+// shards, and of one in which owners delegate calls to other nodes.
 var envBuilders = map[string]func(*testing.T) *testEnv{"one shard": newEnv, "two shards": newShardedEnv, "relayed calls": newRelayedEnv}
 
 // newRelayedEnv returns an environment of nodes so small that their owners call workers, and read
--- a/matrix/site/joint_test.go
+++ b/matrix/site/joint_test.go
@@ -94,8 +94,8 @@
 func fullSearch() bool { return os.Getenv("MODEL") == "full" }
 
 // TestJointGangInFaults injects each fault before a gang that spans both shards is submitted, while
-// its workers are reserved in both, or while it runs; at each of these moments with MODEL=full, and
-// at one of them otherwise. The gang must succeed.
+// it is being turned into a gang of both shards, or while it runs; at each of these moments with
+// MODEL=full, and at one of them otherwise. The gang must succeed.
 func TestJointGangInFaults(t *testing.T) {
 	moments := []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 2500 * time.Millisecond}
 	for i, f := range faults() {
--- a/matrix/site/silence_test.go
+++ b/matrix/site/silence_test.go
@@ -64,7 +64,7 @@
 	}
 	for env.state("urgent", id) != "succeeded" {
 		if time.Since(submittedAt) > endedWithin {
-			env.t.Errorf("job %s handed in at %s is %q after %s", id, node, env.state("urgent", id), endedWithin)
+			env.t.Errorf("job %s submitted to %s is %q after %s", id, node, env.state("urgent", id), endedWithin)
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/matrix/site/slow_test.go
+++ b/matrix/site/slow_test.go
@@ -45,13 +45,13 @@
 	var wg sync.WaitGroup
 	for i := range int(duration / pause) {
 		wg.Go(func() {
-			began := time.Now()
+			sentAt := time.Now()
 			node := fmt.Sprintf("n%d", i%cellNodes)
 			// Spread the IDs over the whole range, as callers do.
 			id := xxhash.Sum64String(fmt.Sprint(i))
 			status, answer := env.call(node, http.MethodPost, fmt.Sprintf("/urgent/%016x", id), body)
 			if status != http.StatusOK {
-				t.Errorf("job %d at %s: %d %s after %s", i, node, status, answer, time.Since(began))
+				t.Errorf("job %d at %s: %d %s after %s", i, node, status, answer, time.Since(sentAt))
 			}
 		})
 		time.Sleep(pause)
--- a/matrix/site/workerrestart_test.go
+++ b/matrix/site/workerrestart_test.go
@@ -277,7 +277,7 @@
 			}
 			time.Sleep(restartedWithin)
 			if n := env.runningTasks(id); n != longRunningTasks {
-				t.Errorf("%s after workers started again after %s, %d of %d tasks run", restartedWithin, pause, n, longRunningTasks)
+				t.Errorf("%s after workers restarted after a pause of %s, %d of %d tasks run", restartedWithin, pause, n, longRunningTasks)
 			}
 			env.checkNoViolations()
 		})
