--- a/internal/cell/layout.go
+++ b/internal/cell/layout.go
@@ -122,5 +122,5 @@
 	hosts := append(n.peers.cpuCapacities(), n.me.CPUMilli)
 	slices.Sort(hosts)
 	typical := float64(hosts[(len(hosts)-1)/2])
-	return min(max(minShardWorkers, int(typical*ownerCPUShare/settings.MilliOwned)), settings.MostWorkersPerShard)
+	return min(max(minShardWorkers, int(typical*ownerCPUShare/settings.OwnerMilliCPUPerWorker)), settings.MaxWorkersPerShard)
 }
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -148,7 +148,7 @@
 	}
 	n := &Node{
 		cfg: cfg, Deps: deps, metrics: metrics.NewSet(),
-		me:    member{Name: cfg.Node, Address: cfg.Listen.PeersAt, Incarnation: newIncarnation(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
+		me:    member{Name: cfg.Node, Address: cfg.Listen.AdvertisePeers, Incarnation: newIncarnation(), DataCentre: cfg.DataCentre, CPUMilli: cfg.Limits.CPUMilli()},
 		owned: make(map[cluster.ShardID]*owner.Owner), claimed: make(map[cluster.ShardID]bool),
 		taking: make(map[cluster.ShardID]bool), owners: make(map[cluster.ShardID]ownerState),
 		layouts: make(map[string]cluster.Layout), watched: make(map[string]bool), pins: newPins(),
--- a/internal/cell/ownership.go
+++ b/internal/cell/ownership.go
@@ -329,10 +329,10 @@
 // schedulerParams returns the parameters of a shard's scheduler that depend on this node's
 // bounds.
 func (n *Node) schedulerParams(epoch int64) scheduler.Params {
-	most := time.Duration(n.cfg.Bounds.LeaseMostMS) * time.Millisecond
+	most := time.Duration(n.cfg.Bounds.MaxLeaseMS) * time.Millisecond
 	return scheduler.Params{
 		Epoch: epoch, Lease: min(workerLease, most), MaxLease: most, StopTime: time.Duration(n.cfg.Bounds.StopMS) * time.Millisecond,
 		UncertainFor:      time.Duration(float64(min(workerLease, most))*scheduler.ClockSlack) + replacedOwnerTime,
-		FinishedRetention: time.Duration(n.cfg.Bounds.KeepStateMS) * time.Millisecond,
+		FinishedRetention: time.Duration(n.cfg.Bounds.FinishedRetentionMS) * time.Millisecond,
 	}
 }
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -17,10 +17,10 @@
 	ID     string `json:"id"`
 	Token  string `json:"token"`
 	Digest string `json:"digest"`
-	// Until is when a request that has not been finished is taken for unknown.
-	Until time.Time `json:"until"`
-	// Keep is when the key may be forgotten.
-	Keep time.Time `json:"keep"`
+	// PendingUntil is when a request that has not been finished is taken for unknown.
+	PendingUntil time.Time `json:"until"`
+	// RetainUntil is when the key may be forgotten.
+	RetainUntil time.Time `json:"keep"`
 }
 
 // KeyResult is how a request with a key ended.
@@ -31,12 +31,12 @@
 	Answer  *peer.Answer `json:"answer,omitempty"`
 }
 
-// Key is a request that must not be repeated.
-type Key struct {
-	Token  string    `json:"token"`
-	Digest string    `json:"digest"`
-	Until  time.Time `json:"until"`
-	Keep   time.Time `json:"keep"`
+// RequestKey is a request that must not be repeated.
+type RequestKey struct {
+	Token        string    `json:"token"`
+	Digest       string    `json:"digest"`
+	PendingUntil time.Time `json:"until"`
+	RetainUntil  time.Time `json:"keep"`
 	// Outcome is empty while the request may be running.
 	Outcome api.Outcome  `json:"outcome,omitempty"`
 	Answer  *peer.Answer `json:"answer,omitempty"`
@@ -46,7 +46,7 @@
 	if k, ok := s.Keys[r.ID]; ok && k.Outcome != api.OutcomeNotRun {
 		return
 	}
-	s.Keys[r.ID] = &Key{Token: r.Token, Digest: r.Digest, Until: r.Until, Keep: r.Keep}
+	s.Keys[r.ID] = &RequestKey{Token: r.Token, Digest: r.Digest, PendingUntil: r.PendingUntil, RetainUntil: r.RetainUntil}
 }
 
 func (s *State) finish(r *KeyResult) {
@@ -88,7 +88,7 @@
 	id := KeyName(req.Team, req.Key)
 	sh.mu.Lock()
 	k, ok := sh.state.Keys[id]
-	if ok && k.Outcome == "" && k.Token != req.Token && now.Before(k.Until) {
+	if ok && k.Outcome == "" && k.Token != req.Token && now.Before(k.PendingUntil) {
 		changed := sh.changed
 		sh.mu.Unlock()
 		return peer.KeyReply{}, changed, nil
@@ -111,7 +111,7 @@
 }
 
 // decideKey tells what an arrival of a key is answered, and what must be journalled first.
-func decideKey(k *Key, req peer.KeyBegin, now time.Time, opts Options) (peer.KeyState, *peer.Answer, []Record) {
+func decideKey(k *RequestKey, req peer.KeyBegin, now time.Time, opts Options) (peer.KeyState, *peer.Answer, []Record) {
 	id := KeyName(req.Team, req.Key)
 	switch {
 	case k != nil && k.Digest != req.Digest:
@@ -120,7 +120,7 @@
 		timeout := time.Duration(req.TimeoutMS) * time.Millisecond
 		return peer.KeyGo, nil, []Record{{Intent: &Intent{
 			ID: id, Token: req.Token, Digest: req.Digest,
-			Until: now.Add(timeout + opts.KeyMargin), Keep: req.Created.Add(opts.KeyWindow + opts.KeyMargin),
+			PendingUntil: now.Add(timeout + opts.KeyMargin), RetainUntil: req.Created.Add(opts.KeyWindow + opts.KeyMargin),
 		}}}
 	case k.Outcome == "" && k.Token == req.Token:
 		return peer.KeyGo, nil, nil
--- a/internal/jobs/reconcile.go
+++ b/internal/jobs/reconcile.go
@@ -16,7 +16,7 @@
 func (s *Set) reconcile(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
-	if !s.changed && now.Sub(s.scanned) < s.opts.AskEvery/2 {
+	if !s.changed && now.Sub(s.scanned) < s.opts.VerifyInterval/2 {
 		s.mu.Unlock()
 		return
 	}
@@ -66,15 +66,15 @@
 			if !t.State.Active() {
 				continue
 			}
-			moved := verify[t.Place.Shard] || t.asked.IsZero()
-			due := now.Sub(t.asked) >= sh.opts.AskEvery
+			moved := verify[t.Placement.Shard] || t.asked.IsZero()
+			due := now.Sub(t.asked) >= sh.opts.VerifyInterval
 			t.doubt = t.doubt || moved
 			switch {
 			case halt && (moved || due || !t.halted):
 				t.halted = true
-				stop = append(stop, t.Place)
+				stop = append(stop, t.Placement)
 			case moved || (due && (t.doubt || t.State == api.TaskPlaced)):
-				ask = append(ask, t.Place)
+				ask = append(ask, t.Placement)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 // mustStop reports whether the job's active tasks must end.
 func (j *Job) mustStop() bool {
 	broken := j.Spec.Kind == api.KindAllAtOnce && !j.Spec.AtMostOnce && j.counts.Failed > 0
-	return j.Cancelled || j.Regroup || broken
+	return j.Cancelled || j.Restarting || broken
 }
 
 // noteAsked records when the owners were asked about tasks.
@@ -122,7 +122,7 @@
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Active() {
 			t.halted = true
-			places = append(places, t.Place)
+			places = append(places, t.Placement)
 		}
 	}
 	return places
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -103,7 +103,7 @@
 	for _, b := range batch {
 		g.Go(func() error {
 			_, span := tracer().Start(wait, "journal")
-			kept := s.opts.StartUnkept || b.kept.Wait(wait) == nil
+			kept := s.opts.StartBeforeJournal || b.kept.Wait(wait) == nil
 			span.End()
 			if kept {
 				s.confirm(ctx, b.shard, b.places)
@@ -126,7 +126,7 @@
 }
 
 func (s *Set) newRound(jobs []waiting) round {
-	r := round{bundle: s.deps.Bundle(), pools: s.deps.Room.Pools(), jobs: jobs}
+	r := round{bundle: s.deps.Bundle(), pools: s.deps.Load.Pools(), jobs: jobs}
 	known := 0
 	for _, p := range r.pools {
 		r.total = r.total.Add(p.Capacity)
@@ -138,7 +138,7 @@
 	for _, t := range r.bundle.Teams {
 		r.teams = append(r.teams, policy.Team{Name: t.Name, Weight: t.Weight, Quota: t.Quota})
 	}
-	for _, u := range s.deps.Room.Teams() {
+	for _, u := range s.deps.Load.Teams() {
 		if i := r.team(u.Team); i >= 0 {
 			r.teams[i].Used = r.teams[i].Used.Add(u.Used)
 		}
@@ -178,7 +178,7 @@
 	defer sh.mu.Unlock()
 	var list []waiting
 	for id, j := range sh.state.Jobs {
-		if j.counts.Waiting == 0 || j.Cancelled || j.Regroup {
+		if j.counts.Waiting == 0 || j.Cancelled || j.Restarting {
 			continue
 		}
 		class, _ := b.Class(j.Spec.Class)
@@ -464,7 +464,7 @@
 // letGo gives up reservations; what is not reached runs out by itself.
 func (s *Set) letGo(ctx context.Context, places []peer.Placement) {
 	eachPool(places, func(shard string, places []peer.Placement) {
-		_, _ = s.deps.Pools.LetGo(ctx, peer.StopRequest{Shard: shard, Placements: places})
+		_, _ = s.deps.Pools.CancelReservations(ctx, peer.StopRequest{Shard: shard, Placements: places})
 	})
 }
 
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -21,11 +21,11 @@
 
 // Options are the settings of a Set.
 type Options struct {
-	// Every is the longest time between two rounds of scheduling.
-	Every time.Duration
-	// AskEvery is how often the owner of a worker shard is asked again about a
+	// RoundInterval is the longest time between two rounds of scheduling.
+	RoundInterval time.Duration
+	// VerifyInterval is how often the owner of a worker shard is asked again about a
 	// task that it has not told of.
-	AskEvery time.Duration
+	VerifyInterval time.Duration
 	// Retention is how long a workload is kept after its end.
 	Retention time.Duration
 	// KeyWindow is how long a key of a request is kept.
@@ -41,8 +41,8 @@
 	SnapshotEvery int64
 	// WorkerShards is the number of worker shards of the cell.
 	WorkerShards int
-	// StartUnkept starts tasks before their place is kept, to show that tests see it.
-	StartUnkept bool
+	// StartBeforeJournal starts tasks before their place is kept, to show that tests see it.
+	StartBeforeJournal bool
 }
 
 // Pools reaches the owners of worker shards.
@@ -50,11 +50,11 @@
 	Reserve(ctx context.Context, req peer.ReserveRequest) (peer.ReserveReply, error)
 	Confirm(ctx context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error)
 	Stop(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error)
-	LetGo(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error)
+	CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error)
 }
 
-// Room knows how much room the worker shards of the cell have.
-type Room interface {
+// CellLoad knows how much room the worker shards of the cell have.
+type CellLoad interface {
 	Pools() []peer.PoolSummary
 	Teams() []peer.TeamUsage
 }
@@ -63,7 +63,7 @@
 type Deps struct {
 	Journal *journal.Committer
 	Pools   Pools
-	Room    Room
+	Load    CellLoad
 	Bundle  func() *bundle.Bundle
 }
 
@@ -171,9 +171,9 @@
 	}
 }
 
-// PoolMoved notes that a worker shard has a new owner, which must be asked
+// WorkerShardOwnerChanged notes that a worker shard has a new owner, which must be asked
 // about the tasks there.
-func (s *Set) PoolMoved(key shard.Key) {
+func (s *Set) WorkerShardOwnerChanged(key shard.Key) {
 	s.mu.Lock()
 	s.verify[string(key)] = true
 	s.changed = true
@@ -250,7 +250,7 @@
 
 // Run schedules until ctx ends.
 func (s *Set) Run(ctx context.Context) error {
-	t := time.NewTicker(s.opts.Every)
+	t := time.NewTicker(s.opts.RoundInterval)
 	defer t.Stop()
 	var forgot time.Time
 	for {
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -269,7 +269,7 @@
 	sh.mu.Lock()
 	var err error
 	for _, ev := range evs {
-		if !sh.state.Concerns(ev) {
+		if !sh.state.Accepts(ev) {
 			continue
 		}
 		if err = sh.writeLocked(Record{Event: &Event{Event: ev, At: now}}); err != nil {
@@ -336,7 +336,7 @@
 		}
 	}
 	for id, k := range sh.state.Keys {
-		if now.After(k.Keep) && now.After(k.Until) && len(f.Keys) < most {
+		if now.After(k.RetainUntil) && now.After(k.PendingUntil) && len(f.Keys) < most {
 			f.Keys = append(f.Keys, id)
 		}
 	}
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -88,10 +88,10 @@
 	Submitted time.Time    `json:"submitted"`
 	Ended     time.Time    `json:"ended,omitzero"`
 	Cancelled bool         `json:"cancelled,omitempty"`
-	// Regroup is set while an all-at-once job stops its tasks to start again whole.
-	Regroup  bool   `json:"regroup,omitempty"`
-	Revision int64  `json:"revision"`
-	Tasks    []Task `json:"tasks"`
+	// Restarting is set while an all-at-once job stops its tasks to start again whole.
+	Restarting bool   `json:"regroup,omitempty"`
+	Revision   int64  `json:"revision"`
+	Tasks      []Task `json:"tasks"`
 	// counts follows the states of the tasks.
 	counts api.TaskCounts
 }
@@ -101,7 +101,7 @@
 	State     api.TaskState  `json:"state"`
 	Attempt   int            `json:"attempt"`
 	Failures  int            `json:"failures,omitempty"`
-	Place     peer.Placement `json:"place,omitzero"`
+	Placement peer.Placement `json:"place,omitzero"`
 	Address   string         `json:"address,omitempty"`
 	Reason    string         `json:"reason,omitempty"`
 	NotBefore time.Time      `json:"not_before,omitzero"`
@@ -117,13 +117,13 @@
 
 // State is the state of one shard.
 type State struct {
-	Jobs map[string]*Job `json:"jobs"`
-	Keys map[string]*Key `json:"keys"`
+	Jobs map[string]*Job        `json:"jobs"`
+	Keys map[string]*RequestKey `json:"keys"`
 }
 
 // NewState returns an empty state.
 func NewState() *State {
-	return &State{Jobs: make(map[string]*Job), Keys: make(map[string]*Key)}
+	return &State{Jobs: make(map[string]*Job), Keys: make(map[string]*RequestKey)}
 }
 
 // LoadState returns the state of a snapshot and the records behind it.
@@ -185,7 +185,7 @@
 		if t == nil || t.State != api.TaskWaiting {
 			continue
 		}
-		t.Attempt, t.Place, t.Address, t.halted = pl.Attempt.N, pl, "", false
+		t.Attempt, t.Placement, t.Address, t.halted = pl.Attempt.N, pl, "", false
 		j.set(t, api.TaskPlaced, "")
 	}
 }
@@ -199,8 +199,8 @@
 	return j, &j.Tasks[a.Task]
 }
 
-// Concerns reports whether an event would change the state.
-func (s *State) Concerns(ev peer.Event) bool {
+// Accepts reports whether an event would change the state.
+func (s *State) Accepts(ev peer.Event) bool {
 	_, t := s.task(ev.Attempt)
 	if t == nil || t.Attempt != ev.Attempt.N {
 		return false
@@ -219,7 +219,7 @@
 
 func (s *State) event(r *Event) {
 	ev := r.Event
-	if !s.Concerns(ev) {
+	if !s.Accepts(ev) {
 		return
 	}
 	j, t := s.task(ev.Attempt)
@@ -229,7 +229,7 @@
 		j.set(t, api.TaskRunning, "")
 	case peer.EventVoid:
 		// Others of an all-at-once job may run or have ended without this one.
-		j.Regroup = j.Spec.Kind == api.KindAllAtOnce
+		j.Restarting = j.Spec.Kind == api.KindAllAtOnce
 		j.again(t, ev.Attempt, r.At.Add(voidWait), ev.Reason)
 	case peer.EventLost:
 		j.lost(t, ev, r.At)
@@ -283,7 +283,7 @@
 // restart sends a task, or the whole of an all-at-once job, back to wait.
 func (j *Job) restart(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.Kind == api.KindAllAtOnce {
-		j.Regroup = true
+		j.Restarting = true
 	}
 	j.again(t, ev.Attempt, at.Add(Backoff(ev.Attempt, t.Failures)), ev.Reason)
 }
@@ -294,7 +294,7 @@
 		j.set(t, api.TaskCancelled, "cancelled")
 		return
 	}
-	t.Attempt, t.NotBefore, t.Place, t.Address = a.N, notBefore, peer.Placement{}, ""
+	t.Attempt, t.NotBefore, t.Placement, t.Address = a.N, notBefore, peer.Placement{}, ""
 	j.set(t, api.TaskWaiting, why)
 }
 
@@ -305,7 +305,7 @@
 	if j.Spec.Kind == api.KindAllAtOnce && (c.Failed > 0 || c.Unknown > 0) {
 		j.abandon()
 	}
-	if j.Regroup && active == 0 && c.Failed+c.Unknown == 0 {
+	if j.Restarting && active == 0 && c.Failed+c.Unknown == 0 {
 		j.regroup()
 	}
 	var state api.JobState
@@ -343,7 +343,7 @@
 
 // regroup sends every task of an all-at-once job back to wait, since all have ended.
 func (j *Job) regroup() {
-	j.Regroup = false
+	j.Restarting = false
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State == api.TaskDone {
 			j.again(t, worker.Attempt{N: t.Attempt}, time.Time{}, "the job starts again whole")
@@ -451,7 +451,7 @@
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		st.Tasks = append(st.Tasks, api.TaskStatus{
-			Task: i, State: t.State, Attempt: t.Attempt, Worker: t.Place.Worker, Address: t.Address, Reason: t.Reason,
+			Task: i, State: t.State, Attempt: t.Attempt, Worker: t.Placement.Worker, Address: t.Address, Reason: t.Reason,
 		})
 	}
 	return st
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -142,7 +142,7 @@
 func TestKeyRunsOnce(t *testing.T) {
 	st := jobs.NewState()
 	intent := func(token string) {
-		st.Apply(jobs.Record{Intent: &jobs.Intent{ID: "k", Token: token, Digest: "d", Until: at, Keep: at}})
+		st.Apply(jobs.Record{Intent: &jobs.Intent{ID: "k", Token: token, Digest: "d", PendingUntil: at, RetainUntil: at}})
 	}
 	finish := func(token string, o api.Outcome) {
 		st.Apply(jobs.Record{Finish: &jobs.KeyResult{ID: "k", Token: token, Outcome: o}})
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -263,7 +263,7 @@
 	var st api.Status
 	if err == nil {
 		key := n.jobKey(wl.ID)
-		req := JobCreate{Shard: string(key), Workload: wl.WithDefaults()}
+		req := CreateRequest{Shard: string(key), Workload: wl.WithDefaults()}
 		st, err = onOwnerSoon(r.Context(), n, key, peer.PathJobCreate, req, n.createHere)
 	}
 	n.reply(w, http.StatusCreated, st, err)
@@ -406,7 +406,7 @@
 	g.SetLimit(exchangesAtOnce)
 	for i, node := range nodes {
 		g.Go(func() error {
-			list, err := httpx.Call[JobList, api.StatusList](ctx, n.peerHTTP, "http://"+node.PeerAddress+peer.PathJobList, JobList{Team: team})
+			list, err := httpx.Call[ListRequest, api.StatusList](ctx, n.peerHTTP, "http://"+node.PeerAddress+peer.PathJobList, ListRequest{Team: team})
 			parts[i] = list
 			parts[i].Partial = err != nil
 			return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,8 +60,8 @@
 	NoLeaseCheck bool
 	// Unconditional writes the journal without its conditions.
 	Unconditional bool
-	// StartUnkept starts tasks before their place is journalled.
-	StartUnkept bool
+	// StartBeforeJournal starts tasks before their place is journalled.
+	StartBeforeJournal bool
 	// NoIntent runs keyed requests without journalling them.
 	NoIntent bool
 	// Overcommit leaves the slots of instances uncounted.
@@ -205,18 +205,18 @@
 		Reservation: cfg.Tasks.Reservation, HostInterval: cfg.Tasks.Hosts, SetAside: cfg.Tasks.SetAside,
 		IgnoreLeaving: n.deps.Guards.IgnoreLeaving,
 	}, n.log)
-	n.jobs = jobs.NewSet(jobs.Deps{Journal: n.journal, Pools: poolRouter{n}, Room: n.load, Bundle: n.bundle}, jobs.Options{
-		Every: cfg.Tasks.Every, AskEvery: cfg.Tasks.Ask, Retention: cfg.Tasks.Retention,
+	n.jobs = jobs.NewSet(jobs.Deps{Journal: n.journal, Pools: poolRouter{n}, Load: n.load, Bundle: n.bundle}, jobs.Options{
+		RoundInterval: cfg.Tasks.Every, VerifyInterval: cfg.Tasks.Ask, Retention: cfg.Tasks.Retention,
 		KeyWindow: cfg.Requests.KeyWindow, KeyMargin: cfg.Requests.KeyMargin, KeyAnswerBytes: cfg.Requests.KeyAnswerBytes,
 		MaxKeys: cfg.Limits.Keys, MaxJobs: cfg.Limits.Workloads,
-		SnapshotEvery: cfg.Journal.SnapshotEvery, WorkerShards: workerShards(cfg), StartUnkept: n.deps.Guards.StartUnkept,
+		SnapshotEvery: cfg.Journal.SnapshotEvery, WorkerShards: workerShards(cfg), StartBeforeJournal: n.deps.Guards.StartBeforeJournal,
 	}, n.log)
 	n.shardKeys = shard.Layout(cfg.JobShards, cfg.DataCentres)
 	handlers := map[shard.Kind]shard.Handler{shard.KindJob: n.jobs, shard.KindWorker: n.pools}
 	n.shards = shard.New(n.deps.Platform, n.lease, n.shardKeys, handlers, shard.Options{
-		Every: cfg.Lease.Every / 2, ReleaseTimeout: cfg.Requests.DrainTimeout, NoEpochs: n.deps.Guards.NoEpochs,
+		PollInterval: cfg.Lease.Every / 2, ReleaseTimeout: cfg.Requests.DrainTimeout, NoEpochs: n.deps.Guards.NoEpochs,
 	}, n.log)
-	n.shards.OnChange(n.shardChanged)
+	n.shards.OnOwnerChange(n.shardChanged)
 }
 
 func workerShards(cfg config.Config) int {
@@ -243,7 +243,7 @@
 // shardChanged passes on that a shard has a new owner.
 func (n *Node) shardChanged(key shard.Key) {
 	if key.Kind() == shard.KindWorker {
-		n.jobs.PoolMoved(key)
+		n.jobs.WorkerShardOwnerChanged(key)
 	}
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -35,18 +35,18 @@
 	DataCentre string `json:"data_centre"`
 	Ready      bool   `json:"ready"`
 	// NotReady says why the node does not serve.
-	NotReady     string      `json:"not_ready,omitempty"`
-	LeaseHeld    bool        `json:"lease_held"`
-	StoreDown    bool        `json:"store_down"`
-	JobShards    int         `json:"job_shards"`
-	WorkerShards int         `json:"worker_shards"`
-	Unowned      int         `json:"unowned_shards"`
-	Bundle       bundle.Head `json:"bundle"`
-	Nodes        []Applied   `json:"nodes"`
-}
-
-// Applied tells which bundle a live node applies and has staged.
-type Applied struct {
+	NotReady     string        `json:"not_ready,omitempty"`
+	LeaseHeld    bool          `json:"lease_held"`
+	StoreDown    bool          `json:"store_down"`
+	JobShards    int           `json:"job_shards"`
+	WorkerShards int           `json:"worker_shards"`
+	Unowned      int           `json:"unowned_shards"`
+	Bundle       bundle.Head   `json:"bundle"`
+	Nodes        []NodeBundles `json:"nodes"`
+}
+
+// NodeBundles tells which bundle a live node applies and has staged.
+type NodeBundles struct {
 	Node     string `json:"node"`
 	InForce  int64  `json:"in_force"`
 	Staged   string `json:"staged,omitempty"`
@@ -59,8 +59,8 @@
 	Bundle   *bundle.Bundle   `json:"bundle,omitempty"`
 	Proposal *bundle.Proposal `json:"proposal,omitempty"`
 	// Waiting are the live nodes that have not staged the proposal yet.
-	Waiting []string  `json:"waiting,omitempty"`
-	Nodes   []Applied `json:"nodes"`
+	Waiting []string      `json:"waiting,omitempty"`
+	Nodes   []NodeBundles `json:"nodes"`
 }
 
 // ProposeRequest carries a signed bundle.
@@ -173,10 +173,10 @@
 	return st, nil
 }
 
-func (n *Node) nodeBundles() []Applied {
-	var list []Applied
+func (n *Node) nodeBundles() []NodeBundles {
+	var list []NodeBundles
 	for _, node := range n.lease.Live() {
-		list = append(list, Applied{Node: node.ID, InForce: node.InForce, Staged: node.Staged, Draining: node.Draining})
+		list = append(list, NodeBundles{Node: node.ID, InForce: node.InForce, Staged: node.Staged, Draining: node.Draining})
 	}
 	return list
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -30,14 +30,14 @@
 	Tasks  bool  `json:"tasks,omitempty"`
 }
 
-// JobCreate carries a workload to its shard's owner.
-type JobCreate struct {
+// CreateRequest carries a workload to its shard's owner.
+type CreateRequest struct {
 	Shard    string       `json:"shard"`
 	Workload api.Workload `json:"workload"`
 }
 
-// JobList asks for the workloads of a team; an empty team means all.
-type JobList struct {
+// ListRequest asks for the workloads of a team; an empty team means all.
+type ListRequest struct {
 	Team string `json:"team,omitempty"`
 }
 
@@ -74,7 +74,7 @@
 	}))
 }
 
-func (n *Node) createHere(ctx context.Context, req JobCreate) (api.Status, error) {
+func (n *Node) createHere(ctx context.Context, req CreateRequest) (api.Status, error) {
 	return n.jobs.Create(ctx, req.Shard, req.Workload)
 }
 
@@ -91,7 +91,7 @@
 	return n.jobs.Cancel(ctx, req.Shard, req.ID)
 }
 
-func (n *Node) listHere(_ context.Context, req JobList) (api.StatusList, error) {
+func (n *Node) listHere(_ context.Context, req ListRequest) (api.StatusList, error) {
 	return api.StatusList{Workloads: n.jobs.List(req.Team)}, nil
 }
 
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -148,8 +148,8 @@
 	return toPool(ctx, r.n, req.Shard, peer.PathStop, req, r.n.pools.Stop)
 }
 
-// LetGo gives reservations up.
-func (r poolRouter) LetGo(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
+// CancelReservations gives reservations up.
+func (r poolRouter) CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	return toPool(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,9 +48,9 @@
 	Ready   string `yaml:"ready"`
 	Peers   string `yaml:"peers"`
 	Metrics string `yaml:"metrics"`
-	// PeersAt is the address under which the other nodes reach Peers, if it is
+	// AdvertisePeers is the address under which the other nodes reach Peers, if it is
 	// another one, such as that of a relay.
-	PeersAt string `yaml:"peers_at"`
+	AdvertisePeers string `yaml:"peers_at"`
 }
 
 // Limits are what the node may use.
@@ -69,14 +69,14 @@
 
 // Bounds are the platform's time limits, in milliseconds.
 type Bounds struct {
-	// LeaseMostMS is the longest lease that workers grant.
-	LeaseMostMS int64 `yaml:"lease_most_ms"`
+	// MaxLeaseMS is the longest lease that workers grant.
+	MaxLeaseMS int64 `yaml:"lease_most_ms"`
 	// StopMS is how long a worker may take to stop a run.
 	StopMS int64 `yaml:"stop_ms"`
 	// GraceMS is the time between SIGTERM and SIGKILL.
 	GraceMS int64 `yaml:"grace_ms"`
-	// KeepStateMS is how long callers may ask for the state of a finished job.
-	KeepStateMS int64 `yaml:"keep_state_ms"`
+	// FinishedRetentionMS is how long callers may ask for the state of a finished job.
+	FinishedRetentionMS int64 `yaml:"keep_state_ms"`
 }
 
 // Kind tells apart the errors of this package.
@@ -104,9 +104,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// OrdersByCall is the way of giving orders to workers that is built: each order is a call
+// WorkerOrdersInvocation is the way of giving orders to workers that is built: each order is a call
 // of the worker.
-const OrdersByCall = "invocation"
+const WorkerOrdersInvocation = "invocation"
 
 // The values of settings that were left out.
 const (
@@ -117,14 +117,14 @@
 	defaultMemoryMB  = 128
 )
 
-// MilliOwned is what a busy worker uses of the processor of the host that owns its shard,
+// OwnerMilliCPUPerWorker is what a busy worker uses of the processor of the host that owns its shard,
 // in thousandths of a core, while other nodes make its calls: 0.17 core for 280 workers
 // with 310 starts a second, the mean of a day.
-const MilliOwned = 0.6
+const OwnerMilliCPUPerWorker = 0.6
 
-// MostWorkersPerShard bounds a shard by the row in which its workers are listed for the
+// MaxWorkersPerShard bounds a shard by the row in which its workers are listed for the
 // next owner: 64 KB, at some 40 bytes each.
-const MostWorkersPerShard = 1500
+const MaxWorkersPerShard = 1500
 
 // Load reads and checks a settings file.
 func Load(path string) (Settings, error) {
@@ -146,16 +146,16 @@
 }
 
 func (s *Settings) setDefaults() {
-	setDefault(&s.Bounds.LeaseMostMS, defaultLeaseMost.Milliseconds())
+	setDefault(&s.Bounds.MaxLeaseMS, defaultLeaseMost.Milliseconds())
 	setDefault(&s.Bounds.StopMS, defaultStop.Milliseconds())
 	setDefault(&s.Bounds.GraceMS, defaultGrace.Milliseconds())
-	setDefault(&s.Bounds.KeepStateMS, defaultKeepState.Milliseconds())
+	setDefault(&s.Bounds.FinishedRetentionMS, defaultKeepState.Milliseconds())
 	setDefault(&s.Limits.MemoryMB, int64(defaultMemoryMB))
 	setDefault(&s.Limits.CPUShare, 1.0)
 	setDefault(&s.Limits.CoreSpeed, 1.0)
-	setDefault(&s.Listen.PeersAt, s.Listen.Peers)
+	setDefault(&s.Listen.AdvertisePeers, s.Listen.Peers)
 	setDefault(&s.LogLevel, "info")
-	setDefault(&s.WorkerOrders, OrdersByCall)
+	setDefault(&s.WorkerOrders, WorkerOrdersInvocation)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -171,7 +171,7 @@
 	}
 	for _, a := range []struct{ field, address string }{
 		{"listen.callers", s.Listen.Callers}, {"listen.ready", s.Listen.Ready}, {"listen.peers", s.Listen.Peers},
-		{"listen.peers_at", s.Listen.PeersAt}, {"store", s.Store},
+		{"listen.peers_at", s.Listen.AdvertisePeers}, {"store", s.Store},
 	} {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
 			return invalid(a.field, "wants IP:port: "+err.Error())
@@ -181,16 +181,16 @@
 		field string
 		value int64
 	}{
-		{"bounds.lease_most_ms", s.Bounds.LeaseMostMS}, {"bounds.stop_ms", s.Bounds.StopMS}, {"bounds.grace_ms", s.Bounds.GraceMS},
-		{"bounds.keep_state_ms", s.Bounds.KeepStateMS}, {"limits.memory_mb", s.Limits.MemoryMB},
+		{"bounds.lease_most_ms", s.Bounds.MaxLeaseMS}, {"bounds.stop_ms", s.Bounds.StopMS}, {"bounds.grace_ms", s.Bounds.GraceMS},
+		{"bounds.keep_state_ms", s.Bounds.FinishedRetentionMS}, {"limits.memory_mb", s.Limits.MemoryMB},
 	} {
 		if b.value <= 0 {
 			return invalid(b.field, "must be above 0")
 		}
 	}
-	if s.WorkerOrders != OrdersByCall {
+	if s.WorkerOrders != WorkerOrdersInvocation {
 		// A node that ran would accept jobs of which it could start nothing.
-		return invalid("worker_orders", "only "+OrdersByCall+" is built, not "+s.WorkerOrders)
+		return invalid("worker_orders", "only "+WorkerOrdersInvocation+" is built, not "+s.WorkerOrders)
 	}
 	if s.Limits.CPUShare < 0 {
 		return invalid("limits.cpu_share", "must be above 0")
@@ -201,10 +201,10 @@
 	if s.Limits.CoreSpeed < 0 {
 		return invalid("limits.core_speed", "must be above 0")
 	}
-	if s.WorkersPerShard < 0 || s.WorkersPerShard > MostWorkersPerShard {
-		return invalid("workers_per_shard", "must be from 0 to "+strconv.Itoa(MostWorkersPerShard))
+	if s.WorkersPerShard < 0 || s.WorkersPerShard > MaxWorkersPerShard {
+		return invalid("workers_per_shard", "must be from 0 to "+strconv.Itoa(MaxWorkersPerShard))
 	}
-	if need := MilliOwned * float64(s.WorkersPerShard); need > float64(s.Limits.CPUMilli()) {
+	if need := OwnerMilliCPUPerWorker * float64(s.WorkersPerShard); need > float64(s.Limits.CPUMilli()) {
 		return invalid("workers_per_shard", fmt.Sprintf("the owner of a shard uses up to %.0f thousandths of a core, more than limits.cpu_share gives", need))
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Bounds.LeaseMostMS != 10_000 || s.Bounds.GraceMS != 6000 || s.LogLevel != "info" {
+	if s.Bounds.MaxLeaseMS != 10_000 || s.Bounds.GraceMS != 6000 || s.LogLevel != "info" {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -67,8 +67,8 @@
 
 // Options are the settings of a Manager.
 type Options struct {
-	// Every is the time between reads of the shards.
-	Every time.Duration
+	// PollInterval is the time between reads of the shards.
+	PollInterval time.Duration
 	// ReleaseTimeout bounds the wait for what is in flight when a shard is handed over.
 	ReleaseTimeout time.Duration
 	// NoEpochs switches the raising of epochs off, to show that tests see it.
@@ -155,12 +155,12 @@
 	return m
 }
 
-// OnChange sets the function that is told of a shard whose owner has changed.
-func (m *Manager) OnChange(fn func(Key)) { m.changed = fn }
+// OnOwnerChange sets the function that is told of a shard whose owner has changed.
+func (m *Manager) OnOwnerChange(fn func(Key)) { m.changed = fn }
 
 // Run keeps the node's shards until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
-	t := time.NewTicker(m.opts.Every)
+	t := time.NewTicker(m.opts.PollInterval)
 	defer t.Stop()
 	for {
 		m.poll(ctx)
@@ -304,7 +304,7 @@
 		return
 	}
 	for _, key := range m.keys {
-		want, ok := Preferred(key, live)
+		want, ok := PreferredOwner(key, live)
 		if !ok {
 			continue
 		}
@@ -398,7 +398,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.opts.Every):
+		case <-time.After(m.opts.PollInterval):
 		}
 	}
 	m.mu.Lock()
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -88,9 +88,9 @@
 
 func workerKey(dc string, i int) Key { return Key(fmt.Sprintf("%s/%s/%03d", KindWorker, dc, i)) }
 
-// Preferred returns the node that should own key, by rendezvous hashing over
+// PreferredOwner returns the node that should own key, by rendezvous hashing over
 // the nodes that do not drain; those of the shard's data centre go first.
-func Preferred(key Key, nodes []lease.Node) (lease.Node, bool) {
+func PreferredOwner(key Key, nodes []lease.Node) (lease.Node, bool) {
 	var best lease.Node
 	var bestScore uint64
 	found, bestLocal := false, false
--- a/matrix/guards_test.go
+++ b/matrix/guards_test.go
@@ -46,7 +46,7 @@
 		steps: []string{stepStart}, phases: []phase{before}, skips: []int{0, 1, 2, 3, 4, 5, 6, 7},
 	},
 	{
-		name: "journal before start", promises: []string{promisePlace, promiseOnce}, guards: node.Guards{StartUnkept: true},
+		name: "journal before start", promises: []string{promisePlace, promiseOnce}, guards: node.Guards{StartBeforeJournal: true},
 		rows: []string{"node cut from the store only"}, steps: []string{stepPlace}, phases: []phase{before}, ownerOf: "again",
 	},
 	{
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -146,7 +146,7 @@
 	if job == "" {
 		return ""
 	}
-	owner, _ := shard.Preferred(shard.JobKey(job, cellJobShards), firstNodes())
+	owner, _ := shard.PreferredOwner(shard.JobKey(job, cellJobShards), firstNodes())
 	return owner.ID
 }
 
@@ -157,7 +157,7 @@
 		id := fmt.Sprintf("joiner%d", i)
 		taken := make(map[shard.Kind]int)
 		for _, key := range shard.Layout(cellJobShards, []shard.DataCentre{{Name: dataCentre, WorkerShards: cellWorkerShards}}) {
-			if want, _ := shard.Preferred(key, append(nodes, lease.Node{ID: id, DataCentre: dataCentre})); want.ID == id {
+			if want, _ := shard.PreferredOwner(key, append(nodes, lease.Node{ID: id, DataCentre: dataCentre})); want.ID == id {
 				taken[key.Kind()]++
 			}
 		}
--- a/matrix/site/env_test.go
+++ b/matrix/site/env_test.go
@@ -165,9 +165,9 @@
 func (env *testEnv) startNode(name string) {
 	cfg := settings.Settings{
 		Node: name, DataCentre: "dc", Store: storeHost + ":1", Advice: "advice:1", Machines: "machines:1",
-		Listen: settings.Listen{Callers: name + ":1", Ready: name + ":2", Peers: name + ":3", PeersAt: name + ":3", Metrics: name + ":4"},
+		Listen: settings.Listen{Callers: name + ":1", Ready: name + ":2", Peers: name + ":3", AdvertisePeers: name + ":3", Metrics: name + ":4"},
 		Seeds:  []string{"n0:3", "n1:3"},
-		Bounds: settings.Bounds{LeaseMostMS: 10_000, StopMS: 200, GraceMS: 6000, KeepStateMS: 120_000},
+		Bounds: settings.Bounds{MaxLeaseMS: 10_000, StopMS: 200, GraceMS: 6000, FinishedRetentionMS: 120_000},
 		Limits: env.limits, WorkersPerShard: env.workersPerShard,
 	}
 	dial := env.net.Dial(name)
