--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -137,21 +137,21 @@
 }
 
 // note records that a peer has a version above the one in force here.
-func (b *configLag) note(version, inForce int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.newest <= inForce {
-		b.since = time.Now()
+func (l *configLag) note(version, inForce int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.newest <= inForce {
+		l.since = time.Now()
 	}
-	b.newest = max(b.newest, version)
+	l.newest = max(l.newest, version)
 }
 
 // duration returns how long this node has known of a version above the one in force, or 0.
-func (b *configLag) duration(inForce int64) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.newest <= inForce {
+func (l *configLag) duration(inForce int64) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.newest <= inForce {
 		return 0
 	}
-	return time.Since(b.since)
+	return time.Since(l.since)
 }
--- a/internal/cell/gang.go
+++ b/internal/cell/gang.go
@@ -29,8 +29,8 @@
 }
 
 // QueryGang asks a shard's owner for its part of a gang's state.
-func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, ask scheduler.GangQuery) (scheduler.GangState, error) {
-	msg := gangMessage[scheduler.GangQuery]{shard, ask}
+func (n otherShards) QueryGang(ctx context.Context, shard cluster.ShardID, query scheduler.GangQuery) (scheduler.GangState, error) {
+	msg := gangMessage[scheduler.GangQuery]{shard, query}
 	return callOwner(ctx, n.Node, shard, pathGang, msg, peerTimeout, n.handleGangState)
 }
 
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -65,9 +65,9 @@
 }
 
 const (
-	// minRoomRatio is the minimum ratio of another node's CPU for the shard to this node's
+	// minCPURatio is the minimum ratio of another node's CPU for the shard to this node's
 	// before the shard moves there: each move costs a takeover.
-	minRoomRatio = 2.0
+	minCPURatio = 2.0
 	// minOwnershipAge is how long a shard stays with the node that took it: nodes that start
 	// together don't know each other at first.
 	minOwnershipAge = 3 * time.Second
@@ -79,10 +79,10 @@
 	if o.Age() < minOwnershipAge || n.store.failing() || !n.relay.DirectAvailable() {
 		return
 	}
-	here := n.asCandidate()
-	here.owns--
-	best, ok := n.peers.bestCandidate(here, shard.String())
-	if ok && best.cpuPerShard() >= minRoomRatio*here.cpuPerShard() {
+	self := n.asCandidate()
+	self.owns--
+	best, ok := n.peers.bestCandidate(self, shard.String())
+	if ok && best.cpuPerShard() >= minCPURatio*self.cpuPerShard() {
 		n.handOverTo(ctx, shard, o, best.member)
 	}
 }
--- a/internal/cell/link.go
+++ b/internal/cell/link.go
@@ -13,8 +13,8 @@
 
 const (
 	// maxWriteTime bounds how long one write occupies a host's link, since it delays the
-	// pings behind it. After an outage of the store, a write of 49 jobs with 150 kB took 0.6
-	// s on a link of 2 Mbit/s, and peers took the owner for lost.
+	// pings behind it. After an outage of the store, a write of 49 jobs with 150 kB took
+	// 0.6 s on a link of 2 Mbit/s, and peers took the owner for lost.
 	maxWriteTime = 60 * time.Millisecond
 	// minWriteBytes and maxWriteBytes bound the size of a write: it holds at least a few
 	// jobs, and the store has a limit.
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -232,7 +232,7 @@
 // listen opens all listeners and starts their servers.
 func (n *Node) listen(ctx context.Context) ([]*http.Server, error) {
 	mux := n.peerMux()
-	parts := []struct {
+	listeners := []struct {
 		address string
 		handler http.Handler
 	}{
@@ -242,7 +242,7 @@
 		{n.cfg.Listen.Metrics, http.HandlerFunc(n.serveMetrics)},
 	}
 	var servers []*http.Server
-	for _, p := range parts {
+	for _, p := range listeners {
 		if p.address == "" {
 			continue
 		}
--- a/internal/cell/peerrelay.go
+++ b/internal/cell/peerrelay.go
@@ -34,7 +34,7 @@
 		k := p.relayCursor % len(good)
 		good = append(good[k:], good[:k]...)
 	}
-	if len(p.list) == 0 {
+	if len(p.byName) == 0 {
 		for _, s := range p.seeds() {
 			other = append(other, peerRelay{p, s})
 		}
@@ -49,18 +49,18 @@
 }
 
 // Commit commits through the peer.
-func (v peerRelay) Commit(ctx context.Context, txn tables.Txn) (tables.TxnResult, error) {
-	return callRelay[tables.Txn, tables.TxnResult](ctx, v, pathCommit, txn)
+func (r peerRelay) Commit(ctx context.Context, txn tables.Txn) (tables.TxnResult, error) {
+	return callRelay[tables.Txn, tables.TxnResult](ctx, r, pathCommit, txn)
 }
 
 // List lists through the peer.
-func (v peerRelay) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
-	return callRelay[tables.ListRequest, tables.ListResult](ctx, v, pathList, req)
+func (r peerRelay) List(ctx context.Context, req tables.ListRequest) (tables.ListResult, error) {
+	return callRelay[tables.ListRequest, tables.ListResult](ctx, r, pathList, req)
 }
 
 // Feed waits for changes through the peer.
-func (v peerRelay) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
-	return callRelay[tables.FeedRequest, tables.FeedResult](ctx, v, pathFeed, req)
+func (r peerRelay) Feed(ctx context.Context, req tables.FeedRequest) (tables.FeedResult, error) {
+	return callRelay[tables.FeedRequest, tables.FeedResult](ctx, r, pathFeed, req)
 }
 
 // callRelay makes a call to the table service through the peer. A call that never left this
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -31,8 +31,8 @@
 	n      *Node
 	client *http.Client
 
-	mu   sync.Mutex
-	list map[string]*peer
+	mu     sync.Mutex
+	byName map[string]*peer
 	// sorted holds the nodes of list in the order of their names.
 	sorted []*peer
 	// pingCursor is the position of the next peer to ping, or to ask about an owner.
@@ -66,7 +66,7 @@
 
 func newPeers(n *Node) *peers {
 	t := conns.New(conns.Network{Dial: n.Dial, Log: n.Log, Compressed: true, Usage: n.Usage}, idleConnsPerPeer, idleTimeout)
-	return &peers{n: n, client: &http.Client{Transport: t}, list: make(map[string]*peer), pinging: make(map[string]chan struct{})}
+	return &peers{n: n, client: &http.Client{Transport: t}, byName: make(map[string]*peer), pinging: make(map[string]chan struct{})}
 }
 
 // addMember adds a node that another source has named, or updates it if it has restarted.
@@ -76,10 +76,10 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.list[m.Name]
+	old := p.byName[m.Name]
 	if old == nil {
 		q := &peer{member: m, hash: xxhash.Sum64String(m.Name)}
-		p.list[m.Name] = q
+		p.byName[m.Name] = q
 		at, _ := slices.BinarySearchFunc(p.sorted, m.Name, func(q *peer, name string) int { return strings.Compare(q.Name, name) })
 		p.sorted = slices.Insert(p.sorted, at, q)
 		return
@@ -92,8 +92,8 @@
 // isUp reports whether a peer answered recently and no call to it has failed since. The
 // caller holds mu.
 func (p *peers) isUp(q *peer, now time.Time) bool {
-	around := time.Duration(len(p.list)/peersPerRound) * pingInterval
-	return now.Sub(q.lastOK) < peerUpFor+around && q.failingSince.IsZero()
+	roundTime := time.Duration(len(p.byName)/peersPerRound) * pingInterval
+	return now.Sub(q.lastOK) < peerUpFor+roundTime && q.failingSince.IsZero()
 }
 
 // countUp returns how many peers are up.
@@ -101,7 +101,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for _, q := range p.list {
+	for _, q := range p.byName {
 		if p.isUp(q, now) {
 			up++
 		}
@@ -122,13 +122,13 @@
 	p.addMember(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if q := p.list[m.Name]; q != nil && q.Incarnation == m.Incarnation && q.untried() {
+	if q := p.byName[m.Name]; q != nil && q.Incarnation == m.Incarnation && q.untried() {
 		q.lastOK = time.Now()
 	}
 }
 
 // eachCandidate calls fn for the other nodes that may own shards. fn must not call peers.
-func (p *peers) eachCandidate(here candidate, fn func(c candidate)) {
+func (p *peers) eachCandidate(self candidate, fn func(c candidate)) {
 	owned := p.n.shardCounts()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,8 +142,8 @@
 		}
 		// Include untried nodes with more CPU, so that a node doesn't take all shards before
 		// they can.
-		roomier := q.untried() && c.cpuPerShard() > here.cpuPerShard()
-		if (roomier || p.isUp(q, now)) && !q.reply.Draining {
+		larger := q.untried() && c.cpuPerShard() > self.cpuPerShard()
+		if (larger || p.isUp(q, now)) && !q.reply.Draining {
 			fn(c)
 		}
 	}
@@ -151,9 +151,9 @@
 
 // bestCandidate returns the first of the other nodes in the order of candidates for a key,
 // such as a shard's name; ok is false if there is none.
-func (p *peers) bestCandidate(here candidate, key string) (best candidate, ok bool) {
+func (p *peers) bestCandidate(self candidate, key string) (best candidate, ok bool) {
 	hash := xxhash.Sum64String(key)
-	p.eachCandidate(here, func(c candidate) {
+	p.eachCandidate(self, func(c candidate) {
 		if !ok || c.compareForShard(hash, best) < 0 {
 			best, ok = c, true
 		}
@@ -183,17 +183,17 @@
 
 // membersFor returns a few nodes that are up, for a node that knows fewer nodes than this
 // one. Nodes that reach the store find all of them there.
-func (p *peers) membersFor(to pingRequest) []member {
+func (p *peers) membersFor(req pingRequest) []member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to.Knows >= len(p.sorted) {
+	if req.Knows >= len(p.sorted) {
 		return nil
 	}
 	var list []member
 	now := time.Now()
 	for i := range p.sorted {
 		// The offset gives each sender other nodes, and all of them after some rounds.
-		q := p.sorted[(to.Knows+i)%len(p.sorted)]
+		q := p.sorted[(req.Knows+i)%len(p.sorted)]
 		if p.isUp(q, now) && len(list) < maxMembersInReply {
 			list = append(list, q.member)
 		}
@@ -226,7 +226,7 @@
 func (p *peers) load(owner string, shard cluster.ShardID) (load float64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.list[owner]
+	q := p.byName[owner]
 	if q == nil || time.Since(q.lastOK) > loadMaxAge || !q.failingSince.IsZero() {
 		return 0, false
 	}
@@ -243,7 +243,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for _, q := range p.list {
+	for _, q := range p.byName {
 		if p.isUp(q, now) {
 			return true
 		}
@@ -255,7 +255,7 @@
 func (p *peers) get(name string) (peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.list[name]
+	q := p.byName[name]
 	if q == nil {
 		return peer{}, false
 	}
--- a/internal/cell/ping.go
+++ b/internal/cell/ping.go
@@ -131,7 +131,7 @@
 		p.addIfUnknown(o)
 	}
 	p.mu.Lock()
-	q := p.list[reply.Me.Name]
+	q := p.byName[reply.Me.Name]
 	var wasDown bool
 	if q != nil {
 		wasDown = !q.failingSince.IsZero()
@@ -149,7 +149,7 @@
 // information may be older.
 func (p *peers) addIfUnknown(m member) {
 	p.mu.Lock()
-	_, known := p.list[m.Name]
+	_, known := p.byName[m.Name]
 	p.mu.Unlock()
 	if !known {
 		p.addMember(m)
@@ -159,7 +159,7 @@
 // recordFailure records a failed call to a node, and logs the first failure.
 func (p *peers) recordFailure(m member, err error) {
 	p.mu.Lock()
-	q := p.list[m.Name]
+	q := p.byName[m.Name]
 	var first bool
 	if q != nil && q.Incarnation == m.Incarnation {
 		if first = q.failingSince.IsZero(); first {
--- a/internal/cell/proxyread.go
+++ b/internal/cell/proxyread.go
@@ -56,7 +56,7 @@
 }
 
 // readProxy returns the node through which this one reads a key; ok is false if it reads
-// directly. All owners read a key through the same node, whose cache serves them all.
+// directly. For a given key, all owners read through the same node.
 func (n *Node) readProxy(key string) (m member, ok bool) {
 	if n.cfg.Limits.LinkMbps <= 0 || n.cfg.Limits.LinkMbps >= proxyBelowMbps {
 		return m, false
--- a/internal/cell/successors.go
+++ b/internal/cell/successors.go
@@ -54,9 +54,9 @@
 // ahead instead of sorting them, since each node computes its rank several times a second for
 // each shard.
 func (n *Node) rank(shard cluster.ShardID) int {
-	here, hash, before := n.asCandidate(), xxhash.Sum64String(shard.String()), 0
-	n.peers.eachCandidate(here, func(c candidate) {
-		if c.compareForShard(hash, here) < 0 {
+	self, hash, before := n.asCandidate(), xxhash.Sum64String(shard.String()), 0
+	n.peers.eachCandidate(self, func(c candidate) {
+		if c.compareForShard(hash, self) < 0 {
 			before++
 		}
 	})
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -193,13 +193,13 @@
 	if s.silentSince.IsZero() {
 		s.silentSince = time.Now()
 	}
-	opinion := n.askWitnesses(ctx, owner)
-	if opinion.reachedBy != "" {
-		n.Log.Info("owner answers other nodes", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", opinion.reachedBy))
+	report := n.askWitnesses(ctx, owner)
+	if report.reachedBy != "" {
+		n.Log.Info("owner answers other nodes", events.OwnerSuspected, zap.String("owner", owner.Name), zap.String("peer", report.reachedBy))
 		s.isolatedSince, s.silentSince = time.Time{}, time.Time{}
 		return ""
 	}
-	if !opinion.isolated {
+	if !report.isolated {
 		if time.Since(s.silentSince) < n.silencePatience(shard) {
 			return ""
 		}
@@ -219,8 +219,8 @@
 	// A silent owner is waited for longer if the shard changed its owner recently: for each
 	// change within ownerChangeWindow by patiencePerChange, up to maxPatience. A takeover
 	// reads all jobs and asks all workers, on top of the load that made the last owner
-	// silent. Without this, an overloaded shard of 120 workers, on hosts with links of 2
-	// Mbit/s, changed its owner 44 times in 35 s and did no work.
+	// silent. Without this, an overloaded shard of 120 workers, on hosts with links of
+	// 2 Mbit/s, changed its owner 44 times in 35 s and did no work.
 	ownerChangeWindow = 10 * time.Second
 	patiencePerChange = 2 * time.Second
 	maxPatience       = 4 * time.Second
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -188,7 +188,7 @@
 	Steps           []Step          `json:"steps"`
 	// AcceptedMS is the time of acceptance, in Unix milliseconds.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Repeats is how many times the steps run; 0 for once, at once.
+	// Repeats is how many times the steps run; 0 for once, immediately.
 	Repeats    int   `json:"repeats,omitempty"`
 	StartMS    int64 `json:"start_ms,omitempty"`
 	IntervalMS int64 `json:"interval_ms,omitempty"`
@@ -198,7 +198,7 @@
 func (j *Job) ShardID() ShardID { return ShardID{j.Service, j.Shard} }
 
 // MaxTasks bounds the tasks of one job, over all its repeats. It guards against malformed
-// jobs, far above real ones of some 200 tasks.
+// jobs; the largest real ones have some 200 tasks.
 const MaxTasks = 100_000
 
 // Validate checks the job, and names the first invalid field.
--- a/internal/cluster/incarnation.go
+++ b/internal/cluster/incarnation.go
@@ -10,14 +10,14 @@
 	ID string `json:"id"`
 	// Started is the time of the start, in Unix milliseconds, by the clock of the worker's
 	// host. The clock may be set back: a later incarnation may have an earlier time. It is 0
-	// if the worker doesn't report it, and then gets a new ID with each start.
+	// if the worker doesn't report it; such a worker gets a new ID with each start.
 	Started int64 `json:"started,omitempty"`
 }
 
 // String returns the ID and, if it is known, the start.
-func (l Incarnation) String() string {
-	if l.Started == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.Started == 0 {
+		return i.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.Started, 10)
+	return i.ID + "@" + strconv.FormatInt(i.Started, 10)
 }
--- a/internal/cluster/layout.go
+++ b/internal/cluster/layout.go
@@ -32,8 +32,8 @@
 	Shard int    `json:"shard"`
 }
 
-// PlanLayout divides the racks of a service's machines into shards with similar numbers of
-// workers, as many as shards of perShard workers require.
+// PlanLayout divides a service's machines by rack into shards of similar size, with about
+// perShard workers at most.
 func PlanLayout(service string, machines []Machine, perShard int) Layout {
 	racks, total := racksOf(service, machines)
 	l := Layout{Service: service, Workers: total, Shards: max(1, min((total+perShard-1)/perShard, len(racks), MaxShards))}
--- a/internal/conns/stall.go
+++ b/internal/conns/stall.go
@@ -55,16 +55,16 @@
 // routes takes 0.6 s on an idle link of 10 Mbit/s.
 func WithStallTimeout(ctx context.Context, begin time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
-	l := &stallTimer{}
-	l.timer = time.AfterFunc(begin, func() {
-		if l.arrived.Load() {
+	t := &stallTimer{}
+	t.timer = time.AfterFunc(begin, func() {
+		if t.arrived.Load() {
 			cancel(&Error{"call", KindStalled, StallTimeout})
 			return
 		}
 		cancel(&Error{"call", KindSilent, begin})
 	})
-	return context.WithValue(c, stallTimerKey{}, l), func() {
-		l.timer.Stop()
+	return context.WithValue(c, stallTimerKey{}, t), func() {
+		t.timer.Stop()
 		cancel(nil)
 	}
 }
--- a/internal/conns/usage.go
+++ b/internal/conns/usage.go
@@ -20,7 +20,7 @@
 	Calls, Sent, Received atomic.Int64
 }
 
-// counters returns the counters counters a path.
+// counters returns the counters of a path.
 func (u *Usage) counters(path string) *PathUsage {
 	if p, ok := u.paths.Load(path); ok {
 		return p.(*PathUsage)
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -75,7 +75,7 @@
 var (
 	JobAdded              = zap.String(Field, "SB1601")
 	JobEnded              = zap.String(Field, "SB1602")
-	EndPersisted          = zap.String(Field, "SB1613")
+	JobEndPersisted       = zap.String(Field, "SB1613")
 	RunStarted            = zap.String(Field, "SB1603")
 	StartRejected         = zap.String(Field, "SB1604")
 	RunEnded              = zap.String(Field, "SB1605")
--- a/internal/fanout/batcher.go
+++ b/internal/fanout/batcher.go
@@ -29,8 +29,8 @@
 	list []T
 }
 
-func newBatcher[T any](beat time.Duration) *batcher[T] {
-	return &batcher[T]{keepalive: beat, ready: make(chan struct{}, 1), list: []T{}}
+func newBatcher[T any](interval time.Duration) *batcher[T] {
+	return &batcher[T]{keepalive: interval, ready: make(chan struct{}, 1), list: []T{}}
 }
 
 // add adds a message to the next batch.
@@ -62,17 +62,17 @@
 	if err != nil {
 		panic("fanout: the level of compression is a constant: " + err.Error())
 	}
-	var beat <-chan time.Time
+	var tick <-chan time.Time
 	if b.keepalive > 0 {
 		t := time.NewTicker(b.keepalive)
 		defer t.Stop()
-		beat = t.C
+		tick = t.C
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat:
+		case <-tick:
 		case <-b.ready:
 			tables.Sleep(ctx, batchDelay)
 		}
--- a/internal/fanout/client.go
+++ b/internal/fanout/client.go
@@ -172,8 +172,9 @@
 	return len(c.helpers) > 0
 }
 
-// finalAnswer returns the answer to a call that an earlier helper may have made already: an
-// answer that nothing was done then no longer proves it.
+// finalAnswer returns the answer to a call. If an earlier helper may have made the call
+// already, an answer that nothing was done only holds for the last attempt, and the outcome
+// is unknown.
 func finalAnswer(a answer, maySent bool) answer {
 	if !maySent {
 		return a
--- a/internal/fanout/delay.go
+++ b/internal/fanout/delay.go
@@ -20,23 +20,23 @@
 
 func newDelayEstimator() *delayEstimator {
 	now := time.Now()
-	return &delayEstimator{began: now, windowStart: now, minDiffs: [2]int64{noDelay, noDelay}}
+	return &delayEstimator{began: now, windowStart: now, minDiffs: [2]int64{unmeasured, unmeasured}}
 }
 
-// noDelay is larger than any difference of the clocks.
-const noDelay = 1 << 62
+// unmeasured is larger than any difference of the clocks.
+const unmeasured = 1 << 62
 
 // observe returns how much later than others a call arrived that was sent at sentMS on the
 // sender's clock.
 func (d *delayEstimator) observe(sentMS int64) time.Duration {
 	now := time.Now()
 	if now.Sub(d.windowStart) > delayWindow {
-		d.windowStart, d.minDiffs = now, [2]int64{noDelay, d.minDiffs[0]}
+		d.windowStart, d.minDiffs = now, [2]int64{unmeasured, d.minDiffs[0]}
 	}
 	diff := now.Sub(d.began).Milliseconds() - sentMS
 	usual := min(d.minDiffs[0], d.minDiffs[1])
 	d.minDiffs[0] = min(d.minDiffs[0], diff)
-	if usual == noDelay {
+	if usual == unmeasured {
 		return 0
 	}
 	return time.Duration(max(0, diff-usual)) * time.Millisecond
--- a/internal/fanout/stream.go
+++ b/internal/fanout/stream.go
@@ -34,8 +34,8 @@
 
 // openStream connects to a helper in the background. Calls may be made at once, and fail if
 // the connection can't be made.
-func openStream(ctx context.Context, client *http.Client, helper Helper, patience func() time.Duration) *stream {
-	s := &stream{helper: helper, silenceLimit: patience, calls: newBatcher[call](0), pending: make(map[int64]chan answer), lastHeard: time.Now()}
+func openStream(ctx context.Context, client *http.Client, helper Helper, limit func() time.Duration) *stream {
+	s := &stream{helper: helper, silenceLimit: limit, calls: newBatcher[call](0), pending: make(map[int64]chan answer), lastHeard: time.Now()}
 	s.ctx, s.fail = context.WithCancelCause(ctx)
 	body, lines := io.Pipe()
 	go func() { s.fail(s.readAnswers(client, body)) }()
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -162,7 +162,7 @@
 	if !r.Final || j.finalSaved {
 		return
 	}
-	s.log.Info("job's end persisted", events.EndPersisted, zap.String("job", r.Job), zap.String("state", string(j.state)),
+	s.log.Info("job's end persisted", events.JobEndPersisted, zap.String("job", r.Job), zap.String("state", string(j.state)),
 		zap.Duration("after", now.Sub(j.finishedAt)))
 	s.endSaved(now, j)
 	j.reps = nil
