--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -180,13 +180,13 @@
 	p := standin.New()
 	s := bundle.NewStore(p, p, bundle.Review{})
 	const more = 5
-	for v := range int64(bundle.HistoryKept + more) {
+	for v := range int64(bundle.MaxHistory + more) {
 		if err := rollOut(t, s, bundle.Default(), v, fmt.Sprintf("change-%d", v)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	heads, err := s.History(t.Context())
-	if err != nil || len(heads) != bundle.HistoryKept || heads[0].Version != more+1 {
+	if err != nil || len(heads) != bundle.MaxHistory || heads[0].Version != more+1 {
 		t.Errorf("%d heads, the first %+v, %v", len(heads), heads[0], err)
 	}
 }
@@ -197,7 +197,7 @@
 	b.Teams = []bundle.Team{{Name: "x", Weight: 2}, {Name: "z", Weight: 1}}
 	got := make(map[string]bool)
 	for _, c := range bundle.Diff(a, b) {
-		got[c.Op+strings.Fields(c.What)[1]] = true
+		got[c.Op+strings.Fields(c.Description)[1]] = true
 	}
 	for _, want := range []string{"~x:", "+z:", "-y"} {
 		if !got[want] {
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -16,8 +16,8 @@
 
 // Change is one difference between two bundles.
 type Change struct {
-	Op   string `json:"op"`
-	What string `json:"what"`
+	Op          string `json:"op"`
+	Description string `json:"what"`
 }
 
 // Diff returns what has to change in old to give next.
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -19,8 +19,8 @@
 	headKey      = "head"
 	proposalKey  = "proposal"
 	historyKey   = "history/"
-	// HistoryKept is how many accepted bundles the history names.
-	HistoryKept = 1000
+	// MaxHistory is how many accepted bundles the history names.
+	MaxHistory = 1000
 )
 
 // Table is what the package uses of the table service.
@@ -81,8 +81,8 @@
 	return h, err
 }
 
-// Proposed returns the proposal that waits, if there is one.
-func (s *Store) Proposed(ctx context.Context) (Proposal, bool, error) {
+// PendingProposal returns the proposal that waits, if there is one.
+func (s *Store) PendingProposal(ctx context.Context) (Proposal, bool, error) {
 	var p Proposal
 	row, err := s.read(ctx, proposalKey, &p)
 	return p, row.Version != 0, err
@@ -233,7 +233,7 @@
 			{Table: TableBundles, Key: historyRow(next.Version), Value: value},
 		},
 		Delete: []platform.Delete{
-			{Table: TableBundles, Key: proposalKey}, {Table: TableBundles, Key: historyRow(next.Version - HistoryKept)},
+			{Table: TableBundles, Key: proposalKey}, {Table: TableBundles, Key: historyRow(next.Version - MaxHistory)},
 		},
 	})
 	if err != nil {
--- a/internal/ctl/bundle.go
+++ b/internal/ctl/bundle.go
@@ -126,7 +126,7 @@
 	changes := bundle.Diff(st.Bundle, next)
 	return env.print(changes, func(w io.Writer) {
 		for _, ch := range changes {
-			say(w, "%s %s", ch.Op, ch.What)
+			say(w, "%s %s", ch.Op, ch.Description)
 		}
 		if len(changes) == 0 {
 			say(w, "no difference to version %d", st.Head.Version)
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -301,7 +301,7 @@
 
 // maybeSnapshot stores the state when the journal has grown long.
 func (sh *Shard) maybeSnapshot(ctx context.Context) {
-	if sh.stream.Length() < sh.opts.SnapshotEvery {
+	if sh.stream.BatchesToTrim() < sh.opts.SnapshotEvery {
 		return
 	}
 	sh.mu.Lock()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	c := journal.New(table, objects, journal.Options{Spacing: 25 * time.Millisecond}, log)
+//	c := journal.New(table, objects, journal.Options{MinWriteInterval: 25 * time.Millisecond}, log)
 //	s, rec, err := c.Open(ctx, grant)
 //	p, err := c.Append(s, records...) // in order; does not wait
 //	err = p.Wait(ctx)                 // nil: kept safe
@@ -96,12 +96,12 @@
 
 // Options are the settings of a Committer.
 type Options struct {
-	// Spacing is the least time between two writes, which bounds the writes a second.
-	Spacing time.Duration
+	// MinWriteInterval is the least time between two writes, which bounds the writes a second.
+	MinWriteInterval time.Duration
 	// DownAfter is how long a write may fail before appends are refused at once.
 	DownAfter time.Duration
-	// Unconditional leaves the conditions out, to show that tests see it.
-	Unconditional bool
+	// SkipConditions leaves the conditions out, to show that tests see it.
+	SkipConditions bool
 }
 
 // Batch is the value of a journal row.
@@ -236,13 +236,13 @@
 			return nil
 		case <-c.wake:
 		}
-		if !pause(ctx, time.Until(c.lastSent.Add(c.opts.Spacing))) {
+		if !pause(ctx, time.Until(c.lastSent.Add(c.opts.MinWriteInterval))) {
 			return nil
 		}
 		for batch := c.take(); len(batch) > 0; batch = c.take() {
 			c.lastSent = time.Now()
 			c.write(ctx, batch)
-			if ctx.Err() != nil || !pause(ctx, time.Until(c.lastSent.Add(c.opts.Spacing))) {
+			if ctx.Err() != nil || !pause(ctx, time.Until(c.lastSent.Add(c.opts.MinWriteInterval))) {
 				return nil
 			}
 		}
@@ -326,7 +326,7 @@
 	var t platform.Txn
 	for _, pt := range parts {
 		key := rowKey(pt.stream.key, pt.seq)
-		if !c.opts.Unconditional {
+		if !c.opts.SkipConditions {
 			t.If = append(t.If,
 				platform.Condition{Table: tableShards, Key: pt.stream.key, Version: pt.stream.version},
 				platform.Condition{Table: TableJournal, Key: key})
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -68,7 +68,7 @@
 
 func start(t *testing.T, p *standin.Platform) *journal.Committer {
 	t.Helper()
-	c := journal.New(p, p, journal.Options{Spacing: 10 * time.Millisecond, DownAfter: time.Second}, zap.NewNop())
+	c := journal.New(p, p, journal.Options{MinWriteInterval: 10 * time.Millisecond, DownAfter: time.Second}, zap.NewNop())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -307,7 +307,7 @@
 	p := standin.New()
 	ctx, stop := context.WithCancel(b.Context())
 	defer stop()
-	c := journal.New(p, p, journal.Options{Spacing: time.Millisecond, DownAfter: time.Second}, zap.NewNop())
+	c := journal.New(p, p, journal.Options{MinWriteInterval: time.Millisecond, DownAfter: time.Second}, zap.NewNop())
 	go func() { _ = c.Run(ctx) }()
 	res, err := p.Commit(ctx, platform.Txn{Put: []platform.Put{{Table: "shards", Key: shardKey, Value: json.RawMessage(`{}`)}}})
 	if err != nil {
--- a/internal/journal/recover.go
+++ b/internal/journal/recover.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// Length returns how many batches a snapshot would let go.
-func (s *Stream) Length() int64 {
+// BatchesToTrim returns how many batches a snapshot would let go.
+func (s *Stream) BatchesToTrim() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.next - s.first
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -162,9 +162,9 @@
 func resultProblem(res requests.Result) error {
 	status := http.StatusServiceUnavailable
 	switch {
-	case res.Reason == requests.KindTeamFull || res.Reason == requests.KindQueueFull || res.Reason == requests.KindTooManyKeys:
+	case res.Reason == requests.KindTeamQueueFull || res.Reason == requests.KindQueueFull || res.Reason == requests.KindTooManyKeys:
 		status = http.StatusTooManyRequests
-	case res.Reason == requests.KindKeyClash || res.Reason == requests.KindKeyUnknown || res.Reason == requests.KindKeyOld:
+	case res.Reason == requests.KindKeyReused || res.Reason == requests.KindKeyOutcomeUnknown || res.Reason == requests.KindKeyTooOld:
 		status = http.StatusConflict
 	case res.Reason == requests.KindDeadline:
 		status = http.StatusGatewayTimeout
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -117,7 +117,7 @@
 
 // stage holds the proposed bundle ready.
 func (f *follower) stage(ctx context.Context) {
-	p, ok, err := f.n.bundles.Proposed(ctx)
+	p, ok, err := f.n.bundles.PendingProposal(ctx)
 	if err != nil || !ok {
 		return
 	}
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Refresh asks the peers for their loads now, unless that was done a moment ago.
-func (l *load) Refresh(ctx context.Context) {
+// RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
+func (l *load) RefreshLoads(ctx context.Context) {
 	select {
 	case l.refreshing <- struct{}{}:
 	case <-ctx.Done():
@@ -125,7 +125,7 @@
 	pools, teams := l.n.pools.Summaries()
 	head, _ := l.n.follower.state()
 	return peer.Summary{
-		Node: l.n.cfg.Node, Head: head.Version, Confirmed: l.n.follower.confirmed(), Pools: pools, Teams: teams, Services: l.n.balancer.Summaries(),
+		Node: l.n.cfg.Node, Head: head.Version, Confirmed: l.n.follower.confirmed(), Pools: pools, Teams: teams, Services: l.n.balancer.ServiceSummaries(),
 	}
 }
 
@@ -153,8 +153,8 @@
 	return teams
 }
 
-// Services returns the load of a service on each peer that owns instances of it.
-func (l *load) Services(name string) []requests.PeerLoad {
+// ServiceLoads returns the load of a service on each peer that owns instances of it.
+func (l *load) ServiceLoads(name string) []requests.PeerLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var loads []requests.PeerLoad
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -183,7 +183,7 @@
 		TTL: cfg.Lease.TTL, Margin: cfg.Lease.Margin, Every: cfg.Lease.Every, NoCheck: n.deps.Guards.NoLeaseCheck,
 	}, n.log)
 	n.journal = journal.New(p, p, journal.Options{
-		Spacing: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, Unconditional: n.deps.Guards.Unconditional,
+		MinWriteInterval: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.Unconditional,
 	}, n.log)
 	n.bundles = bundle.NewStore(p, p, cfg.Review)
 }
@@ -192,7 +192,7 @@
 	cfg := n.cfg
 	n.balancer = requests.NewBalancer(n.bundle)
 	if n.deps.Guards.Overcommit {
-		n.balancer.Overcommit()
+		n.balancer.AllowOvercommit()
 	}
 	n.pools = pool.NewSet(n.runCtx, cfg.DataCentres, pool.Deps{
 		Hosts:     n.deps.Platform,
@@ -232,12 +232,12 @@
 	n.entry = requests.NewEntry(requests.Deps{
 		Balancer: n.balancer,
 		Upstream: requests.NewUpstream(n.newClient("instances", upstreamConns), requests.UpstreamOptions{
-			Linger: cfg.Linger, AnyAnswer: n.deps.Guards.AnyAnswer, GuessNotRun: n.deps.Guards.GuessNotRun,
+			AbandonedTimeout: cfg.Linger, SkipRequestIDCheck: n.deps.Guards.AnyAnswer, AssumeNotRun: n.deps.Guards.GuessNotRun,
 		}),
 		Peers:  n.load,
 		Keys:   keyRouter{n},
 		Bundle: n.bundle,
-	}, requests.Options{KeyWindow: cfg.KeyWindow, KeyMargin: cfg.KeyMargin, NoIntent: n.deps.Guards.NoIntent}, n.log)
+	}, requests.Options{KeyWindow: cfg.KeyWindow, KeyMargin: cfg.KeyMargin, SkipKeyJournal: n.deps.Guards.NoIntent}, n.log)
 }
 
 // shardChanged passes on that a shard has a new owner.
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -189,7 +189,7 @@
 func (n *Node) bundleStatus(ctx context.Context, _ httpx.None) (BundleStatus, error) {
 	head, b := n.follower.state()
 	st := BundleStatus{Head: head, Bundle: b, Nodes: n.nodeBundles()}
-	p, ok, err := n.bundles.Proposed(ctx)
+	p, ok, err := n.bundles.PendingProposal(ctx)
 	if err != nil || !ok {
 		return st, err
 	}
@@ -222,7 +222,7 @@
 
 // accept moves the head once every live node holds the bundle ready.
 func (n *Node) accept(ctx context.Context, req AcceptRequest) (bundle.Head, error) {
-	p, ok, err := n.bundles.Proposed(ctx)
+	p, ok, err := n.bundles.PendingProposal(ctx)
 	if err != nil {
 		return bundle.Head{}, err
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -103,7 +103,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.TimeoutMS)*time.Millisecond)
 	defer cancel()
-	return n.entry.Here(ctx, r), nil
+	return n.entry.RunLocally(ctx, r), nil
 }
 
 func (n *Node) serveSummary(context.Context, httpx.None) (peer.Summary, error) {
--- a/internal/requests/balancer.go
+++ b/internal/requests/balancer.go
@@ -44,22 +44,22 @@
 
 // The kinds of error; each is also the reason that a caller is told.
 const (
-	KindNoInstance  Kind = "no_instance"
-	KindTeamFull    Kind = "team_queue_full"
-	KindQueueFull   Kind = "queue_full"
-	KindDeadline    Kind = "deadline"
-	KindKeys        Kind = "key_store_unavailable"
-	KindTooManyKeys Kind = "too_many_keys"
-	KindKeyClash    Kind = "key_used_for_another_request"
-	KindKeyUnknown  Kind = "key_outcome_unknown"
-	KindKeyOld      Kind = "key_older_than_window"
-	KindUpstream    Kind = "upstream_failed"
-	KindUnreached   Kind = "upstream_not_reached"
-	KindCut         Kind = "answer_cut"
-	KindMismatch    Kind = "answer_of_another_request"
-	KindTooLarge    Kind = "answer_too_large"
-	KindPeer        Kind = "peer_failed"
-	KindUpstreamNot Kind = "upstream_did_not_run"
+	KindNoInstance          Kind = "no_instance"
+	KindTeamQueueFull       Kind = "team_queue_full"
+	KindQueueFull           Kind = "queue_full"
+	KindDeadline            Kind = "deadline"
+	KindKeyStoreUnavailable Kind = "key_store_unavailable"
+	KindTooManyKeys         Kind = "too_many_keys"
+	KindKeyReused           Kind = "key_used_for_another_request"
+	KindKeyOutcomeUnknown   Kind = "key_outcome_unknown"
+	KindKeyTooOld           Kind = "key_older_than_window"
+	KindUpstreamFailed      Kind = "upstream_failed"
+	KindUpstreamNotReached  Kind = "upstream_not_reached"
+	KindAnswerTruncated     Kind = "answer_cut"
+	KindAnswerMismatch      Kind = "answer_of_another_request"
+	KindAnswerTooLarge      Kind = "answer_too_large"
+	KindPeerFailed          Kind = "peer_failed"
+	KindUpstreamDidNotRun   Kind = "upstream_did_not_run"
 )
 
 // Error is the error type of this package.
@@ -122,8 +122,8 @@
 	return &Balancer{bundle: b, services: make(map[string]*service), byID: make(map[worker.Attempt]*instance)}
 }
 
-// Overcommit switches the counting of slots off, to show that tests see it.
-func (b *Balancer) Overcommit() { b.overcommit = true }
+// AllowOvercommit switches the counting of slots off, to show that tests see it.
+func (b *Balancer) AllowOvercommit() { b.overcommit = true }
 
 // Add takes an instance into use.
 func (b *Balancer) Add(i pool.Instance) {
@@ -213,8 +213,8 @@
 	}
 }
 
-// Try takes a free slot at once, if there is one and nobody waits for it.
-func (b *Balancer) Try(name string) (*Slot, bool) {
+// TryAcquire takes a free slot at once, if there is one and nobody waits for it.
+func (b *Balancer) TryAcquire(name string) (*Slot, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, ok := b.services[name]
@@ -287,7 +287,7 @@
 		kind := KindQueueFull
 		var qe *queue.Error
 		if errors.As(err, &qe) && qe.Kind == queue.KindTeamFull {
-			kind = KindTeamFull
+			kind = KindTeamQueueFull
 		}
 		return nil, &Error{"acquire", kind, err, max(leastRetryIn, wait)}
 	}
@@ -368,15 +368,15 @@
 	s.b.releaseLocked(s.inst)
 }
 
-// Suspect makes the balancer pass the slot's instance over for a short time.
-func (s *Slot) Suspect() {
+// MarkSuspect makes the balancer pass the slot's instance over for a short time.
+func (s *Slot) MarkSuspect() {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.inst.suspect = time.Now().Add(suspectFor)
 }
 
-// Close makes the slot's instance take no new request, as it said that it is leaving.
-func (s *Slot) Close() {
+// CloseInstance makes the slot's instance take no new request, as it said that it is leaving.
+func (s *Slot) CloseInstance() {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.inst.open = false
@@ -385,16 +385,16 @@
 // Address is where the slot's instance listens.
 func (s *Slot) Address() string { return s.inst.Address }
 
-// Has reports whether this node owns an open instance of a service.
-func (b *Balancer) Has(name string) bool {
+// HasOpenInstance reports whether this node owns an open instance of a service.
+func (b *Balancer) HasOpenInstance(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, ok := b.services[name]
 	return ok && slices.ContainsFunc(s.instances, func(i *instance) bool { return i.open })
 }
 
-// Summaries tells how busy the node's instances are.
-func (b *Balancer) Summaries() []peer.ServiceSummary {
+// ServiceSummaries tells how busy the node's instances are.
+func (b *Balancer) ServiceSummaries() []peer.ServiceSummary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []peer.ServiceSummary
--- a/internal/requests/budget.go
+++ b/internal/requests/budget.go
@@ -22,8 +22,8 @@
 	b.tokens = min(b.most, b.tokens+share)
 }
 
-// Take spends a retry if there is one.
-func (b *Budget) Take() bool {
+// Withdraw spends a retry if there is one.
+func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/requests/dispatch.go
+++ b/internal/requests/dispatch.go
@@ -23,12 +23,12 @@
 
 // UpstreamOptions are the settings of an Upstream.
 type UpstreamOptions struct {
-	// Linger is how long a slot is held for an instance that still works on a
+	// AbandonedTimeout is how long a slot is held for an instance that still works on a
 	// request which was given up.
-	Linger time.Duration
-	// AnyAnswer and GuessNotRun switch safeguards off, to show that tests see it.
-	AnyAnswer   bool
-	GuessNotRun bool
+	AbandonedTimeout time.Duration
+	// SkipRequestIDCheck and AssumeNotRun switch safeguards off, to show that tests see it.
+	SkipRequestIDCheck bool
+	AssumeNotRun       bool
 }
 
 // Upstream sends requests to instances.
@@ -64,7 +64,7 @@
 		return res
 	case <-ctx.Done():
 	}
-	time.AfterFunc(u.opts.Linger, stop)
+	time.AfterFunc(u.opts.AbandonedTimeout, stop)
 	return unknown(KindDeadline, "the time was over while the upstream worked on the request")
 }
 
@@ -73,7 +73,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+slot.Address()+"/", bytes.NewReader(r.Body))
 	if err != nil {
-		return notRun(KindUnreached, err.Error())
+		return notRun(KindUpstreamNotReached, err.Error())
 	}
 	// Without GetBody and without an idempotency header, net/http never sends the request a second time.
 	req.GetBody = nil
@@ -83,11 +83,11 @@
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	resp, err := u.http.Do(req)
 	if err != nil {
-		slot.Suspect()
-		if !sent.Load() || u.opts.GuessNotRun {
-			return notRun(KindUnreached, err.Error())
+		slot.MarkSuspect()
+		if !sent.Load() || u.opts.AssumeNotRun {
+			return notRun(KindUpstreamNotReached, err.Error())
 		}
-		return unknown(KindUpstream, err.Error())
+		return unknown(KindUpstreamFailed, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return u.answer(slot, r, resp, maxBody)
@@ -96,23 +96,23 @@
 // answer reads the whole of the upstream's answer before any of it is passed on.
 func (u *Upstream) answer(slot *Slot, r *Request, resp *http.Response, maxBody int64) Result {
 	if resp.Header.Get(api.HeaderLeaving) != "" {
-		slot.Close()
+		slot.CloseInstance()
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(api.HeaderNotRun) != "" {
-		slot.Suspect()
-		return notRun(KindUpstreamNot, resp.Header.Get(api.HeaderNotRun))
+		slot.MarkSuspect()
+		return notRun(KindUpstreamDidNotRun, resp.Header.Get(api.HeaderNotRun))
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err != nil {
-		slot.Suspect()
-		return unknown(KindCut, err.Error())
+		slot.MarkSuspect()
+		return unknown(KindAnswerTruncated, err.Error())
 	}
 	if int64(len(body)) > maxBody {
-		return unknown(KindTooLarge, fmt.Sprintf("the answer is larger than %d bytes", maxBody))
+		return unknown(KindAnswerTooLarge, fmt.Sprintf("the answer is larger than %d bytes", maxBody))
 	}
-	if id := resp.Header.Get(api.HeaderRequestID); id != "" && id != r.ID && !u.opts.AnyAnswer {
-		slot.Suspect()
-		return unknown(KindMismatch, "the upstream answered request "+id)
+	if id := resp.Header.Get(api.HeaderRequestID); id != "" && id != r.ID && !u.opts.SkipRequestIDCheck {
+		slot.MarkSuspect()
+		return unknown(KindAnswerMismatch, "the upstream answered request "+id)
 	}
 	return Result{Outcome: api.OutcomeDone, Answer: &peer.Answer{
 		Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body,
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -32,10 +32,10 @@
 
 // Peers reaches the other nodes.
 type Peers interface {
-	// Services returns the load of a service on each peer that owns instances of it.
-	Services(name string) []PeerLoad
-	// Refresh asks the peers for their loads now, unless that was done a moment ago.
-	Refresh(ctx context.Context)
+	// ServiceLoads returns the load of a service on each peer that owns instances of it.
+	ServiceLoads(name string) []PeerLoad
+	// RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
+	RefreshLoads(ctx context.Context)
 	// Forward hands a request to a peer.
 	Forward(ctx context.Context, node string, r Request) (Result, error)
 }
@@ -70,8 +70,8 @@
 	KeyWindow time.Duration
 	// KeyMargin is how far a caller's clock may be ahead.
 	KeyMargin time.Duration
-	// NoIntent leaves the journalling of keys out, to show that tests see it.
-	NoIntent bool
+	// SkipKeyJournal leaves the journalling of keys out, to show that tests see it.
+	SkipKeyJournal bool
 }
 
 // Entry takes requests in.
@@ -93,7 +93,7 @@
 		attribute.String("service", r.Service), attribute.String("team", r.Team), attribute.String("request", r.ID)))
 	defer span.End()
 	var res Result
-	if r.Key != "" && !e.opts.NoIntent {
+	if r.Key != "" && !e.opts.SkipKeyJournal {
 		res = e.once(ctx, r)
 	} else {
 		res = e.route(ctx, r)
@@ -110,27 +110,27 @@
 func (e *Entry) once(ctx context.Context, r Request) Result {
 	age := time.Since(r.KeyCreated)
 	if age > e.opts.KeyWindow {
-		return unknown(KindKeyOld, fmt.Sprintf("the key is older than %s", e.opts.KeyWindow))
+		return unknown(KindKeyTooOld, fmt.Sprintf("the key is older than %s", e.opts.KeyWindow))
 	}
 	reply, err := e.deps.Keys.Begin(ctx, peer.KeyBegin{
 		Team: r.Team, Key: r.Key, Token: r.ID, Digest: r.digest(), TimeoutMS: remaining(ctx), Created: r.KeyCreated,
 	})
 	if err != nil {
 		// Nothing was sent and nothing will be, whatever became of the intent.
-		go e.finish(ctx, r, notRun(KindKeys, ""))
+		go e.finish(ctx, r, notRun(KindKeyStoreUnavailable, ""))
 		if httpx.Reason(err) == string(KindTooManyKeys) {
 			return refused(KindTooManyKeys, err.Error(), time.Minute)
 		}
-		return refused(KindKeys, "the key could not be journalled: "+err.Error(), storeRetryIn)
+		return refused(KindKeyStoreUnavailable, "the key could not be journalled: "+err.Error(), storeRetryIn)
 	}
 	switch reply.State {
 	case peer.KeyGo:
 	case peer.KeyDone:
 		return keptAnswer(reply.Answer)
 	case peer.KeyClash:
-		return refused(KindKeyClash, "the key was used for another request", 0)
+		return refused(KindKeyReused, "the key was used for another request", 0)
 	default:
-		return unknown(KindKeyUnknown, "an earlier arrival of the key ended without its outcome being known")
+		return unknown(KindKeyOutcomeUnknown, "an earlier arrival of the key ended without its outcome being known")
 	}
 	res := e.route(ctx, r)
 	e.finish(ctx, r, res)
@@ -139,7 +139,7 @@
 
 func keptAnswer(a *peer.Answer) Result {
 	if a == nil || a.Dropped {
-		return unknown(KindTooLarge, "the request has run; its answer was too large to be kept")
+		return unknown(KindAnswerTooLarge, "the request has run; its answer was too large to be kept")
 	}
 	return Result{Outcome: api.OutcomeDone, Answer: a}
 }
@@ -171,7 +171,7 @@
 	wait := retryFirstWait
 	for try := 0; ; try++ {
 		res := e.try(ctx, r)
-		if try == maxRetries || !mayRetry(res, r) || !e.enoughTime(ctx, wait) || !e.budget.Take() {
+		if try == maxRetries || !mayRetry(res, r) || !e.enoughTime(ctx, wait) || !e.budget.Withdraw() {
 			return res
 		}
 		pause(ctx, wait/2+rand.N(wait))
@@ -202,7 +202,7 @@
 	if res, found := e.find(ctx, r); found {
 		return res
 	}
-	e.deps.Peers.Refresh(ctx)
+	e.deps.Peers.RefreshLoads(ctx)
 	if res, found := e.find(ctx, r); found {
 		return res
 	}
@@ -212,15 +212,15 @@
 // find runs a request where it can: in a free slot here, else on a peer with room,
 // else in a queue.
 func (e *Entry) find(ctx context.Context, r Request) (res Result, found bool) {
-	if slot, ok := e.deps.Balancer.Try(r.Service); ok {
+	if slot, ok := e.deps.Balancer.TryAcquire(r.Service); ok {
 		return e.send(ctx, slot, r), true
 	}
-	peers := e.deps.Peers.Services(r.Service)
+	peers := e.deps.Peers.ServiceLoads(r.Service)
 	if p, ok := pickPeer(peers, true); ok {
 		return e.forward(ctx, p, r), true
 	}
-	if e.deps.Balancer.Has(r.Service) {
-		return e.Here(ctx, r), true
+	if e.deps.Balancer.HasOpenInstance(r.Service) {
+		return e.RunLocally(ctx, r), true
 	}
 	if p, ok := pickPeer(peers, false); ok {
 		return e.forward(ctx, p, r), true
@@ -228,9 +228,9 @@
 	return Result{}, false
 }
 
-// Here runs a request on this node's own instances, waiting for a slot; it is
+// RunLocally runs a request on this node's own instances, waiting for a slot; it is
 // also where a request that a peer handed over ends.
-func (e *Entry) Here(ctx context.Context, r Request) Result {
+func (e *Entry) RunLocally(ctx context.Context, r Request) Result {
 	qctx, span := tracer().Start(ctx, "queue")
 	slot, err := e.deps.Balancer.Acquire(qctx, r.Service, r.Team)
 	span.End()
@@ -256,15 +256,15 @@
 	}
 	var he *httpx.Error
 	if errors.As(err, &he) && he.Kind == httpx.KindProblem {
-		return notRun(KindPeer, err.Error())
+		return notRun(KindPeerFailed, err.Error())
 	}
 	if IsNotSent(err) {
-		return notRun(KindPeer, err.Error())
+		return notRun(KindPeerFailed, err.Error())
 	}
 	if ctx.Err() != nil {
 		return unknown(KindDeadline, "the time was over while a peer worked on the request")
 	}
-	return unknown(KindPeer, err.Error())
+	return unknown(KindPeerFailed, err.Error())
 }
 
 // pickPeer chooses the better of two peers drawn at random, of those with a
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -62,11 +62,11 @@
 func TestSlotsAreCounted(t *testing.T) {
 	b := newBalancer(instance(0, 2, "x"), instance(1, 1, "y"))
 	for i := range 3 {
-		if _, ok := b.Try(svc); !ok {
+		if _, ok := b.TryAcquire(svc); !ok {
 			t.Fatalf("slot %d is missing", i)
 		}
 	}
-	if _, ok := b.Try(svc); ok {
+	if _, ok := b.TryAcquire(svc); ok {
 		t.Error("there are three slots, and a fourth was given")
 	}
 }
@@ -74,7 +74,7 @@
 func TestQueueIsBoundedAndFair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(instance(0, 1, "x"))
-		slot, _ := b.Try(svc)
+		slot, _ := b.TryAcquire(svc)
 		var mu sync.Mutex
 		var served []string
 		var wg sync.WaitGroup
@@ -96,7 +96,7 @@
 		for range 4 {
 			wait("a")
 		}
-		if _, err := b.Acquire(t.Context(), svc, "a"); kindOf(err) != requests.KindTeamFull {
+		if _, err := b.Acquire(t.Context(), svc, "a"); kindOf(err) != requests.KindTeamQueueFull {
 			t.Errorf("a team's fifth: %v", err)
 		}
 		wait("b")
@@ -115,7 +115,7 @@
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(instance(0, 1, "x"))
-		if _, ok := b.Try(svc); !ok {
+		if _, ok := b.TryAcquire(svc); !ok {
 			t.Fatal("no slot")
 		}
 		began := time.Now()
@@ -136,14 +136,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		i := instance(0, 2, "x")
 		b := newBalancer(i)
-		slot, _ := b.Try(svc)
+		slot, _ := b.TryAcquire(svc)
 		drained := make(chan struct{})
 		go func() {
 			b.Drain(t.Context(), []worker.Attempt{i.Attempt})
 			close(drained)
 		}()
 		synctest.Wait()
-		if _, ok := b.Try(svc); ok {
+		if _, ok := b.TryAcquire(svc); ok {
 			t.Error("a draining instance was given a request")
 		}
 		select {
@@ -193,8 +193,8 @@
 // noPeers is an entry that knows no other node.
 type noPeers struct{}
 
-func (noPeers) Services(string) []requests.PeerLoad { return nil }
-func (noPeers) Refresh(context.Context)             {}
+func (noPeers) ServiceLoads(string) []requests.PeerLoad { return nil }
+func (noPeers) RefreshLoads(context.Context)            {}
 func (noPeers) Forward(context.Context, string, requests.Request) (requests.Result, error) {
 	return requests.Result{}, requests.NotSent(errors.New("no peer"))
 }
@@ -202,9 +202,9 @@
 // latePeers know of a service only once they were asked again.
 type latePeers struct{ asked *atomic.Bool }
 
-func (p latePeers) Refresh(context.Context) { p.asked.Store(true) }
+func (p latePeers) RefreshLoads(context.Context) { p.asked.Store(true) }
 
-func (p latePeers) Services(string) []requests.PeerLoad {
+func (p latePeers) ServiceLoads(string) []requests.PeerLoad {
 	if !p.asked.Load() {
 		return nil
 	}
@@ -249,7 +249,7 @@
 
 func newEntry(b *requests.Balancer, keys requests.Keys) *requests.Entry {
 	return requests.NewEntry(requests.Deps{
-		Balancer: b, Upstream: requests.NewUpstream(&http.Client{}, requests.UpstreamOptions{Linger: time.Second}),
+		Balancer: b, Upstream: requests.NewUpstream(&http.Client{}, requests.UpstreamOptions{AbandonedTimeout: time.Second}),
 		Peers: noPeers{}, Keys: keys, Bundle: testBundle,
 	}, requests.Options{KeyWindow: time.Hour, KeyMargin: time.Minute}, zap.NewNop())
 }
@@ -269,12 +269,12 @@
 		reason        requests.Kind
 	}{
 		{"hello", address, api.OutcomeDone, ""},
-		{"not run", address, api.OutcomeNotRun, requests.KindUpstreamNot},
-		{"cut", address, api.OutcomeUnknown, requests.KindCut},
-		{"other", address, api.OutcomeUnknown, requests.KindMismatch},
-		{"large", address, api.OutcomeUnknown, requests.KindTooLarge},
+		{"not run", address, api.OutcomeNotRun, requests.KindUpstreamDidNotRun},
+		{"cut", address, api.OutcomeUnknown, requests.KindAnswerTruncated},
+		{"other", address, api.OutcomeUnknown, requests.KindAnswerMismatch},
+		{"large", address, api.OutcomeUnknown, requests.KindAnswerTooLarge},
 		{"hang", address, api.OutcomeUnknown, requests.KindDeadline},
-		{"hello", nobody, api.OutcomeNotRun, requests.KindUnreached},
+		{"hello", nobody, api.OutcomeNotRun, requests.KindUpstreamNotReached},
 	}
 	for _, tt := range tests {
 		t.Run(tt.body+" "+string(tt.outcome), func(t *testing.T) {
@@ -307,10 +307,10 @@
 	}{
 		{"first", fixedKeys{reply: peer.KeyReply{State: peer.KeyGo}}, 0, api.OutcomeDone, "", 1},
 		{"second", fixedKeys{reply: peer.KeyReply{State: peer.KeyDone, Answer: kept}}, 0, api.OutcomeDone, "", 0},
-		{"unknown", fixedKeys{reply: peer.KeyReply{State: peer.KeyUnknown}}, 0, api.OutcomeUnknown, requests.KindKeyUnknown, 0},
-		{"clash", fixedKeys{reply: peer.KeyReply{State: peer.KeyClash}}, 0, api.OutcomeRefused, requests.KindKeyClash, 0},
-		{"store down", fixedKeys{err: errors.New("down")}, 0, api.OutcomeRefused, requests.KindKeys, 0},
-		{"old", fixedKeys{reply: peer.KeyReply{State: peer.KeyGo}}, -2 * time.Hour, api.OutcomeUnknown, requests.KindKeyOld, 0},
+		{"unknown", fixedKeys{reply: peer.KeyReply{State: peer.KeyUnknown}}, 0, api.OutcomeUnknown, requests.KindKeyOutcomeUnknown, 0},
+		{"clash", fixedKeys{reply: peer.KeyReply{State: peer.KeyClash}}, 0, api.OutcomeRefused, requests.KindKeyReused, 0},
+		{"store down", fixedKeys{err: errors.New("down")}, 0, api.OutcomeRefused, requests.KindKeyStoreUnavailable, 0},
+		{"old", fixedKeys{reply: peer.KeyReply{State: peer.KeyGo}}, -2 * time.Hour, api.OutcomeUnknown, requests.KindKeyTooOld, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -322,7 +322,7 @@
 			if res.Outcome != tt.outcome || res.Reason != tt.reason || runs.Load() != tt.runs {
 				t.Errorf("have %s %s, %d runs", res.Outcome, res.Reason, runs.Load())
 			}
-			if tt.reason == requests.KindKeys && res.RetryAfterMS == 0 {
+			if tt.reason == requests.KindKeyStoreUnavailable && res.RetryAfterMS == 0 {
 				t.Error("it is not told when to come back")
 			}
 		})
@@ -335,7 +335,7 @@
 	taken := 0
 	for range 1000 {
 		b.Deposit(0.1)
-		if b.Take() {
+		if b.Withdraw() {
 			taken++
 		}
 	}
@@ -355,7 +355,7 @@
 	address := strings.TrimPrefix(srv.URL, "http://")
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	e := requests.NewEntry(requests.Deps{
-		Balancer: newBalancer(instance(0, 64, address)), Upstream: requests.NewUpstream(c, requests.UpstreamOptions{Linger: time.Second}),
+		Balancer: newBalancer(instance(0, 64, address)), Upstream: requests.NewUpstream(c, requests.UpstreamOptions{AbandonedTimeout: time.Second}),
 		Peers: noPeers{}, Keys: fixedKeys{}, Bundle: testBundle,
 	}, requests.Options{}, zap.NewNop())
 	var mu sync.Mutex
