--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -110,11 +110,11 @@
 
 // The values of settings that were left out.
 const (
-	defaultLeaseMost = 10 * time.Second
-	defaultStop      = time.Second
-	defaultGrace     = 6 * time.Second
-	defaultKeepState = 120 * time.Second
-	defaultMemoryMB  = 128
+	defaultMaxLease          = 10 * time.Second
+	defaultStopTime          = time.Second
+	defaultGrace             = 6 * time.Second
+	defaultFinishedRetention = 120 * time.Second
+	defaultMemoryMB          = 128
 )
 
 // OwnerMilliCPUPerWorker is what a busy worker uses of the processor of the host that owns its shard,
@@ -142,14 +142,14 @@
 		return Settings{}, &Error{"parse", KindInvalid, "settings", err}
 	}
 	s.setDefaults()
-	return s, s.check()
+	return s, s.validate()
 }
 
 func (s *Settings) setDefaults() {
-	setDefault(&s.Bounds.MaxLeaseMS, defaultLeaseMost.Milliseconds())
-	setDefault(&s.Bounds.StopMS, defaultStop.Milliseconds())
+	setDefault(&s.Bounds.MaxLeaseMS, defaultMaxLease.Milliseconds())
+	setDefault(&s.Bounds.StopMS, defaultStopTime.Milliseconds())
 	setDefault(&s.Bounds.GraceMS, defaultGrace.Milliseconds())
-	setDefault(&s.Bounds.FinishedRetentionMS, defaultKeepState.Milliseconds())
+	setDefault(&s.Bounds.FinishedRetentionMS, defaultFinishedRetention.Milliseconds())
 	setDefault(&s.Limits.MemoryMB, int64(defaultMemoryMB))
 	setDefault(&s.Limits.CPUShare, 1.0)
 	setDefault(&s.Limits.CoreSpeed, 1.0)
@@ -165,16 +165,16 @@
 	}
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	if s.Node == "" {
-		return invalid("node", "must be given")
+		return newInvalid("node", "must be given")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"listen.callers", s.Listen.Callers}, {"listen.ready", s.Listen.Ready}, {"listen.peers", s.Listen.Peers},
 		{"listen.peers_at", s.Listen.AdvertisePeers}, {"store", s.Store},
 	} {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return invalid(a.field, "wants IP:port: "+err.Error())
+			return newInvalid(a.field, "wants IP:port: "+err.Error())
 		}
 	}
 	for _, b := range []struct {
@@ -185,31 +185,31 @@
 		{"bounds.keep_state_ms", s.Bounds.FinishedRetentionMS}, {"limits.memory_mb", s.Limits.MemoryMB},
 	} {
 		if b.value <= 0 {
-			return invalid(b.field, "must be above 0")
+			return newInvalid(b.field, "must be above 0")
 		}
 	}
 	if s.WorkerOrders != WorkerOrdersInvocation {
 		// A node that ran would accept jobs of which it could start nothing.
-		return invalid("worker_orders", "only "+WorkerOrdersInvocation+" is built, not "+s.WorkerOrders)
+		return newInvalid("worker_orders", "only "+WorkerOrdersInvocation+" is built, not "+s.WorkerOrders)
 	}
 	if s.Limits.CPUShare < 0 {
-		return invalid("limits.cpu_share", "must be above 0")
+		return newInvalid("limits.cpu_share", "must be above 0")
 	}
 	if s.Limits.LinkMbps < 0 {
-		return invalid("limits.link_mbps", "must not be below 0")
+		return newInvalid("limits.link_mbps", "must not be below 0")
 	}
 	if s.Limits.CoreSpeed < 0 {
-		return invalid("limits.core_speed", "must be above 0")
+		return newInvalid("limits.core_speed", "must be above 0")
 	}
 	if s.WorkersPerShard < 0 || s.WorkersPerShard > MaxWorkersPerShard {
-		return invalid("workers_per_shard", "must be from 0 to "+strconv.Itoa(MaxWorkersPerShard))
+		return newInvalid("workers_per_shard", "must be from 0 to "+strconv.Itoa(MaxWorkersPerShard))
 	}
-	if need := OwnerMilliCPUPerWorker * float64(s.WorkersPerShard); need > float64(s.Limits.CPUMilli()) {
-		return invalid("workers_per_shard", fmt.Sprintf("the owner of a shard uses up to %.0f thousandths of a core, more than limits.cpu_share gives", need))
+	if required := OwnerMilliCPUPerWorker * float64(s.WorkersPerShard); required > float64(s.Limits.CPUMilli()) {
+		return newInvalid("workers_per_shard", fmt.Sprintf("the owner of a shard uses up to %.0f thousandths of a core, more than limits.cpu_share gives", required))
 	}
 	return nil
 }
 
-func invalid(field, text string) *Error {
+func newInvalid(field, text string) *Error {
 	return &Error{Op: "check", Kind: KindInvalid, Field: field, Err: errors.New(text)}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,14 +10,14 @@
 	"switchbank.example/switchbank/internal/settings"
 )
 
-const good = `
+const validSettings = `
 node: n1
 listen: {callers: "127.0.0.1:1", ready: "127.0.0.1:2", peers: "127.0.0.1:3"}
 store: "127.0.0.1:4"
 `
 
 func TestDefaults(t *testing.T) {
-	s, err := settings.Parse("node.yaml", []byte(good))
+	s, err := settings.Parse("node.yaml", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,22 +26,22 @@
 	}
 }
 
-// TestWrongFieldIsNamed checks that each wrong value is told by its field.
-func TestWrongFieldIsNamed(t *testing.T) {
+// TestErrorsNameTheField checks that each wrong value is told by its field.
+func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ text, field string }{
-		{strings.Replace(good, "node: n1", "", 1), "node"},
-		{strings.Replace(good, `callers: "127.0.0.1:1"`, `callers: "nowhere"`, 1), "listen.callers"},
-		{strings.Replace(good, `store: "127.0.0.1:4"`, "", 1), "store"},
-		{good + "bounds: {stop_ms: -1}\n", "bounds.stop_ms"},
-		{good + "limits: {memory_mb: -5}\n", "limits.memory_mb"},
-		{good + "limits: {cpu_share: -0.4}\n", "limits.cpu_share"},
-		{strings.Replace(good, `peers: "127.0.0.1:3"`, `peers: "127.0.0.1:3", peers_at: "nowhere"`, 1), "listen.peers_at"},
-		{good + "workers_per_shard: -1\n", "workers_per_shard"},
-		{good + "workers_per_shard: 1501\n", "workers_per_shard"},
-		{good + "workers_per_shard: 300\nlimits: {cpu_share: 0.12}\n", "workers_per_shard"},
-		{good + "limits: {link_mbps: -2}\n", "limits.link_mbps"},
-		{good + "limits: {core_speed: -1}\n", "limits.core_speed"},
-		{good + "worker_orders: heartbeat\n", "worker_orders"},
+		{strings.Replace(validSettings, "node: n1", "", 1), "node"},
+		{strings.Replace(validSettings, `callers: "127.0.0.1:1"`, `callers: "nowhere"`, 1), "listen.callers"},
+		{strings.Replace(validSettings, `store: "127.0.0.1:4"`, "", 1), "store"},
+		{validSettings + "bounds: {stop_ms: -1}\n", "bounds.stop_ms"},
+		{validSettings + "limits: {memory_mb: -5}\n", "limits.memory_mb"},
+		{validSettings + "limits: {cpu_share: -0.4}\n", "limits.cpu_share"},
+		{strings.Replace(validSettings, `peers: "127.0.0.1:3"`, `peers: "127.0.0.1:3", peers_at: "nowhere"`, 1), "listen.peers_at"},
+		{validSettings + "workers_per_shard: -1\n", "workers_per_shard"},
+		{validSettings + "workers_per_shard: 1501\n", "workers_per_shard"},
+		{validSettings + "workers_per_shard: 300\nlimits: {cpu_share: 0.12}\n", "workers_per_shard"},
+		{validSettings + "limits: {link_mbps: -2}\n", "limits.link_mbps"},
+		{validSettings + "limits: {core_speed: -1}\n", "limits.core_speed"},
+		{validSettings + "worker_orders: heartbeat\n", "worker_orders"},
 	} {
 		_, err := settings.Parse("node.yaml", []byte(c.text))
 		var e *settings.Error
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestUnknownAndMistyped(t *testing.T) {
-	for _, text := range []string{good + "stor: x\n", good + "seeds: 5\n", good + "bounds: {stop_ms: fast}\n", "node: [\n"} {
+func TestUnknownFieldsAndWrongTypes(t *testing.T) {
+	for _, text := range []string{validSettings + "stor: x\n", validSettings + "seeds: 5\n", validSettings + "bounds: {stop_ms: fast}\n", "node: [\n"} {
 		if _, err := settings.Parse("node.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), "node.yaml") {
 			t.Errorf("%q: got %v, want an error that names the file", text, err)
 		}
