--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -25,9 +25,9 @@
 	// owner, so that nodes read the shards only after a change.
 	TableRevision = "shard-revision"
 	revisionKey   = "revision"
-	// settlePolls is how many polls a shard's preferred owner must stay the same
+	// handOverPolls is how many polls a shard's preferred owner must stay the same
 	// before its owner hands it over.
-	settlePolls = 3
+	handOverPolls = 3
 )
 
 // Row is the row of a shard.
@@ -110,53 +110,53 @@
 	wake     chan struct{}
 
 	mu sync.Mutex
-	// busy counts what runs in the background; idle is told of each end. A WaitGroup
+	// backgroundCount counts what runs in the background; idle is told of each end. A WaitGroup
 	// will not do: ReleaseAll waits while Run may begin something new.
-	busy     int
-	idle     *sync.Cond
-	revision int64
-	read     bool
-	rows     map[Key]entry
-	owned    map[Key]*owned
-	changed  func(Key)
+	backgroundCount int
+	backgroundDone  *sync.Cond
+	revision        int64
+	rowsCurrent     bool
+	rows            map[Key]versionedRow
+	owned           map[Key]*ownedShard
+	onOwnerChange   func(Key)
 }
 
-type entry struct {
+type versionedRow struct {
 	row     Row
 	version int64
 }
 
-type owned struct {
+type ownedShard struct {
 	epoch   int64
 	version int64
-	// confirmed is the lease generation under which the row was last read.
-	confirmed int64
-	loaded    bool
-	releasing bool
-	stray     int
-	cancel    context.CancelFunc
+	// confirmedGeneration is the lease generation under which the row was last read.
+	confirmedGeneration int64
+	loaded              bool
+	releasing           bool
+	misplacedPolls      int
+	cancel              context.CancelFunc
 }
 
 // New returns a manager that owns nothing yet.
 func New(table lease.Table, l *lease.Lease, keys []Key, handlers map[Kind]Handler, opts Options, log *zap.Logger) *Manager {
 	m := &Manager{
-		table:    table,
-		lease:    l,
-		keys:     keys,
-		handlers: handlers,
-		opts:     opts,
-		log:      log,
-		wake:     make(chan struct{}, 1),
-		rows:     make(map[Key]entry),
-		owned:    make(map[Key]*owned),
-		changed:  func(Key) {},
-	}
-	m.idle = sync.NewCond(&m.mu)
+		table:         table,
+		lease:         l,
+		keys:          keys,
+		handlers:      handlers,
+		opts:          opts,
+		log:           log,
+		wake:          make(chan struct{}, 1),
+		rows:          make(map[Key]versionedRow),
+		owned:         make(map[Key]*ownedShard),
+		onOwnerChange: func(Key) {},
+	}
+	m.backgroundDone = sync.NewCond(&m.mu)
 	return m
 }
 
 // OnOwnerChange sets the function that is told of a shard whose owner has changed.
-func (m *Manager) OnOwnerChange(fn func(Key)) { m.changed = fn }
+func (m *Manager) OnOwnerChange(fn func(Key)) { m.onOwnerChange = fn }
 
 // Run keeps the node's shards until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
@@ -166,7 +166,7 @@
 		m.poll(ctx)
 		select {
 		case <-ctx.Done():
-			m.wait()
+			m.waitBackground()
 			return nil
 		case <-t.C:
 		case <-m.wake:
@@ -248,31 +248,31 @@
 		})
 	}
 	_ = g.Wait()
-	m.wait()
+	m.waitBackground()
 }
 
 // background runs fn, and is waited for by wait.
 func (m *Manager) background(fn func()) {
 	m.mu.Lock()
-	m.busy++
+	m.backgroundCount++
 	m.mu.Unlock()
 	go func() {
 		defer func() {
 			m.mu.Lock()
-			m.busy--
+			m.backgroundCount--
 			m.mu.Unlock()
-			m.idle.Broadcast()
+			m.backgroundDone.Broadcast()
 		}()
 		fn()
 	}()
 }
 
-// wait returns once nothing runs in the background.
-func (m *Manager) wait() {
+// waitBackground returns once nothing runs in the background.
+func (m *Manager) waitBackground() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for m.busy > 0 {
-		m.idle.Wait()
+	for m.backgroundCount > 0 {
+		m.backgroundDone.Wait()
 	}
 }
 
@@ -285,7 +285,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o, ok := m.owned[key]
-	return ok && o.epoch == epoch && o.confirmed == generation
+	return ok && o.epoch == epoch && o.confirmedGeneration == generation
 }
 
 func (m *Manager) poll(ctx context.Context) {
@@ -294,7 +294,7 @@
 		m.log.Warn("shards not read", events.ShardsNotRead, zap.Error(err))
 		return
 	}
-	m.confirm(generation)
+	m.confirmOwned(generation)
 	if !held || ctx.Err() != nil {
 		return
 	}
@@ -304,37 +304,37 @@
 		return
 	}
 	for _, key := range m.keys {
-		want, ok := PreferredOwner(key, live)
+		preferred, ok := PreferredOwner(key, live)
 		if !ok {
 			continue
 		}
-		m.settle(ctx, key, want, self)
+		m.reconcileOwner(ctx, key, preferred, self)
 	}
 }
 
-// settle takes key when this node should own it, and hands it over when another should.
-func (m *Manager) settle(ctx context.Context, key Key, want, self lease.Node) {
+// reconcileOwner takes key when this node should own it, and hands it over when another should.
+func (m *Manager) reconcileOwner(ctx context.Context, key Key, preferred, self lease.Node) {
 	m.mu.Lock()
 	e, o := m.rows[key], m.owned[key]
 	handOver := false
 	if o != nil {
-		if want.ID == self.ID {
-			o.stray = 0
+		if preferred.ID == self.ID {
+			o.misplacedPolls = 0
 		} else {
-			o.stray++
+			o.misplacedPolls++
 		}
-		handOver = o.stray >= settlePolls && o.loaded && !o.releasing
+		handOver = o.misplacedPolls >= handOverPolls && o.loaded && !o.releasing
 		o.releasing = o.releasing || handOver
 	}
 	m.mu.Unlock()
 	if handOver {
 		m.background(func() { m.release(ctx, key) })
 	}
-	if o != nil || want.ID != self.ID {
+	if o != nil || preferred.ID != self.ID {
 		return
 	}
-	guard, free := m.free(e)
-	if !free {
+	guard, takeable := m.canTake(e)
+	if !takeable {
 		return
 	}
 	if err := m.take(ctx, key, e, guard, self); err != nil {
@@ -342,8 +342,8 @@
 	}
 }
 
-// free reports whether a shard may be taken, and under which condition.
-func (m *Manager) free(e entry) ([]platform.Condition, bool) {
+// canTake reports whether a shard may be taken, and under which condition.
+func (m *Manager) canTake(e versionedRow) ([]platform.Condition, bool) {
 	if e.row.Owner == "" {
 		return nil, true
 	}
@@ -351,7 +351,7 @@
 	return guard, dead
 }
 
-func (m *Manager) take(ctx context.Context, key Key, e entry, guard []platform.Condition, self lease.Node) error {
+func (m *Manager) take(ctx context.Context, key Key, e versionedRow, guard []platform.Condition, self lease.Node) error {
 	row := Row{
 		Owner: self.ID, Incarnation: self.Incarnation, PeerAddress: self.PeerAddress, Epoch: e.row.Epoch + 1,
 		Change: fmt.Sprintf("%s/%d", self.Incarnation, e.row.Epoch+1),
@@ -367,23 +367,23 @@
 	if err != nil {
 		return err
 	}
-	m.own(ctx, key, row, version, generation)
+	m.startOwning(ctx, key, row, version, generation)
 	return nil
 }
 
-// own records a shard as this node's and loads it.
-func (m *Manager) own(ctx context.Context, key Key, row Row, version, generation int64) {
+// startOwning records a shard as this node's and loads it.
+func (m *Manager) startOwning(ctx context.Context, key Key, row Row, version, generation int64) {
 	ctx, cancel := context.WithCancel(ctx)
-	o := &owned{epoch: row.Epoch, version: version, confirmed: generation, cancel: cancel}
+	o := &ownedShard{epoch: row.Epoch, version: version, confirmedGeneration: generation, cancel: cancel}
 	m.mu.Lock()
-	m.rows[key] = entry{row, version}
+	m.rows[key] = versionedRow{row, version}
 	m.owned[key] = o
 	m.mu.Unlock()
 	m.log.Info("shard taken", events.ShardTaken, zap.String("shard", string(key)), zap.Int64("epoch", row.Epoch))
 	m.background(func() { m.load(ctx, key, o) })
 }
 
-func (m *Manager) load(ctx context.Context, key Key, o *owned) {
+func (m *Manager) load(ctx context.Context, key Key, o *ownedShard) {
 	g := Grant{
 		Owner: m.lease.Self().ID, Key: key, Epoch: o.epoch, Version: o.version,
 		Held:      func() bool { return m.held(key, o.epoch) },
@@ -409,7 +409,7 @@
 		m.handlers[key.Kind()].Drop(key)
 		return
 	}
-	m.changed(key)
+	m.onOwnerChange(key)
 }
 
 func (m *Manager) release(ctx context.Context, key Key) {
@@ -457,20 +457,20 @@
 	res, err := m.table.Commit(ctx, txn)
 	if err != nil {
 		// The write may have taken effect, or may yet: the next poll reads it.
-		m.forgetRevision()
+		m.invalidateRows()
 		return 0, &Error{"write", ErrorStore, err}
 	}
 	if !res.Committed {
-		m.forgetRevision()
+		m.invalidateRows()
 		return 0, &Error{"write", ErrorConflict, errors.Errorf("shard %s has moved", key)}
 	}
 	return res.Versions[0], nil
 }
 
-func (m *Manager) forgetRevision() {
+func (m *Manager) invalidateRows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.read = false
+	m.rowsCurrent = false
 }
 
 // refresh reads the shards when their revision has changed.
@@ -480,7 +480,7 @@
 		return &Error{"refresh", ErrorStore, err}
 	}
 	m.mu.Lock()
-	fresh := m.read && rev.Version == m.revision
+	fresh := m.rowsCurrent && rev.Version == m.revision
 	m.mu.Unlock()
 	if fresh {
 		return nil
@@ -489,20 +489,20 @@
 	if err != nil {
 		return &Error{"refresh", ErrorStore, err}
 	}
-	read := make(map[Key]entry, len(rows))
+	read := make(map[Key]versionedRow, len(rows))
 	for _, r := range rows {
 		var row Row
 		if err := json.Unmarshal(r.Value, &row); err != nil {
 			return &Error{"refresh", ErrorStore, err}
 		}
-		read[Key(r.Key)] = entry{row, r.Version}
+		read[Key(r.Key)] = versionedRow{row, r.Version}
 	}
-	m.adopt(ctx, rev.Version, read)
+	m.updateRows(ctx, rev.Version, read)
 	return nil
 }
 
-// adopt replaces the rows as known by those just read, and tells of changes.
-func (m *Manager) adopt(ctx context.Context, revision int64, read map[Key]entry) {
+// updateRows replaces the rows as known by those just read, and tells of changes.
+func (m *Manager) updateRows(ctx context.Context, revision int64, read map[Key]versionedRow) {
 	self := m.lease.Self()
 	var changed []Key
 	var mine []Key
@@ -520,28 +520,28 @@
 			mine = append(mine, key)
 		}
 	}
-	m.rows, m.revision, m.read = read, revision, true
+	m.rows, m.revision, m.rowsCurrent = read, revision, true
 	m.mu.Unlock()
 	for _, key := range changed {
-		m.changed(key)
+		m.onOwnerChange(key)
 	}
 	for _, key := range mine {
-		m.reclaim(ctx, key, read[key], self)
+		m.releaseUnloaded(ctx, key, read[key], self)
 	}
 }
 
-// reclaim gives a shard back to the table that this node's write took although
+// releaseUnloaded gives a shard back to the table that this node's write took although
 // its reply was lost; it is then taken again under a new epoch.
-func (m *Manager) reclaim(ctx context.Context, key Key, e entry, self lease.Node) {
+func (m *Manager) releaseUnloaded(ctx context.Context, key Key, e versionedRow, self lease.Node) {
 	row := Row{Epoch: e.row.Epoch, Change: fmt.Sprintf("%s/%d/reclaimed", self.Incarnation, e.row.Epoch)}
 	if _, err := m.write(ctx, key, row, e.version, nil); err != nil {
 		m.log.Warn("shard not released", events.ShardNotReleased, zap.String("shard", string(key)), zap.Error(err))
 	}
-	m.forgetRevision()
+	m.invalidateRows()
 }
 
-// confirm checks the owned shards against the rows read under generation.
-func (m *Manager) confirm(generation int64) {
+// confirmOwned checks the owned shards against the rows read under generation.
+func (m *Manager) confirmOwned(generation int64) {
 	m.mu.Lock()
 	var lost []Key
 	for key, o := range m.owned {
@@ -551,12 +551,12 @@
 			o.cancel()
 			continue
 		}
-		o.confirmed = generation
+		o.confirmedGeneration = generation
 	}
 	m.mu.Unlock()
 	for _, key := range lost {
 		m.log.Warn("shard lost", events.ShardLost, zap.String("shard", string(key)))
 		m.handlers[key.Kind()].Drop(key)
-		m.changed(key)
+		m.onOwnerChange(key)
 	}
 }
