--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -42,14 +42,14 @@
 	Answer  *peer.Answer `json:"answer,omitempty"`
 }
 
-func (s *State) intent(r *Intent) {
+func (s *State) applyIntent(r *Intent) {
 	if k, ok := s.Keys[r.ID]; ok && k.Outcome != api.OutcomeNotRun {
 		return
 	}
 	s.Keys[r.ID] = &RequestKey{Token: r.Token, Digest: r.Digest, PendingUntil: r.PendingUntil, RetainUntil: r.RetainUntil}
 }
 
-func (s *State) finish(r *KeyResult) {
+func (s *State) applyFinish(r *KeyResult) {
 	k, ok := s.Keys[r.ID]
 	if !ok || k.Token != r.Token || (k.Outcome != "" && k.Outcome != api.OutcomeUnknown) {
 		return
@@ -63,7 +63,7 @@
 // KeyBegin gives the leave to run a request, or tells how it ended; it waits
 // while another arrival of the same key may be running.
 func (s *Set) KeyBegin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
-	sh, err := s.owned("begin key", req.Shard)
+	sh, err := s.ownedShard("begin key", req.Shard)
 	if err != nil {
 		return peer.KeyReply{}, err
 	}
@@ -99,12 +99,12 @@
 	}
 	state, answer, rec := decideKey(k, req, now, sh.opts)
 	err := sh.writeLocked(rec...)
-	last := sh.last
+	last := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return peer.KeyReply{}, nil, err
 	}
-	if err := waitFor(ctx, last); err != nil {
+	if err := waitDurable(ctx, last); err != nil {
 		return peer.KeyReply{}, nil, err
 	}
 	return peer.KeyReply{State: state, Answer: answer}, nil, nil
@@ -135,7 +135,7 @@
 
 // KeyFinish journals how a request with a key ended.
 func (s *Set) KeyFinish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
-	sh, err := s.owned("finish key", req.Shard)
+	sh, err := s.ownedShard("finish key", req.Shard)
 	if err != nil {
 		return peer.KeyReply{}, err
 	}
@@ -148,10 +148,10 @@
 	}}
 	sh.mu.Lock()
 	err = sh.writeLocked(rec)
-	last := sh.last
+	last := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return peer.KeyReply{}, err
 	}
-	return peer.KeyReply{State: peer.KeyDone}, waitFor(ctx, last)
+	return peer.KeyReply{State: peer.KeyDone}, waitDurable(ctx, last)
 }
--- a/internal/jobs/reconcile.go
+++ b/internal/jobs/reconcile.go
@@ -16,102 +16,102 @@
 func (s *Set) reconcile(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
-	if !s.changed && now.Sub(s.scanned) < s.opts.VerifyInterval/2 {
+	if !s.scanNeeded && now.Sub(s.lastScan) < s.opts.VerifyInterval/2 {
 		s.mu.Unlock()
 		return
 	}
 	verify := s.verify
-	s.verify, s.changed, s.scanned = make(map[string]bool), false, now
+	s.verify, s.scanNeeded, s.lastScan = make(map[string]bool), false, now
 	s.mu.Unlock()
-	for _, sh := range s.all() {
-		ask, stop, last := sh.doubtful(now, verify)
-		if len(ask)+len(stop) == 0 || !keptSoon(ctx, last) {
+	for _, sh := range s.ownedShards() {
+		ask, stop, last := sh.tasksToReconcile(now, verify)
+		if len(ask)+len(stop) == 0 || !becomesDurable(ctx, last) {
 			continue
 		}
-		s.halt(ctx, sh, stop)
+		s.stopTasks(ctx, sh, stop)
 		s.confirm(ctx, sh, ask)
 	}
 }
 
-// halt stops tasks, and learns what became of those that are not there.
-func (s *Set) halt(ctx context.Context, sh *Shard, places []peer.Placement) {
-	sh.noteAsked(places, time.Now())
+// stopTasks stops tasks, and learns what became of those that are not there.
+func (s *Set) stopTasks(ctx context.Context, sh *Shard, places []peer.Placement) {
+	sh.recordAsked(places, time.Now())
 	eachPool(places, func(shard string, places []peer.Placement) {
 		reply, err := s.deps.Pools.Stop(ctx, peer.StopRequest{Shard: shard, Placements: places})
 		if err == nil {
-			s.learn(ctx, sh, places, reply)
+			s.applyConfirmReply(ctx, sh, places, reply)
 		}
 	})
 }
 
-// keptSoon reports whether what was read is kept, waiting for it a short time;
+// becomesDurable reports whether what was read is kept, waiting for it a short time;
 // a start must not be asked for before its place is kept.
-func keptSoon(ctx context.Context, last *journal.Pending) bool {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func becomesDurable(ctx context.Context, last *journal.Pending) bool {
+	ctx, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
-	return waitFor(ctx, last) == nil
+	return waitDurable(ctx, last) == nil
 }
 
-// doubtful returns the tasks to be asked about and those to be stopped.
-func (sh *Shard) doubtful(now time.Time, verify map[string]bool) (ask, stop []peer.Placement, last *journal.Pending) {
+// tasksToReconcile returns the tasks to be asked about and those to be stopped.
+func (sh *Shard) tasksToReconcile(now time.Time, verify map[string]bool) (ask, stop []peer.Placement, last *journal.Pending) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, j := range sh.state.Jobs {
 		if j.counts.Placed+j.counts.Running == 0 {
 			continue
 		}
-		halt := j.mustStop()
+		mustStop := j.mustStop()
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
 			if !t.State.Active() {
 				continue
 			}
-			moved := verify[t.Placement.Shard] || t.asked.IsZero()
-			due := now.Sub(t.asked) >= sh.opts.VerifyInterval
-			t.doubt = t.doubt || moved
+			ownerChanged := verify[t.Placement.Shard] || t.lastAsked.IsZero()
+			due := now.Sub(t.lastAsked) >= sh.opts.VerifyInterval
+			t.unconfirmed = t.unconfirmed || ownerChanged
 			switch {
-			case halt && (moved || due || !t.halted):
-				t.halted = true
+			case mustStop && (ownerChanged || due || !t.stopSent):
+				t.stopSent = true
 				stop = append(stop, t.Placement)
-			case moved || (due && (t.doubt || t.State == api.TaskPlaced)):
+			case ownerChanged || (due && (t.unconfirmed || t.State == api.TaskPlaced)):
 				ask = append(ask, t.Placement)
 			}
 		}
 	}
-	return ask, stop, sh.last
+	return ask, stop, sh.lastAppend
 }
 
 // mustStop reports whether the job's active tasks must end.
 func (j *Job) mustStop() bool {
-	broken := j.Spec.Kind == api.KindAllAtOnce && !j.Spec.AtMostOnce && j.counts.Failed > 0
-	return j.Cancelled || j.Restarting || broken
+	gangFailed := j.Spec.Kind == api.KindAllAtOnce && !j.Spec.AtMostOnce && j.counts.Failed > 0
+	return j.Cancelled || j.Restarting || gangFailed
 }
 
-// noteAsked records when the owners were asked about tasks.
-func (sh *Shard) noteAsked(places []peer.Placement, at time.Time) {
+// recordAsked records when the owners were asked about tasks.
+func (sh *Shard) recordAsked(places []peer.Placement, at time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, p := range places {
 		if _, t := sh.state.task(p.Attempt); t != nil && t.Attempt == p.Attempt.N {
-			t.asked = at
+			t.lastAsked = at
 		}
 	}
 }
 
-// noteAnswered records that the owners know the tasks, and tell of them from now on.
-func (sh *Shard) noteAnswered(items []peer.Confirmed) {
+// recordConfirmed records that the owners know the tasks, and tell of them from now on.
+func (sh *Shard) recordConfirmed(items []peer.Confirmed) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, c := range items {
 		_, t := sh.state.task(c.Attempt)
 		if t != nil && t.Attempt == c.Attempt.N && c.State == peer.ConfirmAccepted {
-			t.doubt = false
+			t.unconfirmed = false
 		}
 	}
 }
 
-// active returns the places of a job's tasks that a worker may be running.
-func (sh *Shard) active(job string) []peer.Placement {
+// stopActive returns the places of a job's tasks that a worker may be running.
+func (sh *Shard) stopActive(job string) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	j, ok := sh.state.Jobs[job]
@@ -121,7 +121,7 @@
 	var places []peer.Placement
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Active() {
-			t.halted = true
+			t.stopSent = true
 			places = append(places, t.Placement)
 		}
 	}
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -26,37 +26,37 @@
 )
 
 const (
-	// maxPerRound bounds the tasks of one job that a round places.
-	maxPerRound = 512
-	// poolsAtOnce bounds the calls of one step that are under way together.
-	poolsAtOnce = 8
-	// aheadKept is how many of the jobs that go first are told of.
-	aheadKept = 5
-	// keepTimeout bounds a round's wait for the journal.
-	keepTimeout = 2 * time.Second
+	// maxTasksPerRound bounds the tasks of one job that a round places.
+	maxTasksPerRound = 512
+	// maxConcurrentPools bounds the calls of one step that are under way together.
+	maxConcurrentPools = 8
+	// maxAhead is how many of the jobs that go first are told of.
+	maxAhead = 5
+	// journalTimeout bounds a round's wait for the journal.
+	journalTimeout = 2 * time.Second
 )
 
-// waiting is a job with tasks that may be placed now.
-type waiting struct {
-	shard *Shard
-	job   string
-	spec  api.Workload
-	specs []worker.Spec
-	whole bool
-	// untried is set while no task of the job was ever placed.
-	untried bool
+// waitingJob is a job with tasks that may be placed now.
+type waitingJob struct {
+	shard     *Shard
+	job       string
+	spec      api.Workload
+	specs     []worker.Spec
+	allAtOnce bool
+	// neverPlaced is set while no task of the job was ever placed.
+	neverPlaced bool
 }
 
 // round is what one round of scheduling works on.
 type round struct {
-	bundle *bundle.Bundle
-	pools  []peer.PoolSummary
-	total  resource.Amount
-	teams  []policy.Team
-	jobs   []waiting
-	placed []placed
-	// whole is set when the workers of every worker shard are known.
-	whole bool
+	bundle        *bundle.Bundle
+	pools         []peer.PoolSummary
+	total         resource.Amount
+	teams         []policy.Team
+	jobs          []waitingJob
+	pendingStarts []pendingStart
+	// allPoolsKnown is set when the workers of every worker shard are known.
+	allPoolsKnown bool
 }
 
 // schedule gives places to the tasks that wait, in the order of the policy.
@@ -66,46 +66,46 @@
 		return
 	}
 	r := s.newRound(jobs)
-	items := r.items()
+	items := r.policyJobs()
 	var ahead []string
 	for _, i := range policy.Order(time.Now(), items, r.teams, r.total) {
 		if ctx.Err() != nil {
 			return
 		}
 		w := &r.jobs[i]
-		why, err := s.place(ctx, &r, w)
+		reason, err := s.placeJob(ctx, &r, w)
 		if err != nil {
-			why = err.Error()
+			reason = err.Error()
 			s.log.Warn("tasks not placed", events.TaskNotPlaced, zap.String("job", w.job), zap.Error(err))
 		}
-		w.shard.setWaits(w.job, waitNote{why, slices.Clone(ahead)})
-		if len(ahead) < aheadKept {
+		w.shard.setWaitStatus(w.job, waitStatus{reason, slices.Clone(ahead)})
+		if len(ahead) < maxAhead {
 			ahead = append(ahead, w.job)
 		}
 	}
-	s.startPlaced(ctx, r.placed)
+	s.startDurable(ctx, r.pendingStarts)
 }
 
-// placed are places whose record is on its way to the journal.
-type placed struct {
-	shard  *Shard
-	places []peer.Placement
-	kept   *journal.Pending
+// pendingStart are places whose record is on its way to the journal.
+type pendingStart struct {
+	shard   *Shard
+	places  []peer.Placement
+	pending *journal.Pending
 }
 
-// startPlaced starts tasks as their places are kept; what is not kept in time
+// startDurable starts tasks as their places are kept; what is not kept in time
 // is left to reconcile.
-func (s *Set) startPlaced(ctx context.Context, batch []placed) {
-	wait, cancel := context.WithTimeout(ctx, keepTimeout)
+func (s *Set) startDurable(ctx context.Context, batch []pendingStart) {
+	wait, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(poolsAtOnce)
+	g.SetLimit(maxConcurrentPools)
 	for _, b := range batch {
 		g.Go(func() error {
 			_, span := tracer().Start(wait, "journal")
-			kept := s.opts.StartBeforeJournal || b.kept.Wait(wait) == nil
+			durable := s.opts.StartBeforeJournal || b.pending.Wait(wait) == nil
 			span.End()
-			if kept {
+			if durable {
 				s.confirm(ctx, b.shard, b.places)
 			}
 			return nil
@@ -115,17 +115,17 @@
 }
 
 // waitingJobs returns the jobs with tasks that may be placed now, by name.
-func (s *Set) waitingJobs() []waiting {
+func (s *Set) waitingJobs() []waitingJob {
 	now, b := time.Now(), s.deps.Bundle()
-	var jobs []waiting
-	for _, sh := range s.all() {
-		jobs = append(jobs, sh.waiting(now, b)...)
+	var jobs []waitingJob
+	for _, sh := range s.ownedShards() {
+		jobs = append(jobs, sh.waitingJobs(now, b)...)
 	}
-	slices.SortFunc(jobs, func(a, b waiting) int { return cmp.Compare(a.job, b.job) })
+	slices.SortFunc(jobs, func(a, b waitingJob) int { return cmp.Compare(a.job, b.job) })
 	return jobs
 }
 
-func (s *Set) newRound(jobs []waiting) round {
+func (s *Set) newRound(jobs []waitingJob) round {
 	r := round{bundle: s.deps.Bundle(), pools: s.deps.Load.Pools(), jobs: jobs}
 	known := 0
 	for _, p := range r.pools {
@@ -134,57 +134,57 @@
 			known++
 		}
 	}
-	r.whole = known == s.opts.WorkerShards
+	r.allPoolsKnown = known == s.opts.WorkerShards
 	for _, t := range r.bundle.Teams {
 		r.teams = append(r.teams, policy.Team{Name: t.Name, Weight: t.Weight, Quota: t.Quota})
 	}
 	for _, u := range s.deps.Load.Teams() {
-		if i := r.team(u.Team); i >= 0 {
+		if i := r.teamIndex(u.Team); i >= 0 {
 			r.teams[i].Used = r.teams[i].Used.Add(u.Used)
 		}
 	}
 	return r
 }
 
-func (r *round) team(name string) int {
+func (r *round) teamIndex(name string) int {
 	return slices.IndexFunc(r.teams, func(t policy.Team) bool { return t.Name == name })
 }
 
-// items describes the waiting jobs to the policy.
-func (r *round) items() []policy.WaitingJob {
+// policyJobs describes the waiting jobs to the policy.
+func (r *round) policyJobs() []policy.WaitingJob {
 	items := make([]policy.WaitingJob, len(r.jobs))
 	for i, w := range r.jobs {
 		class, _ := r.bundle.Class(w.spec.Class)
 		items[i] = policy.WaitingJob{
-			TeamIndex: r.teamOrAdd(w.spec.Team), Priority: class.Priority, Deadline: w.spec.Deadline,
+			TeamIndex: r.teamIndexOrAdd(w.spec.Team), Priority: class.Priority, Deadline: w.spec.Deadline,
 			RunTime: time.Duration(w.spec.RunMS) * time.Millisecond, TaskSize: w.spec.Size, Demand: w.spec.Size.Times(int64(len(w.specs))),
 		}
 	}
 	return items
 }
 
-// teamOrAdd returns a team's index; a team that left the bundle counts with the least weight.
-func (r *round) teamOrAdd(name string) int {
-	if i := r.team(name); i >= 0 {
+// teamIndexOrAdd returns a team's index; a team that left the bundle counts with the least weight.
+func (r *round) teamIndexOrAdd(name string) int {
+	if i := r.teamIndex(name); i >= 0 {
 		return i
 	}
 	r.teams = append(r.teams, policy.Team{Name: name})
 	return len(r.teams) - 1
 }
 
-// waiting returns the shard's jobs with tasks that may be placed now.
-func (sh *Shard) waiting(now time.Time, b *bundle.Bundle) []waiting {
+// waitingJobs returns the shard's jobs with tasks that may be placed now.
+func (sh *Shard) waitingJobs(now time.Time, b *bundle.Bundle) []waitingJob {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	var list []waiting
+	var list []waitingJob
 	for id, j := range sh.state.Jobs {
 		if j.counts.Waiting == 0 || j.Cancelled || j.Restarting {
 			continue
 		}
 		class, _ := b.Class(j.Spec.Class)
-		w := waiting{shard: sh, job: id, spec: j.Spec, whole: j.Spec.Kind == api.KindAllAtOnce, untried: j.untried()}
-		w.specs = j.ready(now, class)
-		if len(w.specs) == 0 || (w.whole && len(w.specs) < len(j.Tasks)) {
+		w := waitingJob{shard: sh, job: id, spec: j.Spec, allAtOnce: j.Spec.Kind == api.KindAllAtOnce, neverPlaced: j.neverPlaced()}
+		w.specs = j.readySpecs(now, class)
+		if len(w.specs) == 0 || (w.allAtOnce && len(w.specs) < len(j.Tasks)) {
 			continue
 		}
 		list = append(list, w)
@@ -192,11 +192,11 @@
 	return list
 }
 
-// ready returns the specs of the tasks that may be placed now.
-func (j *Job) ready(now time.Time, class bundle.Class) []worker.Spec {
-	most := maxPerRound
+// readySpecs returns the specs of the tasks that may be placed now.
+func (j *Job) readySpecs(now time.Time, class bundle.Class) []worker.Spec {
+	limit := maxTasksPerRound
 	if j.Spec.Kind == api.KindAllAtOnce {
-		most = len(j.Tasks)
+		limit = len(j.Tasks)
 	}
 	var specs []worker.Spec
 	for i := range j.Tasks {
@@ -210,60 +210,60 @@
 			Service: j.Spec.Service, Slots: j.Spec.Slots, GraceMS: class.GraceMS,
 			Priority: class.Priority, Preemptible: class.Preemptible && !j.Spec.AtMostOnce && j.Spec.Kind != api.KindAllAtOnce,
 		})
-		if len(specs) == most {
+		if len(specs) == limit {
 			break
 		}
 	}
 	return specs
 }
 
-func (sh *Shard) setWaits(job string, note waitNote) {
+func (sh *Shard) setWaitStatus(job string, note waitStatus) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if note.why == "" {
-		delete(sh.waits, job)
+	if note.reason == "" {
+		delete(sh.waitStatuses, job)
 		return
 	}
-	sh.waits[job] = note
+	sh.waitStatuses[job] = note
 }
 
-// place reserves room for a job's tasks and journals the places; the starts follow.
+// placeJob reserves room for a job's tasks and journals the places; the starts follow.
 // It returns why tasks still wait, or "".
-func (s *Set) place(ctx context.Context, r *round, w *waiting) (string, error) {
+func (s *Set) placeJob(ctx context.Context, r *round, w *waitingJob) (string, error) {
 	if r.neverFits(w) {
-		why := "no worker of the cell has as much as a task needs"
-		_, err := w.shard.append(Record{Reject: &Reject{Job: w.job, Reason: why, At: time.Now().UTC()}})
-		return why, err
+		reason := "no worker of the cell has as much as a task needs"
+		_, err := w.shard.appendRecords(Record{Reject: &Reject{Job: w.job, Reason: reason, At: time.Now().UTC()}})
+		return reason, err
 	}
-	if why := r.overLimit(w); why != "" {
-		return why, nil
+	if reason := r.overLimit(w); reason != "" {
+		return reason, nil
 	}
 	places, err := s.reserve(ctx, r, w)
-	short := len(w.specs) - len(places)
-	if short > 0 && (w.whole || len(places) == 0) {
-		s.letGo(ctx, places)
+	unplaced := len(w.specs) - len(places)
+	if unplaced > 0 && (w.allAtOnce || len(places) == 0) {
+		s.cancelReservations(ctx, places)
 		return fmt.Sprintf("no room: %d of %d tasks fit now", len(places), len(w.specs)), err
 	}
 	places = w.shard.stillWaiting(places)
 	if len(places) == 0 {
 		return "", nil
 	}
-	kept, err := w.shard.append(Record{Place: &Place{Placements: places}})
+	pending, err := w.shard.appendRecords(Record{Place: &Place{Placements: places}})
 	if err != nil {
-		s.letGo(ctx, places)
+		s.cancelReservations(ctx, places)
 		return "the store does not take writes", err
 	}
-	r.placed = append(r.placed, placed{w.shard, places, kept})
-	if short > 0 {
-		return fmt.Sprintf("no room: %d tasks still wait", short), nil
+	r.pendingStarts = append(r.pendingStarts, pendingStart{w.shard, places, pending})
+	if unplaced > 0 {
+		return fmt.Sprintf("no room: %d tasks still wait", unplaced), nil
 	}
 	return "", nil
 }
 
 // neverFits reports whether every worker of the cell is known and none could
 // hold a task of the job, empty as it may be.
-func (r *round) neverFits(w *waiting) bool {
-	if !r.whole || !w.untried {
+func (r *round) neverFits(w *waitingJob) bool {
+	if !r.allPoolsKnown || !w.neverPlaced {
 		return false
 	}
 	known := false
@@ -279,14 +279,14 @@
 }
 
 // overLimit tells whether the job's next tasks would take its team over its limit.
-func (r *round) overLimit(w *waiting) string {
+func (r *round) overLimit(w *waitingJob) string {
 	t, ok := r.bundle.Team(w.spec.Team)
 	if !ok {
 		return "team " + w.spec.Team + " is not in the bundle"
 	}
-	used := r.teams[r.team(w.spec.Team)].Used
+	used := r.teams[r.teamIndex(w.spec.Team)].Used
 	n := int64(1)
-	if w.whole {
+	if w.allAtOnce {
 		n = int64(len(w.specs))
 	}
 	if exceeds(used.Add(w.spec.Size.Times(n)), t.Limit) {
@@ -302,17 +302,17 @@
 }
 
 // reserve asks worker shards for room until the job's tasks have it or no shard is left.
-func (s *Set) reserve(ctx context.Context, r *round, w *waiting) ([]peer.Placement, error) {
-	places, rest, err := s.reserveIn(ctx, r, w, r.poolOrder(w), w.specs, false)
-	if len(rest) == 0 || w.whole || !r.urgent(w) {
+func (s *Set) reserve(ctx context.Context, r *round, w *waitingJob) ([]peer.Placement, error) {
+	places, rest, err := s.reserveFrom(ctx, r, w, r.poolOrder(w), w.specs, false)
+	if len(rest) == 0 || w.allAtOnce || !r.mayPreempt(w) {
 		return places, err
 	}
-	more, _, perr := s.reserveIn(ctx, r, w, r.allPools(), rest, true)
-	return append(places, more...), cmp.Or(err, perr)
+	preempted, _, preemptErr := s.reserveFrom(ctx, r, w, r.allPools(), rest, true)
+	return append(places, preempted...), cmp.Or(err, preemptErr)
 }
 
-// urgent reports whether a job's class may take room from preemptible ones.
-func (r *round) urgent(w *waiting) bool {
+// mayPreempt reports whether a job's class may take room from preemptible ones.
+func (r *round) mayPreempt(w *waitingJob) bool {
 	class, _ := r.bundle.Class(w.spec.Class)
 	return slices.ContainsFunc(r.bundle.Classes, func(c bundle.Class) bool {
 		return c.Preemptible && c.Priority < class.Priority
@@ -330,25 +330,25 @@
 	return all
 }
 
-// reserveIn asks worker shards in order, and returns what is still without a place.
-func (s *Set) reserveIn(
-	ctx context.Context, r *round, w *waiting, order []int, rest []worker.Spec, preempt bool,
+// reserveFrom asks worker shards in order, and returns what is still without a place.
+func (s *Set) reserveFrom(
+	ctx context.Context, r *round, w *waitingJob, order []int, specs []worker.Spec, preempt bool,
 ) ([]peer.Placement, []worker.Spec, error) {
 	var places []peer.Placement
 	var firstErr error
 	for n, i := range order {
-		if len(rest) == 0 {
+		if len(specs) == 0 {
 			break
 		}
-		ask := rest
+		batch := specs
 		if w.spec.Kind == api.KindService {
 			left := len(order) - n
-			ask = rest[:(len(rest)+left-1)/left]
+			batch = specs[:(len(specs)+left-1)/left]
 		}
 		rctx, span := tracer().Start(ctx, "reserve", trace.WithAttributes(
-			attribute.String("job", w.job), attribute.String("shard", r.pools[i].Shard), attribute.Int("tasks", len(ask))))
+			attribute.String("job", w.job), attribute.String("shard", r.pools[i].Shard), attribute.Int("tasks", len(batch))))
 		reply, err := s.deps.Pools.Reserve(rctx, peer.ReserveRequest{
-			Shard: r.pools[i].Shard, Specs: ask, Spread: w.spec.Kind == api.KindService, Preempt: preempt,
+			Shard: r.pools[i].Shard, Specs: batch, Spread: w.spec.Kind == api.KindService, Preempt: preempt,
 		})
 		span.End()
 		if err != nil {
@@ -356,24 +356,24 @@
 			continue
 		}
 		places = append(places, reply.Placements...)
-		rest = without(rest, reply.Placements)
-		r.took(i, w, len(reply.Placements), len(ask))
+		specs = unplacedSpecs(specs, reply.Placements)
+		r.recordReserved(i, w, len(reply.Placements), len(batch))
 	}
-	return places, rest, firstErr
+	return places, specs, firstErr
 }
 
 // poolOrder returns the worker shards that may have room, best first.
-func (r *round) poolOrder(w *waiting) []int {
+func (r *round) poolOrder(w *waitingJob) []int {
 	var order []int
 	for i, p := range r.pools {
 		if p.Workers > 0 && p.Largest.Fits(w.spec.Size) {
 			order = append(order, i)
 		}
 	}
-	fullFirst := w.spec.Kind != api.KindService && r.bundle.Placement.Packing > r.bundle.Placement.Waiting
+	fullestFirst := w.spec.Kind != api.KindService && r.bundle.Placement.Packing > r.bundle.Placement.Waiting
 	slices.SortStableFunc(order, func(a, b int) int {
 		x, y := r.pools[a].Free.DominantShare(r.pools[a].Capacity), r.pools[b].Free.DominantShare(r.pools[b].Capacity)
-		if fullFirst {
+		if fullestFirst {
 			return cmp.Compare(x, y)
 		}
 		return cmp.Compare(y, x)
@@ -381,20 +381,20 @@
 	return order
 }
 
-// took brings the round's view of a worker shard and a team up to date.
-func (r *round) took(i int, w *waiting, n, asked int) {
-	used := w.spec.Size.Times(int64(n))
+// recordReserved brings the round's view of a worker shard and a team up to date.
+func (r *round) recordReserved(i int, w *waitingJob, granted, requested int) {
+	used := w.spec.Size.Times(int64(granted))
 	r.pools[i].Free = r.pools[i].Free.Sub(used)
-	if n < asked {
+	if granted < requested {
 		// It gave all it had for this size; the next summary tells more.
 		r.pools[i].Largest = resource.Amount{}
 	}
-	if t := r.team(w.spec.Team); t >= 0 {
+	if t := r.teamIndex(w.spec.Team); t >= 0 {
 		r.teams[t].Used = r.teams[t].Used.Add(used)
 	}
 }
 
-func without(specs []worker.Spec, places []peer.Placement) []worker.Spec {
+func unplacedSpecs(specs []worker.Spec, places []peer.Placement) []worker.Spec {
 	placed := make(map[worker.Attempt]bool, len(places))
 	for _, p := range places {
 		placed[p.Attempt] = true
@@ -408,30 +408,30 @@
 	return rest
 }
 
-// wanted leaves out the places of tasks that must not be started any more.
-func (sh *Shard) wanted(places []peer.Placement) []peer.Placement {
+// startable leaves out the places of tasks that must not be started any more.
+func (sh *Shard) startable(places []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	var wanted []peer.Placement
+	var started []peer.Placement
 	for _, p := range places {
 		if j, t := sh.state.task(p.Attempt); t != nil && t.Attempt == p.Attempt.N && t.State.Active() && !j.mustStop() {
-			wanted = append(wanted, p)
+			started = append(started, p)
 		}
 	}
-	return wanted
+	return started
 }
 
 // stillWaiting leaves out the places of tasks that were cancelled meanwhile.
 func (sh *Shard) stillWaiting(places []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	var still []peer.Placement
+	var waiting []peer.Placement
 	for _, p := range places {
 		if j, t := sh.state.task(p.Attempt); t != nil && t.State == api.TaskWaiting && !j.Cancelled {
-			still = append(still, p)
+			waiting = append(waiting, p)
 		}
 	}
-	return still
+	return waiting
 }
 
 // byPool groups placements by worker shard.
@@ -451,7 +451,7 @@
 // eachPool calls fn for the placements of each worker shard, several at once.
 func eachPool(places []peer.Placement, fn func(shard string, places []peer.Placement)) {
 	var g errgroup.Group
-	g.SetLimit(poolsAtOnce)
+	g.SetLimit(maxConcurrentPools)
 	for _, group := range byPool(places) {
 		g.Go(func() error {
 			fn(group[0].Shard, group)
@@ -461,8 +461,8 @@
 	_ = g.Wait()
 }
 
-// letGo gives up reservations; what is not reached runs out by itself.
-func (s *Set) letGo(ctx context.Context, places []peer.Placement) {
+// cancelReservations gives up reservations; what is not reached runs out by itself.
+func (s *Set) cancelReservations(ctx context.Context, places []peer.Placement) {
 	eachPool(places, func(shard string, places []peer.Placement) {
 		_, _ = s.deps.Pools.CancelReservations(ctx, peer.StopRequest{Shard: shard, Placements: places})
 	})
@@ -470,8 +470,8 @@
 
 // confirm starts placed tasks, or learns what became of them.
 func (s *Set) confirm(ctx context.Context, sh *Shard, places []peer.Placement) {
-	places = sh.wanted(places)
-	sh.noteAsked(places, time.Now())
+	places = sh.startable(places)
+	sh.recordAsked(places, time.Now())
 	eachPool(places, func(shard string, places []peer.Placement) {
 		ctx, span := tracer().Start(ctx, "start", trace.WithAttributes(
 			attribute.String("shard", shard), attribute.Int("tasks", len(places))))
@@ -481,18 +481,18 @@
 			// Asked again by reconcile.
 			return
 		}
-		s.learn(ctx, sh, places, reply)
+		s.applyConfirmReply(ctx, sh, places, reply)
 	})
 }
 
-// learn journals what the owner of a worker shard says of tasks that it does not run.
-func (s *Set) learn(ctx context.Context, sh *Shard, places []peer.Placement, reply peer.ConfirmReply) {
+// applyConfirmReply journals what the owner of a worker shard says of tasks that it does not run.
+func (s *Set) applyConfirmReply(ctx context.Context, sh *Shard, places []peer.Placement, reply peer.ConfirmReply) {
 	workers := make(map[worker.Attempt]string, len(places))
 	for _, p := range places {
 		workers[p.Attempt] = p.Worker
 	}
 	var evs []peer.Event
-	sh.noteAnswered(reply.Items)
+	sh.recordConfirmed(reply.Items)
 	for _, c := range reply.Items {
 		ev := peer.Event{Attempt: c.Attempt, Worker: workers[c.Attempt]}
 		switch c.State {
@@ -508,7 +508,7 @@
 	if len(evs) == 0 {
 		return
 	}
-	if err := sh.takeEvents(ctx, evs); err != nil {
+	if err := sh.applyEvents(ctx, evs); err != nil {
 		s.log.Warn("events not kept", events.ReportNotApplied, zap.Error(err))
 	}
 	s.Wake()
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -78,10 +78,10 @@
 	shards map[shard.Key]*Shard
 	// verify holds the worker shards whose owner has changed: the tasks there are asked about.
 	verify map[string]bool
-	// changed is set by what may leave tasks to be stopped, and scanned is when
+	// scanNeeded is set by what may leave tasks to be stopped, and scanned is when
 	// the tasks were last looked through.
-	changed bool
-	scanned time.Time
+	scanNeeded bool
+	lastScan   time.Time
 }
 
 // NewSet returns a Set that holds no shard.
@@ -102,7 +102,7 @@
 	}
 	s.mu.Lock()
 	s.shards[g.Key] = sh
-	s.changed = true
+	s.scanNeeded = true
 	s.mu.Unlock()
 	s.Wake()
 	return nil
@@ -116,9 +116,9 @@
 	}
 	s.Drop(key)
 	sh.mu.Lock()
-	last := sh.last
+	pending := sh.lastAppend
 	sh.mu.Unlock()
-	_ = waitFor(ctx, last)
+	_ = waitDurable(ctx, pending)
 }
 
 // Drop forgets a shard.
@@ -135,8 +135,8 @@
 	return sh, ok
 }
 
-// owned returns a shard that this node certainly owns.
-func (s *Set) owned(op, key string) (*Shard, error) {
+// ownedShard returns a shard that this node certainly owns.
+func (s *Set) ownedShard(op, key string) (*Shard, error) {
 	sh, ok := s.get(key)
 	switch {
 	case !ok:
@@ -150,8 +150,8 @@
 	return nil, &Error{op, KindNotOwner, errors.New(key)}
 }
 
-// all returns the shards that this node certainly owns.
-func (s *Set) all() []*Shard {
+// ownedShards returns the shards that this node certainly owns.
+func (s *Set) ownedShards() []*Shard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []*Shard
@@ -176,14 +176,14 @@
 func (s *Set) WorkerShardOwnerChanged(key shard.Key) {
 	s.mu.Lock()
 	s.verify[string(key)] = true
-	s.changed = true
+	s.scanNeeded = true
 	s.mu.Unlock()
 	s.Wake()
 }
 
 // Create takes a workload in.
 func (s *Set) Create(ctx context.Context, key string, w api.Workload) (api.Status, error) {
-	sh, err := s.owned("create", key)
+	sh, err := s.ownedShard("create", key)
 	if err != nil {
 		return api.Status{}, err
 	}
@@ -196,7 +196,7 @@
 
 // Get returns a workload once its revision is above since, or ctx ends.
 func (s *Set) Get(ctx context.Context, key, id string, since int64, tasks bool) (api.Status, error) {
-	sh, err := s.owned("get", key)
+	sh, err := s.ownedShard("get", key)
 	if err != nil {
 		return api.Status{}, err
 	}
@@ -206,7 +206,7 @@
 // List returns the workloads of a team, or all, that this node holds.
 func (s *Set) List(team string) []api.Status {
 	var list []api.Status
-	for _, sh := range s.all() {
+	for _, sh := range s.ownedShards() {
 		list = append(list, sh.list(team)...)
 	}
 	return list
@@ -214,14 +214,14 @@
 
 // Cancel ends a workload: what waits is cancelled, and what runs is told to stop.
 func (s *Set) Cancel(ctx context.Context, key, id string) (api.Status, error) {
-	sh, err := s.owned("cancel", key)
+	sh, err := s.ownedShard("cancel", key)
 	if err != nil {
 		return api.Status{}, err
 	}
 	st, err := sh.cancel(ctx, id)
 	if err == nil {
 		// The answer goes out behind the stops, so that nothing starts after it.
-		s.halt(ctx, sh, sh.active(id))
+		s.stopTasks(ctx, sh, sh.stopActive(id))
 	}
 	s.Wake()
 	return st, err
@@ -229,30 +229,30 @@
 
 // Events journals what happened to tasks; nil means that all of it is kept.
 func (s *Set) Events(ctx context.Context, req peer.EventsRequest) error {
-	sh, err := s.owned("events", req.Shard)
+	sh, err := s.ownedShard("events", req.Shard)
 	if err != nil {
 		return err
 	}
-	if err := sh.takeEvents(ctx, req.Events); err != nil {
+	if err := sh.applyEvents(ctx, req.Events); err != nil {
 		return err
 	}
-	s.noteChanged()
+	s.requestScan()
 	s.Wake()
 	return nil
 }
 
-// noteChanged makes the next round look through the tasks.
-func (s *Set) noteChanged() {
+// requestScan makes the next round look through the tasks.
+func (s *Set) requestScan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = true
+	s.scanNeeded = true
 }
 
 // Run schedules until ctx ends.
 func (s *Set) Run(ctx context.Context) error {
 	t := time.NewTicker(s.opts.RoundInterval)
 	defer t.Stop()
-	var forgot time.Time
+	var lastForget time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -262,13 +262,13 @@
 		}
 		s.schedule(ctx)
 		s.reconcile(ctx)
-		for _, sh := range s.all() {
+		for _, sh := range s.ownedShards() {
 			sh.maybeSnapshot(ctx)
 		}
-		if now := time.Now(); now.Sub(forgot) > s.opts.Retention/16 {
-			forgot = now
-			for _, sh := range s.all() {
-				sh.forgetOld(now)
+		if now := time.Now(); now.Sub(lastForget) > s.opts.Retention/16 {
+			lastForget = now
+			for _, sh := range s.ownedShards() {
+				sh.forgetExpired(now)
 			}
 		}
 	}
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -64,10 +64,10 @@
 	return ""
 }
 
-// waitNote is why a job's tasks wait, and which jobs go first.
-type waitNote struct {
-	why   string
-	ahead []string
+// waitStatus is why a job's tasks wait, and which jobs go first.
+type waitStatus struct {
+	reason string
+	ahead  []string
 }
 
 // Shard is one job shard under one epoch.
@@ -80,14 +80,14 @@
 
 	mu    sync.Mutex
 	state *State
-	// last is the newest append; what was read under the lock is kept once it is.
-	last *journal.Pending
+	// lastAppend is the newest append; what was read under the lock is kept once it is.
+	lastAppend *journal.Pending
 	// changed is closed and replaced at each change of the state.
 	changed chan struct{}
-	// waits holds, by job, why its tasks wait as the scheduler last saw it.
-	waits map[string]waitNote
-	// snapping is set while a snapshot is being stored.
-	snapping bool
+	// waitStatuses holds, by job, why its tasks wait as the scheduler last saw it.
+	waitStatuses map[string]waitStatus
+	// snapshotting is set while a snapshot is being stored.
+	snapshotting bool
 }
 
 func openShard(ctx context.Context, g shard.Grant, c *journal.Committer, opts Options, log *zap.Logger) (*Shard, error) {
@@ -101,9 +101,9 @@
 	}
 	return &Shard{
 		grant: g, journal: c, stream: stream, opts: opts, state: st,
-		log:     log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
-		changed: make(chan struct{}),
-		waits:   make(map[string]waitNote),
+		log:          log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
+		changed:      make(chan struct{}),
+		waitStatuses: make(map[string]waitStatus),
 	}, nil
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		return &Error{"write", KindNotOwner, err}
 	}
-	sh.last = p
+	sh.lastAppend = p
 	for _, r := range recs {
 		sh.state.Apply(r)
 	}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// waitFor waits until an append is kept.
-func waitFor(ctx context.Context, p *journal.Pending) error {
+// waitDurable waits until an append is kept.
+func waitDurable(ctx context.Context, p *journal.Pending) error {
 	if p == nil {
 		return nil
 	}
@@ -150,12 +150,12 @@
 	return nil
 }
 
-// append journals records and applies them, without waiting.
-func (sh *Shard) append(recs ...Record) (*journal.Pending, error) {
+// appendRecords journals records and applies them, without waiting.
+func (sh *Shard) appendRecords(recs ...Record) (*journal.Pending, error) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	err := sh.writeLocked(recs...)
-	return sh.last, err
+	return sh.lastAppend, err
 }
 
 // create takes a workload in; the same workload again changes nothing.
@@ -163,12 +163,12 @@
 	sh.mu.Lock()
 	if j, ok := sh.state.Jobs[w.ID]; ok {
 		same := reflect.DeepEqual(canonical(j.Spec), canonical(w))
-		st, last := j.Status(false), sh.last
+		st, last := j.Status(false), sh.lastAppend
 		sh.mu.Unlock()
 		if !same {
 			return api.Status{}, &Error{"create", KindConflict, errors.Errorf("another workload is named %s", w.ID)}
 		}
-		return st, waitFor(ctx, last)
+		return st, waitDurable(ctx, last)
 	}
 	if len(sh.state.Jobs) >= sh.opts.MaxJobs {
 		sh.mu.Unlock()
@@ -179,12 +179,12 @@
 	if err == nil {
 		st = sh.state.Jobs[w.ID].Status(false)
 	}
-	last := sh.last
+	last := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return api.Status{}, err
 	}
-	return st, waitFor(ctx, last)
+	return st, waitDurable(ctx, last)
 }
 
 // canonical returns w in the form in which two spellings of it compare equal.
@@ -198,16 +198,16 @@
 	for {
 		sh.mu.Lock()
 		j, ok := sh.state.Jobs[id]
-		changed, last := sh.changed, sh.last
+		changed, last := sh.changed, sh.lastAppend
 		if !ok {
 			sh.mu.Unlock()
 			return api.Status{}, &Error{"get", KindNotFound, errors.New(id)}
 		}
 		st := j.Status(tasks)
-		st.Waits, st.Ahead = sh.waits[id].why, sh.waits[id].ahead
+		st.Waits, st.Ahead = sh.waitStatuses[id].reason, sh.waitStatuses[id].ahead
 		sh.mu.Unlock()
 		if st.Revision > since || ctx.Err() != nil {
-			return st, waitBriefly(ctx, last)
+			return st, waitDurableBriefly(ctx, last)
 		}
 		select {
 		case <-changed:
@@ -217,13 +217,13 @@
 	}
 }
 
-// waitBriefly keeps a read from showing what is not kept yet, except in a store outage.
-func waitBriefly(ctx context.Context, p *journal.Pending) error {
-	const briefly = 500 * time.Millisecond
+// waitDurableBriefly keeps a read from showing what is not kept yet, except in a store outage.
+func waitDurableBriefly(ctx context.Context, p *journal.Pending) error {
+	const maxWait = 500 * time.Millisecond
 	if p == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, briefly)
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	_ = p.Wait(ctx)
 	return nil
@@ -236,7 +236,7 @@
 	for id, j := range sh.state.Jobs {
 		if team == "" || j.Spec.Team == team {
 			st := j.Status(false)
-			st.Waits = sh.waits[id].why
+			st.Waits = sh.waitStatuses[id].reason
 			list = append(list, st)
 		}
 	}
@@ -255,16 +255,16 @@
 	if !j.Cancelled && !j.State.Final() {
 		err = sh.writeLocked(Record{Cancel: &Cancel{Job: id, At: time.Now().UTC()}})
 	}
-	st, last := j.Status(false), sh.last
+	st, last := j.Status(false), sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return api.Status{}, err
 	}
-	return st, waitFor(ctx, last)
+	return st, waitDurable(ctx, last)
 }
 
-// takeEvents journals what happened to tasks; nil means that all of it is kept.
-func (sh *Shard) takeEvents(ctx context.Context, evs []peer.Event) error {
+// applyEvents journals what happened to tasks; nil means that all of it is kept.
+func (sh *Shard) applyEvents(ctx context.Context, evs []peer.Event) error {
 	now := time.Now().UTC()
 	sh.mu.Lock()
 	var err error
@@ -275,18 +275,18 @@
 		if err = sh.writeLocked(Record{Event: &Event{Event: ev, At: now}}); err != nil {
 			break
 		}
-		sh.note(ev)
+		sh.logEvent(ev)
 	}
-	last := sh.last
+	last := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return waitFor(ctx, last)
+	return waitDurable(ctx, last)
 }
 
-// note logs what an operator should know of an event.
-func (sh *Shard) note(ev peer.Event) {
+// logEvent logs what an operator should know of an event.
+func (sh *Shard) logEvent(ev peer.Event) {
 	j, t := sh.state.task(ev.Attempt)
 	if t == nil {
 		return
@@ -305,13 +305,13 @@
 		return
 	}
 	sh.mu.Lock()
-	if sh.snapping || sh.last == nil || sh.journal.Down() {
+	if sh.snapshotting || sh.lastAppend == nil || sh.journal.Down() {
 		sh.mu.Unlock()
 		return
 	}
-	sh.snapping = true
+	sh.snapshotting = true
 	data, err := json.Marshal(sh.state)
-	last := sh.last
+	last := sh.lastAppend
 	sh.mu.Unlock()
 	if err == nil {
 		err = sh.journal.Snapshot(ctx, sh.stream, data, last)
@@ -320,23 +320,23 @@
 		sh.log.Warn("snapshot not stored", events.SnapshotNotStored, zap.Error(err))
 	}
 	sh.mu.Lock()
-	sh.snapping = false
+	sh.snapshotting = false
 	sh.mu.Unlock()
 }
 
-// forgetOld drops workloads that ended long ago and keys whose window is over.
-func (sh *Shard) forgetOld(now time.Time) {
-	const most = 500
+// forgetExpired drops workloads that ended long ago and keys whose window is over.
+func (sh *Shard) forgetExpired(now time.Time) {
+	const maxForgotten = 500
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	var f Forget
 	for id, j := range sh.state.Jobs {
-		if j.State.Final() && now.Sub(j.Ended) > sh.opts.Retention && len(f.Jobs) < most {
+		if j.State.Final() && now.Sub(j.Ended) > sh.opts.Retention && len(f.Jobs) < maxForgotten {
 			f.Jobs = append(f.Jobs, id)
 		}
 	}
 	for id, k := range sh.state.Keys {
-		if now.After(k.RetainUntil) && now.After(k.PendingUntil) && len(f.Keys) < most {
+		if now.After(k.RetainUntil) && now.After(k.PendingUntil) && len(f.Keys) < maxForgotten {
 			f.Keys = append(f.Keys, id)
 		}
 	}
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	backoffFirst = 200 * time.Millisecond
-	backoffMost  = time.Minute
-	voidWait     = 50 * time.Millisecond
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = time.Minute
+	voidRetryDelay = 50 * time.Millisecond
 )
 
 // Record is one change of a shard's state; exactly one member is set.
@@ -107,12 +107,12 @@
 	NotBefore time.Time      `json:"not_before,omitzero"`
 	// FailedOn are the workers on which the task failed.
 	FailedOn []string `json:"failed_on,omitempty"`
-	// asked is when the owner of its worker shard was last asked about it.
-	asked time.Time
-	// halted is set once the task was told to stop.
-	halted bool
-	// doubt is set while the owner of the task's worker shard has not said that it knows it.
-	doubt bool
+	// lastAsked is when the owner of its worker shard was last lastAsked about it.
+	lastAsked time.Time
+	// stopSent is set once the task was told to stop.
+	stopSent bool
+	// unconfirmed is set while the owner of the task's worker shard has not said that it knows it.
+	unconfirmed bool
 }
 
 // State is the state of one shard.
@@ -151,25 +151,25 @@
 func (s *State) Apply(r Record) {
 	switch {
 	case r.Admit != nil:
-		s.admit(r.Admit)
+		s.applyAdmit(r.Admit)
 	case r.Place != nil:
-		s.place(r.Place)
+		s.applyPlace(r.Place)
 	case r.Event != nil:
-		s.event(r.Event)
+		s.applyEvent(r.Event)
 	case r.Cancel != nil:
-		s.cancel(r.Cancel)
+		s.applyCancel(r.Cancel)
 	case r.Reject != nil:
-		s.reject(r.Reject)
+		s.applyReject(r.Reject)
 	case r.Forget != nil:
-		s.forget(r.Forget)
+		s.applyForget(r.Forget)
 	case r.Intent != nil:
-		s.intent(r.Intent)
+		s.applyIntent(r.Intent)
 	case r.Finish != nil:
-		s.finish(r.Finish)
+		s.applyFinish(r.Finish)
 	}
 }
 
-func (s *State) admit(r *Admit) {
+func (s *State) applyAdmit(r *Admit) {
 	j := &Job{Spec: r.Workload, State: api.JobWaiting, Submitted: r.At, Tasks: make([]Task, r.Workload.Tasks)}
 	for i := range j.Tasks {
 		j.Tasks[i].State = api.TaskWaiting
@@ -179,14 +179,14 @@
 	s.Jobs[j.Spec.ID] = j
 }
 
-func (s *State) place(r *Place) {
+func (s *State) applyPlace(r *Place) {
 	for _, pl := range r.Placements {
 		j, t := s.task(pl.Attempt)
 		if t == nil || t.State != api.TaskWaiting {
 			continue
 		}
-		t.Attempt, t.Placement, t.Address, t.halted = pl.Attempt.N, pl, "", false
-		j.set(t, api.TaskPlaced, "")
+		t.Attempt, t.Placement, t.Address, t.stopSent = pl.Attempt.N, pl, "", false
+		j.setTaskState(t, api.TaskPlaced, "")
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-func (s *State) event(r *Event) {
+func (s *State) applyEvent(r *Event) {
 	ev := r.Event
 	if !s.Accepts(ev) {
 		return
@@ -226,90 +226,90 @@
 	switch ev.Kind {
 	case peer.EventStarted:
 		t.Address = ev.Address
-		j.set(t, api.TaskRunning, "")
+		j.setTaskState(t, api.TaskRunning, "")
 	case peer.EventVoid:
 		// Others of an all-at-once job may run or have ended without this one.
 		j.Restarting = j.Spec.Kind == api.KindAllAtOnce
-		j.again(t, ev.Attempt, r.At.Add(voidWait), ev.Reason)
+		j.requeue(t, ev.Attempt, r.At.Add(voidRetryDelay), ev.Reason)
 	case peer.EventLost:
-		j.lost(t, ev, r.At)
+		j.taskLost(t, ev, r.At)
 	case peer.EventEnded:
-		j.ended(t, ev, r.At)
+		j.taskEnded(t, ev, r.At)
 	}
-	j.settle(r.At)
+	j.updateState(r.At)
 }
 
-func (j *Job) ended(t *Task, ev peer.Event, at time.Time) {
+func (j *Job) taskEnded(t *Task, ev peer.Event, at time.Time) {
 	switch {
 	case ev.Result == worker.ResultLapsed:
-		j.lost(t, ev, at)
+		j.taskLost(t, ev, at)
 	case ev.Result == worker.ResultStopped:
-		j.stopped(t, ev, at)
+		j.taskStopped(t, ev, at)
 	case ev.Result == worker.ResultDone && j.Spec.Kind != api.KindService:
-		j.set(t, api.TaskDone, "")
+		j.setTaskState(t, api.TaskDone, "")
 	default:
-		j.failed(t, ev, at)
+		j.taskFailed(t, ev, at)
 	}
 }
 
-// stopped handles a task that its worker stopped: by a cancel, or to be run again.
-func (j *Job) stopped(t *Task, ev peer.Event, at time.Time) {
+// taskStopped handles a task that its worker taskStopped: by a cancel, or to be run again.
+func (j *Job) taskStopped(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.AtMostOnce && !j.Cancelled {
-		j.set(t, api.TaskUnknown, reason("stopped", ev))
+		j.setTaskState(t, api.TaskUnknown, eventReason("stopped", ev))
 		return
 	}
-	j.again(t, ev.Attempt, at, ev.Reason)
+	j.requeue(t, ev.Attempt, at, ev.Reason)
 }
 
-// lost handles a task that ended without its end being known.
-func (j *Job) lost(t *Task, ev peer.Event, at time.Time) {
+// taskLost handles a task that ended without its end being known.
+func (j *Job) taskLost(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.AtMostOnce {
-		j.set(t, api.TaskUnknown, reason("lost", ev))
+		j.setTaskState(t, api.TaskUnknown, eventReason("lost", ev))
 		return
 	}
-	j.restart(t, ev, at)
+	j.retryTask(t, ev, at)
 }
 
-func (j *Job) failed(t *Task, ev peer.Event, at time.Time) {
+func (j *Job) taskFailed(t *Task, ev peer.Event, at time.Time) {
 	t.Failures++
-	t.FailedOn = appendNew(t.FailedOn, ev.Worker)
+	t.FailedOn = appendUnique(t.FailedOn, ev.Worker)
 	if t.Failures >= j.Spec.MaxAttempts && j.Spec.Kind != api.KindService {
-		j.set(t, api.TaskFailed, fmt.Sprintf("failed %d times, on %v: %s", t.Failures, t.FailedOn, ev.Reason))
+		j.setTaskState(t, api.TaskFailed, fmt.Sprintf("failed %d times, on %v: %s", t.Failures, t.FailedOn, ev.Reason))
 		return
 	}
-	j.restart(t, ev, at)
+	j.retryTask(t, ev, at)
 }
 
-// restart sends a task, or the whole of an all-at-once job, back to wait.
-func (j *Job) restart(t *Task, ev peer.Event, at time.Time) {
+// retryTask sends a task, or the whole of an all-at-once job, back to wait.
+func (j *Job) retryTask(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.Kind == api.KindAllAtOnce {
 		j.Restarting = true
 	}
-	j.again(t, ev.Attempt, at.Add(Backoff(ev.Attempt, t.Failures)), ev.Reason)
+	j.requeue(t, ev.Attempt, at.Add(Backoff(ev.Attempt, t.Failures)), ev.Reason)
 }
 
-// again lets a task wait for its next attempt.
-func (j *Job) again(t *Task, a worker.Attempt, notBefore time.Time, why string) {
+// requeue lets a task wait for its next attempt.
+func (j *Job) requeue(t *Task, a worker.Attempt, notBefore time.Time, reason string) {
 	if j.Cancelled {
-		j.set(t, api.TaskCancelled, "cancelled")
+		j.setTaskState(t, api.TaskCancelled, "cancelled")
 		return
 	}
 	t.Attempt, t.NotBefore, t.Placement, t.Address = a.N, notBefore, peer.Placement{}, ""
-	j.set(t, api.TaskWaiting, why)
+	j.setTaskState(t, api.TaskWaiting, reason)
 }
 
-// settle draws the job's state from its tasks.
-func (j *Job) settle(at time.Time) {
+// updateState draws the job's state from its tasks.
+func (j *Job) updateState(at time.Time) {
 	c := &j.counts
 	active := c.Placed + c.Running
 	if j.Spec.Kind == api.KindAllAtOnce && (c.Failed > 0 || c.Unknown > 0) {
-		j.abandon()
+		j.cancelWaiting()
 	}
 	if j.Restarting && active == 0 && c.Failed+c.Unknown == 0 {
-		j.regroup()
+		j.requeueDone()
 	}
 	var state api.JobState
-	why := j.Reason
+	reason := j.Reason
 	switch {
 	case c.Waiting+c.Placed+c.Running > 0:
 		state = api.JobWaiting
@@ -317,9 +317,9 @@
 			state = api.JobRunning
 		}
 	case c.Failed > 0:
-		state, why = api.JobFailed, j.firstReason(api.TaskFailed)
+		state, reason = api.JobFailed, j.firstReason(api.TaskFailed)
 	case c.Unknown > 0:
-		state, why = api.JobUnknown, j.firstReason(api.TaskUnknown)
+		state, reason = api.JobUnknown, j.firstReason(api.TaskUnknown)
 	case c.Cancelled > 0:
 		state = api.JobCancelled
 	default:
@@ -328,25 +328,25 @@
 	if state.Final() && !j.State.Final() {
 		j.Ended = at
 	}
-	j.State, j.Reason = state, why
+	j.State, j.Reason = state, reason
 	j.Revision++
 }
 
-// abandon lets the waiting tasks of an all-at-once job go that can't be whole any more.
-func (j *Job) abandon() {
+// cancelWaiting lets the waiting tasks of an all-at-once job go that can't be whole any more.
+func (j *Job) cancelWaiting() {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == api.TaskWaiting {
-			j.set(&j.Tasks[i], api.TaskCancelled, "another task of the job has failed")
+			j.setTaskState(&j.Tasks[i], api.TaskCancelled, "another task of the job has failed")
 		}
 	}
 }
 
-// regroup sends every task of an all-at-once job back to wait, since all have ended.
-func (j *Job) regroup() {
+// requeueDone sends every task of an all-at-once job back to wait, since all have ended.
+func (j *Job) requeueDone() {
 	j.Restarting = false
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State == api.TaskDone {
-			j.again(t, worker.Attempt{N: t.Attempt}, time.Time{}, "the job starts again whole")
+			j.requeue(t, worker.Attempt{N: t.Attempt}, time.Time{}, "the job starts again whole")
 		}
 	}
 }
@@ -360,7 +360,7 @@
 	return ""
 }
 
-func (s *State) cancel(r *Cancel) {
+func (s *State) applyCancel(r *Cancel) {
 	j, ok := s.Jobs[r.Job]
 	if !ok || j.Cancelled || j.State.Final() {
 		return
@@ -368,25 +368,25 @@
 	j.Cancelled = true
 	for i := range j.Tasks {
 		if j.Tasks[i].State == api.TaskWaiting {
-			j.set(&j.Tasks[i], api.TaskCancelled, "cancelled")
+			j.setTaskState(&j.Tasks[i], api.TaskCancelled, "cancelled")
 		}
 	}
-	j.settle(r.At)
+	j.updateState(r.At)
 }
 
-func (s *State) reject(r *Reject) {
+func (s *State) applyReject(r *Reject) {
 	j, ok := s.Jobs[r.Job]
-	if !ok || !j.untried() {
+	if !ok || !j.neverPlaced() {
 		return
 	}
 	for i := range j.Tasks {
-		j.set(&j.Tasks[i], api.TaskFailed, r.Reason)
+		j.setTaskState(&j.Tasks[i], api.TaskFailed, r.Reason)
 	}
-	j.settle(r.At)
+	j.updateState(r.At)
 }
 
-// untried reports whether no task of the job was ever placed.
-func (j *Job) untried() bool {
+// neverPlaced reports whether no task of the job was ever placed.
+func (j *Job) neverPlaced() bool {
 	if j.counts.Waiting < len(j.Tasks) {
 		return false
 	}
@@ -398,7 +398,7 @@
 	return true
 }
 
-func (s *State) forget(r *Forget) {
+func (s *State) applyForget(r *Forget) {
 	for _, id := range r.Jobs {
 		delete(s.Jobs, id)
 	}
@@ -407,14 +407,14 @@
 	}
 }
 
-// set changes a task's state and keeps the counts.
-func (j *Job) set(t *Task, state api.TaskState, why string) {
-	*j.count(t.State)--
-	t.State, t.Reason = state, why
-	*j.count(state)++
+// setTaskState changes a task's state and keeps the counts.
+func (j *Job) setTaskState(t *Task, state api.TaskState, reason string) {
+	*j.countOf(t.State)--
+	t.State, t.Reason = state, reason
+	*j.countOf(state)++
 }
 
-func (j *Job) count(s api.TaskState) *int {
+func (j *Job) countOf(s api.TaskState) *int {
 	switch s {
 	case api.TaskPlaced:
 		return &j.counts.Placed
@@ -436,7 +436,7 @@
 func (j *Job) recount() {
 	j.counts = api.TaskCounts{}
 	for i := range j.Tasks {
-		*j.count(j.Tasks[i].State)++
+		*j.countOf(j.Tasks[i].State)++
 	}
 }
 
@@ -460,19 +460,19 @@
 // Backoff returns how long a task waits after its n-th failure; it doubles from
 // one failure to the next, with a jitter drawn from the attempt's name.
 func Backoff(a worker.Attempt, n int) time.Duration {
-	d := backoffMost
+	d := maxBackoff
 	if n < 10 {
-		d = min(backoffFirst<<max(0, n), backoffMost)
+		d = min(initialBackoff<<max(0, n), maxBackoff)
 	}
 	jitter := xxhash.Sum64String(a.String()) % uint64(d/2)
 	return d/2 + time.Duration(jitter)
 }
 
-func reason(what string, ev peer.Event) string {
-	return fmt.Sprintf("%s on worker %s: %s", what, ev.Worker, ev.Reason)
+func eventReason(outcome string, ev peer.Event) string {
+	return fmt.Sprintf("%s on worker %s: %s", outcome, ev.Worker, ev.Reason)
 }
 
-func appendNew(list []string, s string) []string {
+func appendUnique(list []string, s string) []string {
 	for _, have := range list {
 		if have == s {
 			return list
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -32,30 +32,30 @@
 	return w.WithDefaults()
 }
 
-func admit(w api.Workload) *jobs.State {
+func newStateWith(w api.Workload) *jobs.State {
 	st := jobs.NewState()
 	st.Apply(jobs.Record{Admit: &jobs.Admit{Workload: w, At: at}})
 	return st
 }
 
-func place(st *jobs.State, task, n int) {
+func applyPlace(st *jobs.State, task, n int) {
 	st.Apply(jobs.Record{Place: &jobs.Place{Placements: []peer.Placement{{
 		Attempt: worker.Attempt{Job: "j", Task: task, N: n}, Worker: "w", Shard: "worker/dc/000", Reservation: "r",
 	}}}})
 }
 
-func event(st *jobs.State, kind peer.EventKind, task, n int, result worker.Result) {
+func applyEvent(st *jobs.State, kind peer.EventKind, task, n int, result worker.Result) {
 	st.Apply(jobs.Record{Event: &jobs.Event{At: at, Event: peer.Event{
 		Kind: kind, Attempt: worker.Attempt{Job: "j", Task: task, N: n}, Worker: "w", Result: result, Reason: "because",
 	}}})
 }
 
-func TestBatchToItsEnd(t *testing.T) {
-	st := admit(workload(api.KindBatch, 2))
+func TestBatchCompletes(t *testing.T) {
+	st := newStateWith(workload(api.KindBatch, 2))
 	for task := range 2 {
-		place(st, task, 1)
-		event(st, peer.EventStarted, task, 1, "")
-		event(st, peer.EventEnded, task, 1, worker.ResultDone)
+		applyPlace(st, task, 1)
+		applyEvent(st, peer.EventStarted, task, 1, "")
+		applyEvent(st, peer.EventEnded, task, 1, worker.ResultDone)
 	}
 	if s := st.Jobs["j"].Status(false); s.State != api.JobDone || s.Counts.Done != 2 {
 		t.Errorf("have %+v", s)
@@ -63,12 +63,12 @@
 }
 
 func TestStaleEventsChangeNothing(t *testing.T) {
-	st := admit(workload(api.KindBatch, 1))
-	place(st, 0, 1)
-	event(st, peer.EventLost, 0, 1, "")
-	place(st, 0, 2)
-	event(st, peer.EventEnded, 0, 1, worker.ResultDone)
-	event(st, peer.EventVoid, 0, 1, "")
+	st := newStateWith(workload(api.KindBatch, 1))
+	applyPlace(st, 0, 1)
+	applyEvent(st, peer.EventLost, 0, 1, "")
+	applyPlace(st, 0, 2)
+	applyEvent(st, peer.EventEnded, 0, 1, worker.ResultDone)
+	applyEvent(st, peer.EventVoid, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskPlaced || s.Tasks[0].Attempt != 2 {
 		t.Errorf("an event of an old attempt was taken: %+v", s.Tasks[0])
 	}
@@ -77,63 +77,63 @@
 func TestAtMostOnceBecomesUnknown(t *testing.T) {
 	w := workload(api.KindBatch, 1)
 	w.AtMostOnce = true
-	st := admit(w.WithDefaults())
-	place(st, 0, 1)
-	event(st, peer.EventVoid, 0, 1, "")
+	st := newStateWith(w.WithDefaults())
+	applyPlace(st, 0, 1)
+	applyEvent(st, peer.EventVoid, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskWaiting {
 		t.Errorf("a task that never ran may be tried again: %+v", s.Tasks[0])
 	}
-	place(st, 0, 2)
-	event(st, peer.EventStarted, 0, 2, "")
-	event(st, peer.EventLost, 0, 2, "")
+	applyPlace(st, 0, 2)
+	applyEvent(st, peer.EventStarted, 0, 2, "")
+	applyEvent(st, peer.EventLost, 0, 2, "")
 	if s := st.Jobs["j"].Status(false); s.State != api.JobUnknown || s.Reason == "" {
 		t.Errorf("have %+v", s)
 	}
-	event(st, peer.EventEnded, 0, 2, worker.ResultDone)
+	applyEvent(st, peer.EventEnded, 0, 2, worker.ResultDone)
 	if s := st.Jobs["j"].Status(false); s.State != api.JobDone {
 		t.Errorf("a late report of the end must settle it: %+v", s)
 	}
 }
 
-func TestFailureIsBounded(t *testing.T) {
-	st := admit(workload(api.KindBatch, 1))
+func TestTaskFailsAfterMaxAttempts(t *testing.T) {
+	st := newStateWith(workload(api.KindBatch, 1))
 	for n := 1; n <= 3; n++ {
 		if s := st.Jobs["j"].Status(false); s.State.Final() {
 			t.Fatalf("final before attempt %d", n)
 		}
-		place(st, 0, n)
-		event(st, peer.EventStarted, 0, n, "")
-		event(st, peer.EventEnded, 0, n, worker.ResultFailed)
+		applyPlace(st, 0, n)
+		applyEvent(st, peer.EventStarted, 0, n, "")
+		applyEvent(st, peer.EventEnded, 0, n, worker.ResultFailed)
 	}
 	if s := st.Jobs["j"].Status(false); s.State != api.JobFailed || s.Reason == "" {
 		t.Errorf("have %+v", s)
 	}
 }
 
-func TestAllAtOnceStartsAgainWhole(t *testing.T) {
-	st := admit(workload(api.KindAllAtOnce, 3))
+func TestAllAtOnceJobRestartsAllTasks(t *testing.T) {
+	st := newStateWith(workload(api.KindAllAtOnce, 3))
 	for task := range 3 {
-		place(st, task, 1)
-		event(st, peer.EventStarted, task, 1, "")
+		applyPlace(st, task, 1)
+		applyEvent(st, peer.EventStarted, task, 1, "")
 	}
-	event(st, peer.EventEnded, 0, 1, worker.ResultDone)
-	event(st, peer.EventLost, 1, 1, "")
-	event(st, peer.EventEnded, 2, 1, worker.ResultStopped)
+	applyEvent(st, peer.EventEnded, 0, 1, worker.ResultDone)
+	applyEvent(st, peer.EventLost, 1, 1, "")
+	applyEvent(st, peer.EventEnded, 2, 1, worker.ResultStopped)
 	if s := st.Jobs["j"].Status(false); s.Counts.Waiting != 3 {
 		t.Errorf("have %+v", s.Counts)
 	}
 }
 
-func TestCancelEndsWhatWaitsAndWhatRuns(t *testing.T) {
-	st := admit(workload(api.KindBatch, 3))
-	place(st, 0, 1)
-	event(st, peer.EventStarted, 0, 1, "")
+func TestCancelEndsWaitingAndRunningTasks(t *testing.T) {
+	st := newStateWith(workload(api.KindBatch, 3))
+	applyPlace(st, 0, 1)
+	applyEvent(st, peer.EventStarted, 0, 1, "")
 	st.Apply(jobs.Record{Cancel: &jobs.Cancel{Job: "j", At: at}})
-	place(st, 1, 1)
+	applyPlace(st, 1, 1)
 	if s := st.Jobs["j"].Status(false); s.Counts.Cancelled != 2 || s.Counts.Placed != 0 {
 		t.Errorf("a cancelled task was placed: %+v", s.Counts)
 	}
-	event(st, peer.EventEnded, 0, 1, worker.ResultStopped)
+	applyEvent(st, peer.EventEnded, 0, 1, worker.ResultStopped)
 	if s := st.Jobs["j"].Status(false); s.State != api.JobCancelled {
 		t.Errorf("have %+v", s)
 	}
@@ -176,12 +176,12 @@
 	props.Property("the state stays sound", prop.ForAll(func(kind int, once bool, ops []int) bool {
 		w := workload(kinds[kind], 3)
 		w.AtMostOnce = once && w.Kind != api.KindService
-		st := admit(w.WithDefaults())
+		st := newStateWith(w.WithDefaults())
 		j := st.Jobs["j"]
 		for _, op := range ops {
 			was := j.State
-			step(st, op)
-			if !sound(j) || (was.Final() && was != api.JobUnknown && j.State != was) {
+			applyRandomOp(st, op)
+			if !countsMatchTasks(j) || (was.Final() && was != api.JobUnknown && j.State != was) {
 				return false
 			}
 		}
@@ -195,20 +195,20 @@
 	props.TestingRun(t)
 }
 
-func step(st *jobs.State, op int) {
+func applyRandomOp(st *jobs.State, op int) {
 	task, n := op%3, 1+op/3%4
 	results := []worker.Result{worker.ResultDone, worker.ResultFailed, worker.ResultStopped, worker.ResultLapsed}
 	switch op / 100 {
 	case 0, 1, 2:
-		place(st, task, st.Jobs["j"].Tasks[task].Attempt+1)
+		applyPlace(st, task, st.Jobs["j"].Tasks[task].Attempt+1)
 	case 3, 4:
-		event(st, peer.EventStarted, task, n, "")
+		applyEvent(st, peer.EventStarted, task, n, "")
 	case 5, 6:
-		event(st, peer.EventEnded, task, n, results[op%4])
+		applyEvent(st, peer.EventEnded, task, n, results[op%4])
 	case 7:
-		event(st, peer.EventLost, task, n, "")
+		applyEvent(st, peer.EventLost, task, n, "")
 	case 8:
-		event(st, peer.EventVoid, task, n, "")
+		applyEvent(st, peer.EventVoid, task, n, "")
 	default:
 		if op == 999 {
 			st.Apply(jobs.Record{Cancel: &jobs.Cancel{Job: "j", At: at}})
@@ -216,7 +216,7 @@
 	}
 }
 
-func sound(j *jobs.Job) bool {
+func countsMatchTasks(j *jobs.Job) bool {
 	c := j.Status(false).Counts
 	var have api.TaskCounts
 	for _, t := range j.Status(true).Tasks {
