--- a/internal/node/added_test.go
+++ b/internal/node/added_test.go
@@ -20,7 +20,7 @@
 // a node, side by side: at rest by one caller, and by as many as there are slots.
 func BenchmarkAddedTime(b *testing.B) {
 	const slots = 32
-	r := start(b, nil)
+	r := startNode(b, nil)
 	c := r.client("inkasoft", "")
 	w := api.Workload{
 		ID: "svc", Team: "inkasoft", Kind: api.KindService, Class: "notice", Tasks: 1, Service: "svc", Slots: slots,
@@ -40,21 +40,21 @@
 	through := "http://" + r.callers + "/v1/services/svc/requests"
 	for _, callers := range []int{1, slots} {
 		for name, url := range map[string]string{"direct": direct, "through": through} {
-			b.Run(fmt.Sprintf("callers=%d/%s", callers, name), func(b *testing.B) { hammer(b, url, callers) })
+			b.Run(fmt.Sprintf("callers=%d/%s", callers, name), func(b *testing.B) { sendConcurrently(b, url, callers) })
 		}
 	}
 }
 
-func hammer(b *testing.B, url string, callers int) {
+func sendConcurrently(b *testing.B, url string, callers int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
-	took := make([][]time.Duration, callers)
+	latencies := make([][]time.Duration, callers)
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for i := range callers {
 		wg.Go(func() {
 			for range (b.N + callers - 1) / callers {
-				began := time.Now()
+				start := time.Now()
 				req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, url, strings.NewReader("a balance check"))
 				if err != nil {
 					b.Error(err)
@@ -68,14 +68,14 @@
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
 				_ = resp.Body.Close()
-				took[i] = append(took[i], time.Since(began))
+				latencies[i] = append(latencies[i], time.Since(start))
 			}
 		})
 	}
 	wg.Wait()
 	b.StopTimer()
-	all := slices.Concat(took...)
-	slices.Sort(all)
-	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-us")
+	sorted := slices.Concat(latencies...)
+	slices.Sort(sorted)
+	b.ReportMetric(float64(sorted[len(sorted)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(sorted[len(sorted)*99/100].Microseconds()), "p99-us")
 }
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -31,7 +31,7 @@
 const (
 	maxWorkloadBytes = 256 << 10
 	maxKeyLength     = 128
-	maxWatch         = 30 * time.Second
+	maxWatchTime     = 30 * time.Second
 	listTimeout      = 5 * time.Second
 )
 
@@ -73,31 +73,31 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		httpx.WriteError(w, httpx.NewProblem(http.StatusNotFound, "no_route", r.Method+" "+r.URL.Path))
 	})
-	return n.admit(mux)
+	return n.limitCallers(mux)
 }
 
-// admit bounds the work of callers and turns them away while the node can't serve.
-func (n *Node) admit(h http.Handler) http.Handler {
+// limitCallers bounds the work of callers and turns them away while the node can't serve.
+func (n *Node) limitCallers(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case n.inFlight <- struct{}{}:
 			defer func() { <-n.inFlight }()
 		default:
-			n.turnAway(w, "node_busy", "the node works on as many requests as it may")
+			n.refuse(w, "node_busy", "the node works on as many requests as it may")
 			return
 		}
 		if !n.follower.isFresh() {
-			n.turnAway(w, "bundle_stale", "the node must read the bundle in force first")
+			n.refuse(w, "bundle_stale", "the node must read the bundle in force first")
 			return
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-func (n *Node) turnAway(w http.ResponseWriter, reason, detail string) {
+func (n *Node) refuse(w http.ResponseWriter, reason, detail string) {
 	n.counters.refused(reason)
 	httpx.WriteError(w, httpx.NewProblem(http.StatusServiceUnavailable, reason, detail).
-		RetryAfter(retryIn).WithOutcome(string(api.OutcomeRefused)))
+		RetryAfter(retryAfter).WithOutcome(string(api.OutcomeRefused)))
 }
 
 // team returns the team that a request comes from, checked by its token.
@@ -109,30 +109,30 @@
 		p.Problem.Field = api.HeaderTeam
 		return t, p.WithOutcome(string(api.OutcomeRefused))
 	}
-	if !tokenOK(t.TokenSHA256, r) {
+	if !tokenValid(t.TokenSHA256, r) {
 		p := httpx.NewProblem(http.StatusUnauthorized, "token_not_valid", "the bearer token is not one of the team's")
 		return t, p.WithOutcome(string(api.OutcomeRefused))
 	}
 	return t, nil
 }
 
-// tokenOK reports whether the request's bearer token has one of the digests, if
+// tokenValid reports whether the request's bearer token has one of the digests, if
 // there are any. It compares in constant time, and all, so that time tells nothing.
-func tokenOK(digests []string, r *http.Request) bool {
+func tokenValid(digests []string, r *http.Request) bool {
 	if len(digests) == 0 {
 		return true
 	}
 	sum := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
-	have := []byte(hex.EncodeToString(sum[:]))
+	got := []byte(hex.EncodeToString(sum[:]))
 	ok := 0
 	for _, want := range digests {
-		ok |= subtle.ConstantTimeCompare(have, []byte(strings.ToLower(want)))
+		ok |= subtle.ConstantTimeCompare(got, []byte(strings.ToLower(want)))
 	}
 	return ok == 1
 }
 
 func (n *Node) serveRequest(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
+	start := time.Now()
 	req, err := n.readRequest(w, r)
 	if err != nil {
 		n.counters.refused(httpx.Reason(err))
@@ -143,7 +143,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(req.TimeoutMS)*time.Millisecond)
 	defer cancel()
 	res := n.entry.Do(ctx, req)
-	n.counters.request(res, time.Since(began))
+	n.counters.request(res, time.Since(start))
 	w.Header().Set(api.HeaderRequestID, req.ID)
 	w.Header().Set(api.HeaderOutcome, string(res.Outcome))
 	if res.Outcome != api.OutcomeDone {
@@ -190,10 +190,10 @@
 	if !api.ValidName(req.Service) {
 		return req, headerProblem("service", "want the name of a service")
 	}
-	if req.TimeoutMS, err = timeoutOf(r, limits.TimeoutMS); err != nil {
+	if req.TimeoutMS, err = parseTimeout(r, limits.TimeoutMS); err != nil {
 		return req, err
 	}
-	if err := readKey(r, &req, n.cfg.Requests.KeyMargin); err != nil {
+	if err := readKeyHeaders(r, &req, n.cfg.Requests.KeyMargin); err != nil {
 		return req, err
 	}
 	req.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, limits.BodyBytes))
@@ -212,20 +212,20 @@
 	return httpx.FieldProblem(field, detail).WithOutcome(string(api.OutcomeRefused))
 }
 
-func timeoutOf(r *http.Request, most int64) (int64, error) {
+func parseTimeout(r *http.Request, maxMS int64) (int64, error) {
 	s := r.Header.Get(api.HeaderTimeout)
 	if s == "" {
-		return most, nil
+		return maxMS, nil
 	}
 	ms, err := strconv.ParseInt(s, 10, 64)
-	if err != nil || ms < 1 || ms > most {
-		return 0, headerProblem(api.HeaderTimeout, "want milliseconds, 1 to "+strconv.FormatInt(most, 10))
+	if err != nil || ms < 1 || ms > maxMS {
+		return 0, headerProblem(api.HeaderTimeout, "want milliseconds, 1 to "+strconv.FormatInt(maxMS, 10))
 	}
 	return ms, nil
 }
 
-// readKey reads the headers that say whether a request may be repeated.
-func readKey(r *http.Request, req *requests.Request, ahead time.Duration) error {
+// readKeyHeaders reads the headers that say whether a request may be repeated.
+func readKeyHeaders(r *http.Request, req *requests.Request, maxSkew time.Duration) error {
 	switch v := r.Header.Get(api.HeaderRepeatable); v {
 	case "", "false":
 	case "true":
@@ -244,7 +244,7 @@
 		return headerProblem(api.HeaderKey, "want 1 to 128 printable ASCII characters")
 	}
 	created, err := time.Parse(time.RFC3339, r.Header.Get(api.HeaderKeyCreated))
-	if err != nil || time.Until(created) > ahead {
+	if err != nil || time.Until(created) > maxSkew {
 		return headerProblem(api.HeaderKeyCreated, "want when the key was made, as 2006-01-02T15:04:05Z, not in the future")
 	}
 	req.KeyCreated = created
@@ -264,7 +264,7 @@
 	if err == nil {
 		key := n.jobKey(wl.ID)
 		req := CreateRequest{Shard: string(key), Workload: wl.WithDefaults()}
-		st, err = onOwnerSoon(r.Context(), n, key, peer.PathJobCreate, req, n.createHere)
+		st, err = callOwnerRetrying(r.Context(), n, key, peer.PathJobCreate, req, n.createLocal)
 	}
 	n.reply(w, http.StatusCreated, st, err)
 }
@@ -293,14 +293,14 @@
 	if !wl.Deadline.IsZero() && time.Now().After(wl.Deadline) {
 		return httpx.FieldProblem("deadline", "is over")
 	}
-	if over(wl, t) {
+	if exceedsTeamLimit(wl, t) {
 		return httpx.FieldProblem("size", "is above the limit of team "+t.Name)
 	}
-	return n.checkFits(wl)
+	return n.checkWorkerSize(wl)
 }
 
-// over reports whether a workload asks for more at once than its team may ever have.
-func over(wl api.Workload, t bundle.Team) bool {
+// exceedsTeamLimit reports whether a workload asks for more at once than its team may ever have.
+func exceedsTeamLimit(wl api.Workload, t bundle.Team) bool {
 	need := wl.Size
 	if wl.Kind == api.KindAllAtOnce {
 		need = wl.Size.Times(int64(wl.Tasks))
@@ -310,19 +310,19 @@
 		l.Accelerators > 0 && need.Accelerators > l.Accelerators
 }
 
-// checkFits refuses a size that no worker of the cell has.
-func (n *Node) checkFits(wl api.Workload) error {
+// checkWorkerSize refuses a size that no worker of the cell has.
+func (n *Node) checkWorkerSize(wl api.Workload) error {
 	known := false
-	room := int64(0)
+	fitting := int64(0)
 	for _, p := range n.load.Pools() {
 		for _, shape := range p.Shapes {
 			known = true
 			if shape.Fits(wl.Size) {
-				room++
+				fitting++
 			}
 		}
 	}
-	if known && room == 0 {
+	if known && fitting == 0 {
 		return httpx.FieldProblem("size", "no worker of the cell has as much")
 	}
 	return nil
@@ -332,27 +332,27 @@
 	t, err := n.team(r)
 	ref := JobRef{ID: r.PathValue("id"), Tasks: r.FormValue("tasks") == "true"}
 	if err == nil {
-		err = readWatch(r, &ref)
+		err = readWatchParams(r, &ref)
 	}
 	var st api.Status
 	if err == nil {
-		st, err = n.getOf(r.Context(), t, ref)
+		st, err = n.getForTeam(r.Context(), t, ref)
 	}
 	n.reply(w, http.StatusOK, st, err)
 }
 
-// readWatch reads since and wait_ms, by which a caller waits for a change.
-func readWatch(r *http.Request, ref *JobRef) error {
+// readWatchParams reads since and wait_ms, by which a caller waits for a change.
+func readWatchParams(r *http.Request, ref *JobRef) error {
 	if s := r.FormValue("since"); s != "" {
 		since, err := strconv.ParseInt(s, 10, 64)
 		if err != nil || since < 0 {
 			return httpx.FieldProblem("since", "want a revision, 0 or more")
 		}
-		ref.Since, ref.WaitMS = since, maxWatch.Milliseconds()
+		ref.Since, ref.WaitMS = since, maxWatchTime.Milliseconds()
 	}
 	if s := r.FormValue("wait_ms"); s != "" {
 		ms, err := strconv.ParseInt(s, 10, 64)
-		if err != nil || ms < 1 || ms > maxWatch.Milliseconds() {
+		if err != nil || ms < 1 || ms > maxWatchTime.Milliseconds() {
 			return httpx.FieldProblem("wait_ms", "want 1 to 30000 milliseconds")
 		}
 		ref.WaitMS = ms
@@ -360,11 +360,11 @@
 	return nil
 }
 
-// getOf returns a workload of a team; another team's is as if it were not there.
-func (n *Node) getOf(ctx context.Context, t bundle.Team, ref JobRef) (api.Status, error) {
+// getForTeam returns a workload of a team; another team's is as if it were not there.
+func (n *Node) getForTeam(ctx context.Context, t bundle.Team, ref JobRef) (api.Status, error) {
 	key := n.jobKey(ref.ID)
 	ref.Shard = string(key)
-	st, err := onOwnerSoon(ctx, n, key, peer.PathJobGet, ref, n.getHere)
+	st, err := callOwnerRetrying(ctx, n, key, peer.PathJobGet, ref, n.getLocal)
 	if err == nil && st.Workload.Team != t.Name {
 		return api.Status{}, httpx.NewProblem(http.StatusNotFound, "not_found", "there is no such workload")
 	}
@@ -376,12 +376,12 @@
 	ref := JobRef{ID: r.PathValue("id")}
 	var st api.Status
 	if err == nil {
-		st, err = n.getOf(r.Context(), t, ref)
+		st, err = n.getForTeam(r.Context(), t, ref)
 	}
 	if err == nil {
 		key := n.jobKey(ref.ID)
 		ref.Shard = string(key)
-		st, err = onOwnerSoon(r.Context(), n, key, peer.PathJobCancel, ref, n.cancelHere)
+		st, err = callOwnerRetrying(r.Context(), n, key, peer.PathJobCancel, ref, n.cancelLocal)
 	}
 	n.reply(w, http.StatusOK, st, err)
 }
@@ -394,16 +394,16 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), listTimeout)
 	defer cancel()
-	n.reply(w, http.StatusOK, n.listAll(ctx, t.Name), nil)
+	n.reply(w, http.StatusOK, n.listAllNodes(ctx, t.Name), nil)
 }
 
-// listAll asks every node for the workloads of a team.
-func (n *Node) listAll(ctx context.Context, team string) api.StatusList {
+// listAllNodes asks every node for the workloads of a team.
+func (n *Node) listAllNodes(ctx context.Context, team string) api.StatusList {
 	nodes := n.lease.Known()
 	parts := make([]api.StatusList, len(nodes)+1)
 	parts[len(nodes)].Workloads = n.jobs.List(team)
 	var g errgroup.Group
-	g.SetLimit(exchangesAtOnce)
+	g.SetLimit(maxConcurrentExchanges)
 	for i, node := range nodes {
 		g.Go(func() error {
 			list, err := httpx.Call[ListRequest, api.StatusList](ctx, n.peerHTTP, "http://"+node.PeerAddress+peer.PathJobList, ListRequest{Team: team})
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -18,8 +18,8 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// tell sends a message to the peers' listener and returns the reason of its problem.
-func tell[Req, Resp any](t *testing.T, r *running, path string, req Req) (Resp, string) {
+// callPeer sends a message to the peers' listener and returns the reason of its problem.
+func callPeer[Req, Resp any](t *testing.T, r *testNode, path string, req Req) (Resp, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -33,52 +33,52 @@
 // TestPeerContract sends a node what a peer may send it, and what it must turn away.
 func TestPeerContract(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	const elsewhere = "worker/nowhere/000"
 	a := worker.Attempt{Job: "j", N: 1}
 	places := []peer.Placement{{Attempt: a, Shard: elsewhere, Worker: "w", Reservation: "r"}}
-	if _, why := tell[peer.ReserveRequest, peer.ReserveReply](t, r, peer.PathReserve, peer.ReserveRequest{Shard: elsewhere}); why != peer.ReasonNotOwner {
-		t.Errorf("reserve elsewhere: %q", why)
+	if _, reason := callPeer[peer.ReserveRequest, peer.ReserveReply](t, r, peer.PathReserve, peer.ReserveRequest{Shard: elsewhere}); reason != peer.ReasonNotOwner {
+		t.Errorf("reserve elsewhere: %q", reason)
 	}
-	if _, why := tell[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: elsewhere, Placements: places}); why != peer.ReasonNotOwner {
-		t.Errorf("confirm elsewhere: %q", why)
+	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: elsewhere, Placements: places}); reason != peer.ReasonNotOwner {
+		t.Errorf("confirm elsewhere: %q", reason)
 	}
-	if _, why := tell[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); why != peer.ReasonNotOwner {
-		t.Errorf("events elsewhere: %q", why)
+	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
+		t.Errorf("events elsewhere: %q", reason)
 	}
-	if _, why := tell[peer.KeyBegin, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBegin{Shard: "job/999"}); why != peer.ReasonNotOwner {
-		t.Errorf("key elsewhere: %q", why)
+	if _, reason := callPeer[peer.KeyBegin, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBegin{Shard: "job/999"}); reason != peer.ReasonNotOwner {
+		t.Errorf("key elsewhere: %q", reason)
 	}
 	const here = "worker/kosice-1/000"
-	known, why := tell[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: here, Placements: places})
-	if why != "" || len(known.Items) != 1 || known.Items[0].State == peer.ConfirmAccepted {
-		t.Errorf("a task that nobody placed: %+v %s", known, why)
+	known, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: here, Placements: places})
+	if reason != "" || len(known.Items) != 1 || known.Items[0].State == peer.ConfirmAccepted {
+		t.Errorf("a task that nobody placed: %+v %s", known, reason)
 	}
 	// An event of a job that is not there is taken, so that its sender forgets it.
 	ev := peer.EventsRequest{Shard: "job/000", Events: []peer.Event{{Kind: peer.EventLost, Attempt: a}}}
-	if _, why := tell[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, ev); why != "" {
-		t.Errorf("an event of nobody's job: %q", why)
+	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, ev); reason != "" {
+		t.Errorf("an event of nobody's job: %q", reason)
 	}
 	req := requests.Request{ID: "once", Service: "none", Team: "inkasoft", TimeoutMS: 100}
-	res, why := tell[requests.Request, requests.Result](t, r, peer.PathRequest, req)
-	if why != "" || res.Outcome != api.OutcomeRefused {
-		t.Errorf("a request to a service that is not here: %+v %s", res, why)
+	res, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req)
+	if reason != "" || res.Outcome != api.OutcomeRefused {
+		t.Errorf("a request to a service that is not here: %+v %s", res, reason)
 	}
-	if _, why := tell[requests.Request, requests.Result](t, r, peer.PathRequest, req); why != "handed_over_before" {
-		t.Errorf("the same request again: %q", why)
+	if _, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req); reason != "handed_over_before" {
+		t.Errorf("the same request again: %q", reason)
 	}
-	if sum, why := tell[httpx.None, peer.Summary](t, r, peer.PathSummary, httpx.None{}); why != "" || sum.Node != "entry-1" || sum.Head != 1 {
-		t.Errorf("the summary: %+v %s", sum, why)
+	if sum, reason := callPeer[httpx.None, peer.Summary](t, r, peer.PathSummary, httpx.None{}); reason != "" || sum.Node != "entry-1" || sum.Head != 1 {
+		t.Errorf("the summary: %+v %s", sum, reason)
 	}
-	if head, why := tell[httpx.None, node.HeadReply](t, r, peer.PathHead, httpx.None{}); why != "" || head.Bundle.Digest() != head.Head.Digest {
-		t.Errorf("the head: %+v %s", head.Head, why)
+	if head, reason := callPeer[httpx.None, node.HeadReply](t, r, peer.PathHead, httpx.None{}); reason != "" || head.Bundle.Digest() != head.Head.Digest {
+		t.Errorf("the head: %+v %s", head.Head, reason)
 	}
 }
 
 // TestOperatorContract makes an operator's calls, right and wrong, in the order of a roll-out.
 func TestOperatorContract(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	op := r.client("", "")
 	next := bundle.Default()
 	next.Limits.TimeoutMS = 12_345
@@ -89,20 +89,20 @@
 		status int
 	}{
 		{"no bundle", func(ctx context.Context) error {
-			return proposed(op.Propose(ctx, nil, bundle.Proposal{Change: "x", Operator: "o"}))
+			return proposeError(op.Propose(ctx, nil, bundle.Proposal{Change: "x", Operator: "o"}))
 		}, invalid},
 		{"no change id", func(ctx context.Context) error {
-			return proposed(op.Propose(ctx, next, bundle.Proposal{Base: 1, Operator: "o"}))
+			return proposeError(op.Propose(ctx, next, bundle.Proposal{Base: 1, Operator: "o"}))
 		}, invalid},
 		{"an old base", func(ctx context.Context) error {
-			return proposed(op.Propose(ctx, next, bundle.Proposal{Base: 0, Change: "old", Operator: "o"}))
+			return proposeError(op.Propose(ctx, next, bundle.Proposal{Base: 0, Change: "old", Operator: "o"}))
 		}, conflict},
-		{"a change that nobody proposed", func(ctx context.Context) error { return accepted(op.Accept(ctx, "none")) }, conflict},
+		{"a change that nobody proposed", func(ctx context.Context) error { return acceptError(op.Accept(ctx, "none")) }, conflict},
 		{"a good proposal", func(ctx context.Context) error {
-			return proposed(op.Propose(ctx, next, bundle.Proposal{Base: 1, Change: "good", Operator: "o"}))
+			return proposeError(op.Propose(ctx, next, bundle.Proposal{Base: 1, Change: "good", Operator: "o"}))
 		}, 0},
-		{"accepted", func(ctx context.Context) error { return accepted(op.AcceptSoon(ctx, "good")) }, 0},
-		{"accepted again", func(ctx context.Context) error { return accepted(op.Accept(ctx, "good")) }, 0},
+		{"accepted", func(ctx context.Context) error { return acceptError(op.AcceptSoon(ctx, "good")) }, 0},
+		{"accepted again", func(ctx context.Context) error { return acceptError(op.Accept(ctx, "good")) }, 0},
 	}
 	for _, tt := range tests {
 		err := tt.call(t.Context())
@@ -121,6 +121,6 @@
 	}
 }
 
-func proposed(_ bundle.Proposal, err error) error { return err }
+func proposeError(_ bundle.Proposal, err error) error { return err }
 
-func accepted(_ bundle.Head, err error) error { return err }
+func acceptError(_ bundle.Head, err error) error { return err }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	followEvery = time.Second
+	followInterval = time.Second
 	// staleAfter is how long a node serves without having heard of the bundle in
 	// force, from the store or from a peer.
 	staleAfter = 5 * time.Second
-	// confirmedFor is how long a node confirms the bundle of its peers after it was
+	// confirmFor is how long a node confirms the bundle of its peers after it was
 	// confirmed itself: longer than the pause between two rounds of summaries. With
 	// staleAfter it stays within the 7 s in which a change is in force everywhere.
-	confirmedFor = 2 * time.Second
+	confirmFor = 2 * time.Second
 )
 
 // follower keeps the node on the bundle that is in force: the highest version
@@ -31,20 +31,20 @@
 type follower struct {
 	n *Node
 
-	mu     sync.Mutex
-	head   bundle.Head
-	bundle *bundle.Bundle
-	ready  bool
-	// fresh is when the store or a peer last told of a version not above ours.
-	fresh      time.Time
-	staged     string
-	stagedHave *bundle.Bundle
+	mu       sync.Mutex
+	head     bundle.Head
+	bundle   *bundle.Bundle
+	haveHead bool
+	// confirmedAt is when the store or a peer last told of a version not above ours.
+	confirmedAt  time.Time
+	stagedDigest string
+	stagedBundle *bundle.Bundle
 }
 
 func newFollower(n *Node) *follower { return &follower{n: n, bundle: bundle.Default()} }
 
 func (f *follower) run(ctx context.Context) error {
-	t := time.NewTicker(followEvery)
+	t := time.NewTicker(followInterval)
 	defer t.Stop()
 	for {
 		f.poll(ctx)
@@ -64,25 +64,25 @@
 		f.n.log.Warn("bundle not read", events.BundleNotRead, zap.Error(err))
 		return
 	}
-	if err := f.follow(ctx, head); err != nil {
+	if err := f.advance(ctx, head); err != nil {
 		f.n.log.Warn("bundle not read", events.BundleNotRead, zap.Error(err))
 		return
 	}
 	f.mu.Lock()
-	f.ready, f.fresh = true, asked
+	f.haveHead, f.confirmedAt = true, asked
 	f.mu.Unlock()
 	f.stage(ctx)
 	f.mu.Lock()
-	staged, version := f.staged, f.head.Version
+	staged, version := f.stagedDigest, f.head.Version
 	f.mu.Unlock()
 	f.n.lease.SetBundles(staged, version)
 }
 
-// follow applies a head that is higher than the present one.
-func (f *follower) follow(ctx context.Context, head bundle.Head) error {
+// advance applies a head that is higher than the present one.
+func (f *follower) advance(ctx context.Context, head bundle.Head) error {
 	f.mu.Lock()
 	present := f.head
-	staged, have := f.staged, f.stagedHave
+	staged, fetched := f.stagedDigest, f.stagedBundle
 	f.mu.Unlock()
 	if head.Version <= present.Version {
 		return nil
@@ -90,8 +90,8 @@
 	if head.Digest == "" || head.Digest == present.Digest && head.Version == present.Version {
 		return nil
 	}
-	b := have
-	if staged != head.Digest || have == nil {
+	b := fetched
+	if staged != head.Digest || fetched == nil {
 		var err error
 		if b, err = f.n.bundles.Fetch(ctx, head.Digest); err != nil {
 			return err
@@ -109,7 +109,7 @@
 		return
 	}
 	f.head, f.bundle = head, b
-	staged := f.staged
+	staged := f.stagedDigest
 	f.mu.Unlock()
 	f.n.lease.SetBundles(staged, head.Version)
 	f.n.log.Info("bundle in force", events.BundleInForce, zap.Int64("version", head.Version), zap.String("digest", head.Digest))
@@ -122,7 +122,7 @@
 		return
 	}
 	f.mu.Lock()
-	done := f.staged == p.Digest
+	done := f.stagedDigest == p.Digest
 	f.mu.Unlock()
 	if done {
 		return
@@ -133,22 +133,22 @@
 		return
 	}
 	f.mu.Lock()
-	f.staged, f.stagedHave = p.Digest, b
+	f.stagedDigest, f.stagedBundle = p.Digest, b
 	f.mu.Unlock()
 	f.n.log.Info("bundle staged", events.BundleStaged, zap.String("change", p.Change), zap.Int64("version", p.Version()))
 }
 
-// heard takes the bundle of a peer that is ahead, so that a node without sight
+// observePeer takes the bundle of a peer that is ahead, so that a node without sight
 // of the store follows too. A peer that was confirmed itself confirms the
 // present bundle; one that comes out of a cut of its own doesn't.
-func (f *follower) heard(address string, version int64, confirmed bool, asked time.Time) {
+func (f *follower) observePeer(address string, version int64, confirmed bool, asked time.Time) {
 	f.mu.Lock()
-	behind := version > f.head.Version
-	if !behind && f.ready && confirmed {
-		f.fresh = asked
+	newer := version > f.head.Version
+	if !newer && f.haveHead && confirmed {
+		f.confirmedAt = asked
 	}
 	f.mu.Unlock()
-	if !behind {
+	if !newer {
 		return
 	}
 	ctx, cancel := context.WithTimeout(f.n.runCtx, callTimeout)
@@ -159,9 +159,9 @@
 	}
 	f.apply(reply.Head, reply.Bundle)
 	f.mu.Lock()
-	f.ready = true
+	f.haveHead = true
 	if confirmed {
-		f.fresh = asked
+		f.confirmedAt = asked
 	}
 	f.mu.Unlock()
 }
@@ -180,18 +180,18 @@
 	return f.head, f.bundle
 }
 
-// read reports whether the head has been read from the store or a peer.
-func (f *follower) read() bool {
+// headRead reports whether the head has been headRead from the store or a peer.
+func (f *follower) headRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready
+	return f.haveHead
 }
 
-// confirmed reports whether this node may confirm the bundle of its peers.
-func (f *follower) confirmed() bool {
+// confirmsPeers reports whether this node may confirm the bundle of its peers.
+func (f *follower) confirmsPeers() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready && time.Since(f.fresh) < confirmedFor
+	return f.haveHead && time.Since(f.confirmedAt) < confirmFor
 }
 
 // isFresh reports whether the bundle in force was confirmed a short time ago;
@@ -199,5 +199,5 @@
 func (f *follower) isFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready && (time.Since(f.fresh) < staleAfter || f.n.deps.Guards.ServeStale)
+	return f.haveHead && (time.Since(f.confirmedAt) < staleAfter || f.n.deps.Guards.ServeStale)
 }
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	// summaryKept is how many exchanges a peer's summary is used without a newer one.
-	summaryKept = 4
-	// exchangesAtOnce bounds the peers that are asked together.
-	exchangesAtOnce = 16
-	// refreshEvery is the least time between two exchanges that requests bring about.
-	refreshEvery = 100 * time.Millisecond
+	// summaryIntervals is how many exchanges a peer's summary is used without a newer one.
+	summaryIntervals = 4
+	// maxConcurrentExchanges bounds the peers that are asked together.
+	maxConcurrentExchanges = 16
+	// minRefreshInterval is the least time between two exchanges that requests bring about.
+	minRefreshInterval = 100 * time.Millisecond
 )
 
-// load is what the node knows of the load of all nodes; each asks the others
+// cellLoad is what the node knows of the cellLoad of all nodes; each asks the others
 // for their summary every short while.
-type load struct {
+type cellLoad struct {
 	n *Node
 	// refreshing lets one request at a time bring an exchange about.
 	refreshing chan struct{}
 	refreshed  time.Time
 
-	mu    sync.Mutex
-	peers map[string]*peerState
-	asked bool
+	mu            sync.Mutex
+	peers         map[string]*peerState
+	exchangedOnce bool
 }
 
 type peerState struct {
-	node    lease.Node
-	summary peer.Summary
-	at      time.Time
+	node       lease.Node
+	summary    peer.Summary
+	receivedAt time.Time
 }
 
-func newLoad(n *Node) *load {
-	return &load{n: n, refreshing: make(chan struct{}, 1), peers: make(map[string]*peerState)}
+func newCellLoad(n *Node) *cellLoad {
+	return &cellLoad{n: n, refreshing: make(chan struct{}, 1), peers: make(map[string]*peerState)}
 }
 
-func (l *load) run(ctx context.Context) error {
+func (l *cellLoad) run(ctx context.Context) error {
 	t := time.NewTicker(l.n.cfg.Requests.Load)
 	defer t.Stop()
 	for {
@@ -62,14 +62,14 @@
 }
 
 // RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
-func (l *load) RefreshLoads(ctx context.Context) {
+func (l *cellLoad) RefreshLoads(ctx context.Context) {
 	select {
 	case l.refreshing <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
 	defer func() { <-l.refreshing }()
-	if time.Since(l.refreshed) < refreshEvery {
+	if time.Since(l.refreshed) < minRefreshInterval {
 		return
 	}
 	l.exchange(ctx)
@@ -77,29 +77,29 @@
 }
 
 // exchange asks every known peer for its summary.
-func (l *load) exchange(ctx context.Context) {
+func (l *cellLoad) exchange(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(exchangesAtOnce)
+	g.SetLimit(maxConcurrentExchanges)
 	for _, node := range l.n.lease.Known() {
 		g.Go(func() error {
-			l.ask(ctx, node)
+			l.fetchSummary(ctx, node)
 			return nil
 		})
 	}
 	_ = g.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked = l.asked || l.n.lease.Held()
+	l.exchangedOnce = l.exchangedOnce || l.n.lease.Held()
 	for id, p := range l.peers {
-		if time.Since(p.at) > l.kept() {
+		if time.Since(p.receivedAt) > l.summaryLifetime() {
 			delete(l.peers, id)
 		}
 	}
 }
 
-func (l *load) kept() time.Duration { return summaryKept * l.n.cfg.Requests.Load }
+func (l *cellLoad) summaryLifetime() time.Duration { return summaryIntervals * l.n.cfg.Requests.Load }
 
-func (l *load) ask(ctx context.Context, node lease.Node) {
+func (l *cellLoad) fetchSummary(ctx context.Context, node lease.Node) {
 	ctx, cancel := context.WithTimeout(ctx, l.n.cfg.Requests.Load)
 	defer cancel()
 	asked := time.Now()
@@ -110,28 +110,28 @@
 	l.mu.Lock()
 	l.peers[node.ID] = &peerState{node, sum, time.Now()}
 	l.mu.Unlock()
-	l.n.follower.heard(node.PeerAddress, sum.Head, sum.Confirmed, asked)
+	l.n.follower.observePeer(node.PeerAddress, sum.Head, sum.Confirmed, asked)
 }
 
-// exchanged reports whether the node has held its lease and asked its peers once.
-func (l *load) exchanged() bool {
+// hasExchanged reports whether the node has held its lease and asked its peers once.
+func (l *cellLoad) hasExchanged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.asked
+	return l.exchangedOnce
 }
 
-// own returns this node's summary.
-func (l *load) own() peer.Summary {
+// ownSummary returns this node's summary.
+func (l *cellLoad) ownSummary() peer.Summary {
 	pools, teams := l.n.pools.Summaries()
 	head, _ := l.n.follower.state()
 	return peer.Summary{
-		Node: l.n.cfg.Node, Head: head.Version, Confirmed: l.n.follower.confirmed(), Pools: pools, Teams: teams, Services: l.n.balancer.ServiceSummaries(),
+		Node: l.n.cfg.Node, Head: head.Version, Confirmed: l.n.follower.confirmsPeers(), Pools: pools, Teams: teams, Services: l.n.balancer.ServiceSummaries(),
 	}
 }
 
-// each calls fn for the summary of every node, this one's first.
-func (l *load) each(fn func(peer.Summary)) {
-	fn(l.own())
+// eachSummary calls fn for the summary of every node, this one's first.
+func (l *cellLoad) eachSummary(fn func(peer.Summary)) {
+	fn(l.ownSummary())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.peers {
@@ -140,21 +140,21 @@
 }
 
 // Pools returns how much room the worker shards of the cell have.
-func (l *load) Pools() []peer.PoolSummary {
+func (l *cellLoad) Pools() []peer.PoolSummary {
 	var pools []peer.PoolSummary
-	l.each(func(s peer.Summary) { pools = append(pools, s.Pools...) })
+	l.eachSummary(func(s peer.Summary) { pools = append(pools, s.Pools...) })
 	return pools
 }
 
 // Teams returns what the teams use, node by node.
-func (l *load) Teams() []peer.TeamUsage {
+func (l *cellLoad) Teams() []peer.TeamUsage {
 	var teams []peer.TeamUsage
-	l.each(func(s peer.Summary) { teams = append(teams, s.Teams...) })
+	l.eachSummary(func(s peer.Summary) { teams = append(teams, s.Teams...) })
 	return teams
 }
 
 // ServiceLoads returns the load of a service on each peer that owns instances of it.
-func (l *load) ServiceLoads(name string) []requests.PeerLoad {
+func (l *cellLoad) ServiceLoads(name string) []requests.PeerLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var loads []requests.PeerLoad
@@ -170,7 +170,7 @@
 
 // Forward hands a request to a peer, and counts the slot that it will take
 // until the peer's next summary.
-func (l *load) Forward(ctx context.Context, node string, r requests.Request) (requests.Result, error) {
+func (l *cellLoad) Forward(ctx context.Context, node string, r requests.Request) (requests.Result, error) {
 	l.mu.Lock()
 	p, ok := l.peers[node]
 	if !ok {
@@ -186,13 +186,13 @@
 	l.mu.Unlock()
 	res, err := l.n.forward(ctx, address, r)
 	if requests.IsNotSent(err) {
-		l.forget(node)
+		l.dropPeer(node)
 	}
 	return res, err
 }
 
-// forget drops a peer that was not reached, until it answers again.
-func (l *load) forget(node string) {
+// dropPeer drops a peer that was not reached, until it answers again.
+func (l *cellLoad) dropPeer(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.peers, node)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,8 +15,8 @@
 
 func newCounters(n *Node) counters {
 	gauge := func(name string, fn func() float64) { n.metrics.NewGauge(name, fn) }
-	gauge("switchbank_lease_held", func() float64 { return number(n.lease.Held()) })
-	gauge("switchbank_store_down", func() float64 { return number(n.journal.Down()) })
+	gauge("switchbank_lease_held", func() float64 { return boolToFloat(n.lease.Held()) })
+	gauge("switchbank_store_down", func() float64 { return boolToFloat(n.journal.Down()) })
 	gauge(`switchbank_shards_owned{kind="job"}`, func() float64 { return float64(n.shards.Owned(shard.KindJob)) })
 	gauge(`switchbank_shards_owned{kind="worker"}`, func() float64 { return float64(n.shards.Owned(shard.KindWorker)) })
 	gauge("switchbank_shards_unowned", func() float64 { return float64(n.shards.Unowned()) })
@@ -27,7 +27,7 @@
 	return counters{n}
 }
 
-func number(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -40,7 +40,7 @@
 }
 
 // request counts a request that ended, and the time it took.
-func (c counters) request(res requests.Result, took time.Duration) {
+func (c counters) request(res requests.Result, elapsed time.Duration) {
 	c.n.metrics.GetOrCreateCounter(fmt.Sprintf("switchbank_requests_total{outcome=%q,reason=%q}", res.Outcome, res.Reason)).Inc()
-	c.n.metrics.GetOrCreateHistogram(fmt.Sprintf("switchbank_request_seconds{outcome=%q}", res.Outcome)).Update(took.Seconds())
+	c.n.metrics.GetOrCreateHistogram(fmt.Sprintf("switchbank_request_seconds{outcome=%q}", res.Outcome)).Update(elapsed.Seconds())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,8 +37,8 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// handedKept is how many ids of requests that were handed over are kept.
-const handedKept = 1 << 14
+// maxForwardedIDs is how many ids of requests that were handed over are kept.
+const maxForwardedIDs = 1 << 14
 
 // Platform is what a node uses of the platform.
 type Platform interface {
@@ -134,7 +134,7 @@
 	entry     *requests.Entry
 	bundles   *bundle.Store
 	follower  *follower
-	load      *load
+	load      *cellLoad
 	peerHTTP  *http.Client
 	clients   []*http.Client
 	shardKeys []shard.Key
@@ -142,11 +142,11 @@
 	draining atomic.Bool
 	drain    chan struct{}
 	inFlight chan struct{}
-	// handed holds the ids of the requests that peers handed over last.
-	handed   *lru.Cache[string, struct{}]
-	counters counters
-	runCtx   context.Context
-	stopRun  context.CancelFunc
+	// forwardedIDs holds the ids of the requests that peers forwardedIDs over last.
+	forwardedIDs *lru.Cache[string, struct{}]
+	counters     counters
+	runCtx       context.Context
+	stopRun      context.CancelFunc
 }
 
 // New returns a node that does not run yet.
@@ -158,14 +158,14 @@
 		inFlight: make(chan struct{}, cfg.Limits.InFlight),
 	}
 	// The size is a constant above 0, so that this can't fail.
-	n.handed, _ = lru.New[string, struct{}](handedKept)
+	n.forwardedIDs, _ = lru.New[string, struct{}](maxForwardedIDs)
 	n.runCtx, n.stopRun = context.WithCancel(context.Background())
 	n.peerHTTP = n.newClient("peers", peerConns)
 	if deps.Platform == nil {
 		n.deps.Platform = platform.NewClient(cfg.Platform.URL, n.newClient("platform", platformConns), cfg.Platform.Timeout)
 	}
 	n.follower = newFollower(n)
-	n.load = newLoad(n)
+	n.load = newCellLoad(n)
 	n.newStores()
 	n.newShards()
 	n.newRequests()
@@ -257,11 +257,11 @@
 		zap.String("peers", n.deps.Peers.Addr().String()), zap.String("operators", n.deps.Operators.Addr().String()))
 	defer n.stopRun()
 	servers := n.newServers()
-	g, run := errgroup.WithContext(n.runCtx)
+	g, runCtx := errgroup.WithContext(n.runCtx)
 	for _, loop := range []func(context.Context) error{
 		n.lease.Run, n.shards.Run, n.journal.Run, n.pools.Run, n.jobs.Run, n.follower.run, n.load.run,
 	} {
-		g.Go(func() error { return loop(run) })
+		g.Go(func() error { return loop(runCtx) })
 	}
 	for _, s := range servers {
 		g.Go(s.serve)
@@ -270,9 +270,9 @@
 		select {
 		case <-ctx.Done():
 		case <-n.drain:
-		case <-run.Done():
+		case <-runCtx.Done():
 		}
-		n.stop(run, servers)
+		n.stop(runCtx, servers)
 		return nil
 	})
 	err := g.Wait()
@@ -293,17 +293,17 @@
 }
 
 // stop is a planned stop, unless run has ended by a failure.
-func (n *Node) stop(run context.Context, servers []*server) {
-	if run.Err() == nil && !n.deps.Guards.NoDrain {
+func (n *Node) stop(runCtx context.Context, servers []*server) {
+	if runCtx.Err() == nil && !n.deps.Guards.NoDrain {
 		n.draining.Store(true)
 		n.log.Info("node draining", events.NodeDraining)
 		n.lease.SetDraining()
-		pause(run, n.cfg.Requests.DrainDelay)
-		n.shards.ReleaseAll(run)
+		sleep(runCtx, n.cfg.Requests.DrainDelay)
+		n.shards.ReleaseAll(runCtx)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.Requests.DrainTimeout)
 	defer cancel()
-	if run.Err() != nil || n.deps.Guards.NoDrain {
+	if runCtx.Err() != nil || n.deps.Guards.NoDrain {
 		cancel()
 	}
 	for _, s := range servers {
@@ -312,17 +312,17 @@
 	for _, c := range n.clients {
 		c.CloseIdleConnections()
 	}
-	if run.Err() == nil {
-		resign, cancel := context.WithTimeout(context.Background(), n.cfg.Platform.Timeout)
+	if runCtx.Err() == nil {
+		resignCtx, cancel := context.WithTimeout(context.Background(), n.cfg.Platform.Timeout)
 		defer cancel()
-		if err := n.lease.Resign(resign); err != nil {
+		if err := n.lease.Resign(resignCtx); err != nil {
 			n.log.Warn("lease not resigned", events.LeaseNotRenewed, zap.Error(err))
 		}
 	}
 	n.stopRun()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -337,11 +337,11 @@
 	switch {
 	case n.draining.Load():
 		return errors.New("draining")
-	case !n.follower.read():
+	case !n.follower.headRead():
 		return errors.New("the bundle in force has not been read yet")
 	case !n.follower.isFresh():
 		return errors.New("the bundle in force was not confirmed lately")
-	case !n.load.exchanged():
+	case !n.load.hasExchanged():
 		return errors.New("the shards have not been read yet")
 	}
 	return nil
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,11 +36,11 @@
 
 const rivalToken = "the rival's token"
 
-// running is a node on loopback with stand-ins.
-type running struct {
+// testNode is a node on loopback with stand-ins.
+type testNode struct {
 	callers, peers, operators string
 	n                         *node.Node
-	plat                      *standin.Platform
+	platform                  *standin.Platform
 }
 
 func listen(t testing.TB) net.Listener {
@@ -53,8 +53,8 @@
 	return l
 }
 
-// start runs a node with one worker and a bundle in force; change alters its settings.
-func start(t testing.TB, change func(*config.Config)) *running {
+// startNode runs a node with one worker and a bundle in force; change alters its settings.
+func startNode(t testing.TB, change func(*config.Config)) *testNode {
 	t.Helper()
 	cfg, err := config.Parse("node.yaml", examples.Node)
 	if err != nil {
@@ -67,8 +67,8 @@
 	if change != nil {
 		change(&cfg)
 	}
-	r := &running{plat: standin.New()}
-	deps := node.Deps{Platform: r.plat, Log: zap.NewNop(), Callers: listen(t), Peers: listen(t), Operators: listen(t)}
+	r := &testNode{platform: standin.New()}
+	deps := node.Deps{Platform: r.platform, Log: zap.NewNop(), Callers: listen(t), Peers: listen(t), Operators: listen(t)}
 	r.callers, r.peers, r.operators = deps.Callers.Addr().String(), deps.Peers.Addr().String(), deps.Operators.Addr().String()
 	r.n = node.New(cfg, deps)
 	ctx, stop := context.WithCancel(context.Background())
@@ -80,21 +80,21 @@
 	return r
 }
 
-func (r *running) startWorker(t testing.TB, ctx context.Context, g *errgroup.Group) { //nolint:revive // The test comes first here.
+func (r *testNode) startWorker(t testing.TB, ctx context.Context, g *errgroup.Group) { //nolint:revive // The test comes first here.
 	l := listen(t)
 	h := local.ExampleHost(0, "kosice-1")
 	h.Address = l.Addr().String()
 	w := worker.New(worker.Config{ID: h.ID, Capacity: h.Capacity, Listen: func() (net.Listener, error) { return listen(t), nil }})
-	r.plat.SetHost(h)
+	r.platform.SetHost(h)
 	g.Go(func() error { _ = w.Serve(ctx, l); return nil })
 }
 
-func (r *running) client(team, token string) *client.Client {
+func (r *testNode) client(team, token string) *client.Client {
 	return client.New(client.Config{Callers: r.callers, Operators: r.operators, Team: team, Token: token})
 }
 
 // putBundle puts a bundle in force: team inkasoft is open, team rival has a token and a limit.
-func (r *running) putBundle(t testing.TB) {
+func (r *testNode) putBundle(t testing.TB) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestListenersAreApart asks each listener for the others' routes.
-func TestListenersAreApart(t *testing.T) {
+// TestListenersServeOnlyTheirRoutes asks each listener for the others' routes.
+func TestListenersServeOnlyTheirRoutes(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	for _, tt := range []struct{ where, address, method, path string }{
 		{"callers", r.callers, http.MethodPost, peer.PathReserve},
 		{"callers", r.callers, http.MethodGet, peer.PathSummary},
@@ -157,10 +157,10 @@
 	}
 }
 
-// TestBadWorkloads sends what must be refused, and checks that nothing of it is kept.
-func TestBadWorkloads(t *testing.T) {
+// TestInvalidWorkloadsAreRefused sends what must be refused, and checks that nothing of it is kept.
+func TestInvalidWorkloadsAreRefused(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	good, err := json.Marshal(job("bad"))
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			body := strings.Replace(string(good), tt.old, tt.new, 1)
-			status, p := r.post(t, "/v1/workloads", body, "inkasoft", nil)
+			status, p := r.postToCallers(t, "/v1/workloads", body, "inkasoft", nil)
 			if status != tt.status || p.Field != tt.field || p.Reason == "" {
 				t.Errorf("have %d %+v", status, p)
 			}
@@ -197,7 +197,7 @@
 	}
 }
 
-func (r *running) post(t *testing.T, path, body, team string, header map[string]string) (int, httpx.Problem) {
+func (r *testNode) postToCallers(t *testing.T, path, body, team string, header map[string]string) (int, httpx.Problem) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+r.callers+path, strings.NewReader(body))
 	if err != nil {
@@ -221,10 +221,10 @@
 	return resp.StatusCode, p
 }
 
-// TestBadRequests sends requests whose headers or bodies must be refused, each with its own reason.
-func TestBadRequests(t *testing.T) {
+// TestInvalidRequestsAreRefused sends requests whose headers or bodies must be refused, each with its own reason.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	now := time.Now().UTC().Format(time.RFC3339)
 	tests := []struct {
 		name, team, body string
@@ -247,7 +247,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			status, p := r.post(t, "/v1/services/none/requests", tt.body, tt.team, tt.header)
+			status, p := r.postToCallers(t, "/v1/services/none/requests", tt.body, tt.team, tt.header)
 			if status != tt.status || p.Reason != tt.reason || p.Field != tt.field || p.Outcome == "" {
 				t.Errorf("have %d %+v", status, p)
 			}
@@ -255,10 +255,10 @@
 	}
 }
 
-// TestTeamsAreApart has one team read and cancel another's work.
-func TestTeamsAreApart(t *testing.T) {
+// TestTeamsAreIsolated has one team read and cancel another's work.
+func TestTeamsAreIsolated(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	own, rival := r.client("inkasoft", ""), r.client("rival", rivalToken)
 	if _, err := own.Create(t.Context(), job("mine")); err != nil {
 		t.Fatal(err)
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestOperatorsToken asks the operators' listener with and without a token.
-func TestOperatorsToken(t *testing.T) {
+// TestOperatorToken asks the operators' listener with and without a token.
+func TestOperatorToken(t *testing.T) {
 	t.Parallel()
 	const token = "an operator's token"
 	sum := sha256.Sum256([]byte(token))
@@ -293,7 +293,7 @@
 	cfg.Operators.TokenSHA256 = []string{hex.EncodeToString(sum[:])}
 	cfg.Requests.DrainDelay = time.Millisecond
 	deps := node.Deps{Platform: standin.New(), Log: zap.NewNop(), Callers: listen(t), Peers: listen(t), Operators: listen(t)}
-	r := &running{callers: deps.Callers.Addr().String(), operators: deps.Operators.Addr().String()}
+	r := &testNode{callers: deps.Callers.Addr().String(), operators: deps.Operators.Addr().String()}
 	ctx, stop := context.WithCancel(context.Background())
 	var g errgroup.Group
 	g.Go(func() error { return node.New(cfg, deps).Run(ctx) })
@@ -312,10 +312,10 @@
 	}
 }
 
-// TestSameWorkloadAgain sends a workload twice, and then another of the same id.
-func TestSameWorkloadAgain(t *testing.T) {
+// TestCreateIsIdempotent sends a workload twice, and then another of the same id.
+func TestCreateIsIdempotent(t *testing.T) {
 	t.Parallel()
-	r := start(t, nil)
+	r := startNode(t, nil)
 	c := r.client("inkasoft", "")
 	for range 2 {
 		if _, err := c.Create(t.Context(), job("same")); err != nil {
@@ -333,10 +333,10 @@
 	}
 }
 
-// TestKeptIsBounded fills a node with workloads and keys.
-func TestKeptIsBounded(t *testing.T) {
+// TestWorkloadsAndKeysAreBounded fills a node with workloads and keys.
+func TestWorkloadsAndKeysAreBounded(t *testing.T) {
 	t.Parallel()
-	r := start(t, func(c *config.Config) {
+	r := startNode(t, func(c *config.Config) {
 		c.JobShards, c.Limits.Keys, c.Limits.Workloads = 1, 3, 2
 	})
 	c := r.client("inkasoft", "")
@@ -348,7 +348,7 @@
 		}
 	}
 	for i := range 5 {
-		status, p := r.post(t, "/v1/services/none/requests", "x", "inkasoft", map[string]string{
+		status, p := r.postToCallers(t, "/v1/services/none/requests", "x", "inkasoft", map[string]string{
 			api.HeaderKey: fmt.Sprintf("key-%d", i), api.HeaderKeyCreated: time.Now().UTC().Format(time.RFC3339), api.HeaderTimeout: "200",
 		})
 		if full := status == http.StatusTooManyRequests && p.Reason == "too_many_keys"; full != (i >= 3) {
@@ -357,15 +357,15 @@
 	}
 }
 
-// TestBounds opens more connections and sends larger headers than are allowed.
-func TestBounds(t *testing.T) {
+// TestConnectionAndHeaderLimits opens more connections and sends larger headers than are allowed.
+func TestConnectionAndHeaderLimits(t *testing.T) {
 	t.Parallel()
 	const most = 8
-	r := start(t, func(c *config.Config) {
+	r := startNode(t, func(c *config.Config) {
 		c.Limits.Connections = most
 		c.Limits.HeaderBytes = 2048
 	})
-	resp, err := send(t, r, strings.Repeat("h", 16<<10))
+	resp, err := getWithHeader(t, r, strings.Repeat("h", 16<<10))
 	if err != nil || resp != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("large headers: %d, %v", resp, err)
 	}
@@ -396,7 +396,7 @@
 	}
 }
 
-func send(t *testing.T, r *running, header string) (int, error) {
+func getWithHeader(t *testing.T, r *testNode, header string) (int, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.callers+"/v1/workloads", nil)
 	if err != nil {
@@ -410,7 +410,7 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-func metricsOf(t *testing.T, r *running) []string {
+func metricsOf(t *testing.T, r *testNode) []string {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.operators+"/metrics", nil)
 	if err != nil {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -89,12 +89,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", n.serveReady)
-	mux.Handle("/", n.operatorsOnly(n.guardedRoutes()))
+	mux.Handle("/", n.requireOperator(n.authenticatedRoutes()))
 	return mux
 }
 
-// guardedRoutes are those that ask for an operator's token.
-func (n *Node) guardedRoutes() http.Handler {
+// authenticatedRoutes are those that ask for an operator's token.
+func (n *Node) authenticatedRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		n.metrics.WritePrometheus(w)
@@ -103,19 +103,19 @@
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
-	mux.Handle("GET "+PathStatus, operate(n.status))
-	mux.Handle("POST "+PathDrain, operate(n.serveDrain))
-	mux.Handle("GET "+PathBundle, operate(n.bundleStatus))
-	mux.Handle("POST "+PathBundlePropose, operate(n.propose))
-	mux.Handle("POST "+PathBundleAccept, operate(n.accept))
-	mux.Handle("GET "+PathBundleHistory, operate(n.history))
+	mux.Handle("GET "+PathStatus, operatorHandler(n.status))
+	mux.Handle("POST "+PathDrain, operatorHandler(n.serveDrain))
+	mux.Handle("GET "+PathBundle, operatorHandler(n.bundleStatus))
+	mux.Handle("POST "+PathBundlePropose, operatorHandler(n.propose))
+	mux.Handle("POST "+PathBundleAccept, operatorHandler(n.accept))
+	mux.Handle("GET "+PathBundleHistory, operatorHandler(n.history))
 	return mux
 }
 
-// operatorsOnly turns away who has no operator's token, where the settings ask for one.
-func (n *Node) operatorsOnly(h http.Handler) http.Handler {
+// requireOperator turns away who has no operator's token, where the settings ask for one.
+func (n *Node) requireOperator(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !tokenOK(n.cfg.Operators.TokenSHA256, r) {
+		if !tokenValid(n.cfg.Operators.TokenSHA256, r) {
 			n.counters.refused("operator_token_not_valid")
 			httpx.WriteError(w, httpx.NewProblem(http.StatusUnauthorized, "operator_token_not_valid", "the bearer token is not an operator's"))
 			return
@@ -124,8 +124,8 @@
 	})
 }
 
-// operate serves a call of an operator.
-func operate[Req, Resp any](fn func(context.Context, Req) (Resp, error)) http.Handler {
+// operatorHandler serves a call of an operator.
+func operatorHandler[Req, Resp any](fn func(context.Context, Req) (Resp, error)) http.Handler {
 	return httpx.Handle(maxBundleBytes, func(ctx context.Context, req Req) (Resp, error) {
 		resp, err := fn(ctx, req)
 		return resp, bundleProblem(err)
@@ -194,12 +194,12 @@
 		return st, err
 	}
 	st.Proposal = &p
-	st.Waiting = n.notStaged(p.Digest)
+	st.Waiting = n.nodesNotStaged(p.Digest)
 	return st, nil
 }
 
-// notStaged returns the live nodes that do not hold a bundle ready.
-func (n *Node) notStaged(digest string) []string {
+// nodesNotStaged returns the live nodes that do not hold a bundle ready.
+func (n *Node) nodesNotStaged(digest string) []string {
 	var waiting []string
 	for _, node := range n.lease.Live() {
 		if node.Staged != digest && !node.Draining {
@@ -230,7 +230,7 @@
 		if err := n.lease.Refresh(ctx); err != nil {
 			return bundle.Head{}, &bundle.Error{Op: "accept", Kind: bundle.KindStore, Err: err}
 		}
-		if waiting := n.notStaged(p.Digest); len(waiting) > 0 {
+		if waiting := n.nodesNotStaged(p.Digest); len(waiting) > 0 {
 			return bundle.Head{}, &bundle.Error{Op: "accept", Kind: bundle.KindNotStaged, Err: errors.Errorf("not staged yet on %v", waiting)}
 		}
 	}
@@ -241,7 +241,7 @@
 	n.log.Info("bundle accepted", events.BundleRolledOut, zap.Int64("version", head.Version), zap.String("change", head.Change))
 	// In force here at once, and by the peers' exchange everywhere, even when the
 	// store goes down before any node has read the new head.
-	if err := n.follower.follow(ctx, head); err != nil {
+	if err := n.follower.advance(ctx, head); err != nil {
 		n.log.Warn("bundle not read", events.BundleNotRead, zap.Error(err))
 	}
 	return head, nil
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -49,36 +49,36 @@
 
 func (n *Node) peerRoutes() http.Handler {
 	mux := http.NewServeMux()
-	route(mux, peer.PathReserve, n.pools.Reserve)
-	route(mux, peer.PathConfirm, n.pools.Confirm)
-	route(mux, peer.PathStop, n.pools.Stop)
-	route(mux, peer.PathLetGo, n.pools.CancelReservations)
-	route(mux, peer.PathEvents, n.takeEvents)
-	route(mux, peer.PathKeyBegin, n.jobs.KeyBegin)
-	route(mux, peer.PathKeyFinish, n.jobs.KeyFinish)
-	route(mux, peer.PathJobCreate, n.createHere)
-	route(mux, peer.PathJobGet, n.getHere)
-	route(mux, peer.PathJobCancel, n.cancelHere)
-	route(mux, peer.PathJobList, n.listHere)
-	route(mux, peer.PathRequest, n.requestHere)
+	handlePeer(mux, peer.PathReserve, n.pools.Reserve)
+	handlePeer(mux, peer.PathConfirm, n.pools.Confirm)
+	handlePeer(mux, peer.PathStop, n.pools.Stop)
+	handlePeer(mux, peer.PathLetGo, n.pools.CancelReservations)
+	handlePeer(mux, peer.PathEvents, n.applyEvents)
+	handlePeer(mux, peer.PathKeyBegin, n.jobs.KeyBegin)
+	handlePeer(mux, peer.PathKeyFinish, n.jobs.KeyFinish)
+	handlePeer(mux, peer.PathJobCreate, n.createLocal)
+	handlePeer(mux, peer.PathJobGet, n.getLocal)
+	handlePeer(mux, peer.PathJobCancel, n.cancelLocal)
+	handlePeer(mux, peer.PathJobList, n.listLocal)
+	handlePeer(mux, peer.PathRequest, n.runForwarded)
 	mux.Handle("GET "+peer.PathSummary, httpx.Handle(0, n.serveSummary))
 	mux.Handle("GET "+peer.PathHead, httpx.Handle(0, n.serveHead))
 	return mux
 }
 
-// route serves a message between nodes.
-func route[Req, Resp any](mux *http.ServeMux, path string, fn func(context.Context, Req) (Resp, error)) {
+// handlePeer serves a message between nodes.
+func handlePeer[Req, Resp any](mux *http.ServeMux, path string, fn func(context.Context, Req) (Resp, error)) {
 	mux.Handle("POST "+path, httpx.Handle(maxPeerBody, func(ctx context.Context, req Req) (Resp, error) {
 		resp, err := fn(ctx, req)
 		return resp, problem(err)
 	}))
 }
 
-func (n *Node) createHere(ctx context.Context, req CreateRequest) (api.Status, error) {
+func (n *Node) createLocal(ctx context.Context, req CreateRequest) (api.Status, error) {
 	return n.jobs.Create(ctx, req.Shard, req.Workload)
 }
 
-func (n *Node) getHere(ctx context.Context, req JobRef) (api.Status, error) {
+func (n *Node) getLocal(ctx context.Context, req JobRef) (api.Status, error) {
 	if req.WaitMS > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(req.WaitMS)*time.Millisecond)
@@ -87,18 +87,18 @@
 	return n.jobs.Get(ctx, req.Shard, req.ID, req.Since, req.Tasks)
 }
 
-func (n *Node) cancelHere(ctx context.Context, req JobRef) (api.Status, error) {
+func (n *Node) cancelLocal(ctx context.Context, req JobRef) (api.Status, error) {
 	return n.jobs.Cancel(ctx, req.Shard, req.ID)
 }
 
-func (n *Node) listHere(_ context.Context, req ListRequest) (api.StatusList, error) {
+func (n *Node) listLocal(_ context.Context, req ListRequest) (api.StatusList, error) {
 	return api.StatusList{Workloads: n.jobs.List(req.Team)}, nil
 }
 
-// requestHere ends a request that a peer handed over; it is not handed on. A
+// runForwarded ends a request that a peer handed over; it is not handed on. A
 // message that comes twice is turned away the second time.
-func (n *Node) requestHere(ctx context.Context, r requests.Request) (requests.Result, error) {
-	if seen, _ := n.handed.ContainsOrAdd(r.ID, struct{}{}); seen {
+func (n *Node) runForwarded(ctx context.Context, r requests.Request) (requests.Result, error) {
+	if seen, _ := n.forwardedIDs.ContainsOrAdd(r.ID, struct{}{}); seen {
 		return requests.Result{}, httpx.NewProblem(http.StatusConflict, "handed_over_before", r.ID)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.TimeoutMS)*time.Millisecond)
@@ -107,7 +107,7 @@
 }
 
 func (n *Node) serveSummary(context.Context, httpx.None) (peer.Summary, error) {
-	return n.load.own(), nil
+	return n.load.ownSummary(), nil
 }
 
 func (n *Node) serveHead(context.Context, httpx.None) (HeadReply, error) {
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// ownerWait is how long a call waits for a shard that is between two owners.
-	ownerWait  = 3 * time.Second
-	ownerRetry = 50 * time.Millisecond
+	// ownerRetryTime is how long a call waits for a shard that is between two owners.
+	ownerRetryTime     = 3 * time.Second
+	ownerRetryInterval = 50 * time.Millisecond
 	// callTimeout bounds the calls that a node makes on its own account.
 	callTimeout = 5 * time.Second
-	retryIn     = time.Second
-	// fullRetryIn is when something that was kept may have been forgotten.
-	fullRetryIn = time.Minute
+	retryAfter  = time.Second
+	// retryAfterFull is when something that was kept may have been forgotten.
+	retryAfterFull = time.Minute
 )
 
-// onOwner calls the owner of a shard: this node's own function, or a peer.
-func onOwner[Req, Resp any](
+// callOwner calls the owner of a shard: this node's own function, or a peer.
+func callOwner[Req, Resp any](
 	ctx context.Context, n *Node, key shard.Key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
 	var zero Resp
@@ -38,7 +38,7 @@
 	}
 	owner, ok := n.shards.Owner(key)
 	if !ok {
-		return zero, notOwner(key)
+		return zero, noOwnerProblem(key)
 	}
 	if owner.Owner == n.cfg.Node {
 		// Not certain now: the part itself knows why.
@@ -47,24 +47,24 @@
 	return httpx.Call[Req, Resp](ctx, n.peerHTTP, "http://"+owner.PeerAddress+path, req)
 }
 
-// onOwnerSoon is onOwner, but waits a short time for a shard that is between
+// callOwnerRetrying is onOwner, but waits a short time for a shard that is between
 // two owners. Only calls that may be repeated use it.
-func onOwnerSoon[Req, Resp any](
+func callOwnerRetrying[Req, Resp any](
 	ctx context.Context, n *Node, key shard.Key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
-	until := time.Now().Add(ownerWait)
+	deadline := time.Now().Add(ownerRetryTime)
 	for {
-		resp, err := onOwner(ctx, n, key, path, req, local)
-		if err == nil || !mayMove(err) || ctx.Err() != nil || time.Now().After(until) {
+		resp, err := callOwner(ctx, n, key, path, req, local)
+		if err == nil || !ownerMayChange(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return resp, err
 		}
 		n.shards.Wake()
-		pause(ctx, ownerRetry)
+		sleep(ctx, ownerRetryInterval)
 	}
 }
 
-// mayMove reports whether an error may come from a shard that changes owners.
-func mayMove(err error) bool {
+// ownerMayChange reports whether an error may come from a shard that changes owners.
+func ownerMayChange(err error) bool {
 	var he *httpx.Error
 	if errors.As(err, &he) {
 		return he.Kind == httpx.KindTransport || he.Problem.Reason == peer.ReasonNotOwner
@@ -72,9 +72,9 @@
 	return jobs.KindOf(err) == jobs.KindNotOwner
 }
 
-func notOwner(key shard.Key) error {
+func noOwnerProblem(key shard.Key) error {
 	return httpx.NewProblem(http.StatusServiceUnavailable, peer.ReasonNotOwner, "shard "+string(key)+" has no owner now").
-		RetryAfter(retryIn).WithOutcome(string(api.OutcomeNotRun))
+		RetryAfter(retryAfter).WithOutcome(string(api.OutcomeNotRun))
 }
 
 // problem turns an error of the node's parts into a problem document.
@@ -88,11 +88,11 @@
 			return he
 		}
 		return httpx.NewProblem(http.StatusServiceUnavailable, "owner_unreachable", err.Error()).
-			RetryAfter(retryIn).WithOutcome(string(api.OutcomeUnknown))
+			RetryAfter(retryAfter).WithOutcome(string(api.OutcomeUnknown))
 	}
 	var pe *pool.Error
 	if errors.As(err, &pe) {
-		return httpx.NewProblem(http.StatusServiceUnavailable, string(pe.Kind), err.Error()).RetryAfter(retryIn)
+		return httpx.NewProblem(http.StatusServiceUnavailable, string(pe.Kind), err.Error()).RetryAfter(retryAfter)
 	}
 	return jobProblem(err)
 }
@@ -107,16 +107,16 @@
 		return p.WithOutcome(string(api.OutcomeRefused))
 	case jobs.KindNotOwner:
 		return httpx.NewProblem(http.StatusServiceUnavailable, peer.ReasonNotOwner, err.Error()).
-			RetryAfter(retryIn).WithOutcome(string(api.OutcomeNotRun))
+			RetryAfter(retryAfter).WithOutcome(string(api.OutcomeNotRun))
 	case jobs.KindUnavailable:
 		return httpx.NewProblem(http.StatusServiceUnavailable, "store_unavailable", "the store takes no writes now; nothing was kept").
-			RetryAfter(2 * retryIn).WithOutcome(string(api.OutcomeRefused))
+			RetryAfter(2 * retryAfter).WithOutcome(string(api.OutcomeRefused))
 	case jobs.KindTooManyKeys, jobs.KindTooManyJobs:
 		return httpx.NewProblem(http.StatusTooManyRequests, string(jobs.KindOf(err)), err.Error()).
-			RetryAfter(fullRetryIn).WithOutcome(string(api.OutcomeRefused))
+			RetryAfter(retryAfterFull).WithOutcome(string(api.OutcomeRefused))
 	case jobs.KindUncertain:
 		return httpx.NewProblem(http.StatusGatewayTimeout, "not_known_whether_kept", "the store did not answer in time; sending the same again is safe").
-			RetryAfter(2 * retryIn).WithOutcome(string(api.OutcomeUnknown))
+			RetryAfter(2 * retryAfter).WithOutcome(string(api.OutcomeUnknown))
 	}
 	return err
 }
@@ -124,33 +124,33 @@
 // poolRouter reaches the owners of worker shards.
 type poolRouter struct{ n *Node }
 
-// toPool calls the owner of a worker shard, within the time that a node gives its own calls.
-func toPool[Req, Resp any](
+// callPoolOwner calls the owner of a worker shard, within the time that a node gives its own calls.
+func callPoolOwner[Req, Resp any](
 	ctx context.Context, n *Node, key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return onOwner(ctx, n, shard.Key(key), path, req, local)
+	return callOwner(ctx, n, shard.Key(key), path, req, local)
 }
 
 // Reserve asks for room.
 func (r poolRouter) Reserve(ctx context.Context, req peer.ReserveRequest) (peer.ReserveReply, error) {
-	return toPool(ctx, r.n, req.Shard, peer.PathReserve, req, r.n.pools.Reserve)
+	return callPoolOwner(ctx, r.n, req.Shard, peer.PathReserve, req, r.n.pools.Reserve)
 }
 
 // Confirm asks for the start of reserved tasks.
 func (r poolRouter) Confirm(ctx context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error) {
-	return toPool(ctx, r.n, req.Shard, peer.PathConfirm, req, r.n.pools.Confirm)
+	return callPoolOwner(ctx, r.n, req.Shard, peer.PathConfirm, req, r.n.pools.Confirm)
 }
 
 // Stop asks for the end of tasks.
 func (r poolRouter) Stop(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	return toPool(ctx, r.n, req.Shard, peer.PathStop, req, r.n.pools.Stop)
+	return callPoolOwner(ctx, r.n, req.Shard, peer.PathStop, req, r.n.pools.Stop)
 }
 
 // CancelReservations gives reservations up.
 func (r poolRouter) CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	return toPool(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
+	return callPoolOwner(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
 }
 
 // eventSink takes events to the owners of job shards.
@@ -164,11 +164,11 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	key := s.n.jobKey(job)
-	_, err := onOwner(ctx, s.n, key, peer.PathEvents, peer.EventsRequest{Shard: string(key), Events: evs}, s.n.takeEvents)
+	_, err := callOwner(ctx, s.n, key, peer.PathEvents, peer.EventsRequest{Shard: string(key), Events: evs}, s.n.applyEvents)
 	return err
 }
 
-func (n *Node) takeEvents(ctx context.Context, req peer.EventsRequest) (httpx.None, error) {
+func (n *Node) applyEvents(ctx context.Context, req peer.EventsRequest) (httpx.None, error) {
 	return httpx.None{}, n.jobs.Events(ctx, req)
 }
 
@@ -181,7 +181,7 @@
 func (r keyRouter) Begin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
-	reply, err := onOwnerSoon(ctx, r.n, key, peer.PathKeyBegin, req, r.n.jobs.KeyBegin)
+	reply, err := callOwnerRetrying(ctx, r.n, key, peer.PathKeyBegin, req, r.n.jobs.KeyBegin)
 	return reply, problem(err)
 }
 
@@ -189,5 +189,5 @@
 func (r keyRouter) Finish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
-	return onOwnerSoon(ctx, r.n, key, peer.PathKeyFinish, req, r.n.jobs.KeyFinish)
+	return callOwnerRetrying(ctx, r.n, key, peer.PathKeyFinish, req, r.n.jobs.KeyFinish)
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -35,7 +35,7 @@
 // newClient returns an HTTP client for a class of counterparts, with bounds on
 // everything; calls bound their own time by their context.
 func (n *Node) newClient(class string, connsPerHost int) *http.Client {
-	c := newClient(n.cfg, n.counted(class), connsPerHost)
+	c := newClient(n.cfg, n.countBytes(class), connsPerHost)
 	if n.deps.Wrap != nil {
 		c.Transport = n.deps.Wrap(c.Transport)
 	}
@@ -43,8 +43,8 @@
 	return c
 }
 
-// counted returns the node's dial function, with the bytes of its connections counted.
-func (n *Node) counted(class string) dialFunc {
+// countBytes returns the node's dial function, with the bytes of its connections countBytes.
+func (n *Node) countBytes(class string) dialFunc {
 	dial := n.deps.Dial
 	if dial == nil {
 		dial = tcpDial
@@ -115,7 +115,7 @@
 }
 
 func (n *Node) newServer(name string, l net.Listener, h http.Handler) *server {
-	limited := &limitListener{Listener: l, most: int64(n.cfg.Limits.Connections), refused: n.metrics.NewCounter(
+	limited := &limitListener{Listener: l, max: int64(n.cfg.Limits.Connections), onRefused: n.metrics.NewCounter(
 		`switchbank_connections_refused_total{listener="` + name + `"}`).Inc}
 	return &server{name: name, l: limited, http: &http.Server{
 		Handler:           h,
@@ -145,9 +145,9 @@
 // limitListener closes connections beyond a number at once.
 type limitListener struct {
 	net.Listener
-	open    atomic.Int64
-	most    int64
-	refused func()
+	open      atomic.Int64
+	max       int64
+	onRefused func()
 }
 
 // Accept returns the next connection within the limit.
@@ -157,11 +157,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.max {
 			return &limitConn{Conn: c, l: l}, nil
 		}
 		l.open.Add(-1)
-		l.refused()
+		l.onRefused()
 		_ = c.Close()
 	}
 }
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -25,7 +25,7 @@
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(rec)))
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	t.Cleanup(func() { otel.SetTracerProvider(sdktrace.NewTracerProvider()) })
-	r := start(t, nil)
+	r := startNode(t, nil)
 	c := r.client("inkasoft", "")
 	_, err := c.Create(t.Context(), api.Workload{
 		ID: "svc", Team: "inkasoft", Kind: api.KindService, Class: "notice", Tasks: 1, Service: "svc",
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	const trace = "0af7651916cd43dd8448eb211c80319c"
-	status, p := r.post(t, "/v1/services/svc/requests", "x", "inkasoft", map[string]string{
+	status, p := r.postToCallers(t, "/v1/services/svc/requests", "x", "inkasoft", map[string]string{
 		"Traceparent": fmt.Sprintf("00-%s-b7ad6b7169203331-01", trace),
 	})
 	if status != http.StatusOK {
