--- a/internal/cell/successors.go
+++ b/internal/cell/candidates.go
@@ -63,8 +63,8 @@
 	return before
 }
 
-// successors sorts nodes in the order in which they are candidates for a shard.
-func successors(shard cluster.ShardID, nodes []candidate) []candidate {
+// sortCandidates sorts nodes in the order in which they are candidates for a shard.
+func sortCandidates(shard cluster.ShardID, nodes []candidate) []candidate {
 	hash := xxhash.Sum64String(shard.String())
 	slices.SortFunc(nodes, func(a, b candidate) int { return a.compareForShard(hash, b) })
 	return nodes
--- a/internal/cell/handover.go
+++ b/internal/cell/handover.go
@@ -42,7 +42,7 @@
 // handOverShard hands a shard over to the first candidate that takes it, and reports whether
 // one did.
 func (n *Node) handOverShard(ctx context.Context, shard cluster.ShardID, o *owner.Owner) bool {
-	for _, c := range successors(shard, n.peers.candidates()) {
+	for _, c := range sortCandidates(shard, n.peers.candidates()) {
 		if n.handOverTo(ctx, shard, o, c.member) {
 			return true
 		}
--- a/internal/cell/helpers.go
+++ b/internal/cell/helpers.go
@@ -45,7 +45,7 @@
 	if need <= float64(n.me.CPUMilli) {
 		return nil, false
 	}
-	for _, c := range successors(shard, n.peers.candidates()) {
+	for _, c := range sortCandidates(shard, n.peers.candidates()) {
 		if (need <= 0 && len(list) >= minHelpers) || len(list) == maxHelpers {
 			break
 		}
