--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -83,18 +83,18 @@
 		case n.inFlight <- struct{}{}:
 			defer func() { <-n.inFlight }()
 		default:
-			n.refuse(w, "node_busy", "the node works on as many requests as it may")
+			n.refuseCaller(w, "node_busy", "the node works on as many requests as it may")
 			return
 		}
 		if !n.follower.isFresh() {
-			n.refuse(w, "bundle_stale", "the node must read the bundle in force first")
+			n.refuseCaller(w, "bundle_stale", "the node must read the bundle in force first")
 			return
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-func (n *Node) refuse(w http.ResponseWriter, reason, detail string) {
+func (n *Node) refuseCaller(w http.ResponseWriter, reason, detail string) {
 	n.counters.refused(reason)
 	httpx.WriteError(w, httpx.NewProblem(http.StatusServiceUnavailable, reason, detail).
 		RetryAfter(retryAfter).WithOutcome(string(api.OutcomeRefused)))
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -199,5 +199,5 @@
 func (f *follower) isFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.haveHead && (time.Since(f.confirmedAt) < staleAfter || f.n.deps.Guards.ServeStale)
+	return f.haveHead && (time.Since(f.confirmedAt) < staleAfter || f.n.deps.Guards.ServeStaleBundle)
 }
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -29,9 +29,9 @@
 // for their summary every short while.
 type cellLoad struct {
 	n *Node
-	// refreshing lets one request at a time bring an exchange about.
-	refreshing chan struct{}
-	refreshed  time.Time
+	// refreshSem lets one request at a time bring an exchange about.
+	refreshSem  chan struct{}
+	lastRefresh time.Time
 
 	mu            sync.Mutex
 	peers         map[string]*peerState
@@ -45,7 +45,7 @@
 }
 
 func newCellLoad(n *Node) *cellLoad {
-	return &cellLoad{n: n, refreshing: make(chan struct{}, 1), peers: make(map[string]*peerState)}
+	return &cellLoad{n: n, refreshSem: make(chan struct{}, 1), peers: make(map[string]*peerState)}
 }
 
 func (l *cellLoad) run(ctx context.Context) error {
@@ -64,16 +64,16 @@
 // RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
 func (l *cellLoad) RefreshLoads(ctx context.Context) {
 	select {
-	case l.refreshing <- struct{}{}:
+	case l.refreshSem <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-l.refreshing }()
-	if time.Since(l.refreshed) < minRefreshInterval {
+	defer func() { <-l.refreshSem }()
+	if time.Since(l.lastRefresh) < minRefreshInterval {
 		return
 	}
 	l.exchange(ctx)
-	l.refreshed = time.Now()
+	l.lastRefresh = time.Now()
 }
 
 // exchange asks every known peer for its summary.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,22 +58,22 @@
 	NoEpochs bool
 	// NoLeaseCheck takes the lease for held whatever the clock says.
 	NoLeaseCheck bool
-	// Unconditional writes the journal without its conditions.
-	Unconditional bool
+	// SkipConditions writes the journal without its conditions.
+	SkipConditions bool
 	// StartBeforeJournal starts tasks before their place is journalled.
 	StartBeforeJournal bool
-	// NoIntent runs keyed requests without journalling them.
-	NoIntent bool
-	// Overcommit leaves the slots of instances uncounted.
-	Overcommit bool
-	// AnyAnswer passes on answers without comparing their request id.
-	AnyAnswer bool
-	// GuessNotRun says of a call that broke off that it did not run.
-	GuessNotRun bool
+	// SkipKeyJournal runs keyed requests without journalling them.
+	SkipKeyJournal bool
+	// AllowOvercommit leaves the slots of instances uncounted.
+	AllowOvercommit bool
+	// SkipRequestIDCheck passes on answers without comparing their request id.
+	SkipRequestIDCheck bool
+	// AssumeNotRun says of a call that broke off that it did not run.
+	AssumeNotRun bool
 	// IgnoreLeaving goes on using workers that leave.
 	IgnoreLeaving bool
-	// ServeStale serves without having heard of the bundle in force lately.
-	ServeStale bool
+	// ServeStaleBundle serves without having heard of the bundle in force lately.
+	ServeStaleBundle bool
 	// NoDrain drops what is in flight at a planned stop.
 	NoDrain bool
 }
@@ -183,7 +183,7 @@
 		TTL: cfg.Lease.TTL, Margin: cfg.Lease.Margin, Every: cfg.Lease.Every, NoCheck: n.deps.Guards.NoLeaseCheck,
 	}, n.log)
 	n.journal = journal.New(p, p, journal.Options{
-		MinWriteInterval: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.Unconditional,
+		MinWriteInterval: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.SkipConditions,
 	}, n.log)
 	n.bundles = bundle.NewStore(p, p, cfg.Review)
 }
@@ -191,7 +191,7 @@
 func (n *Node) newShards() {
 	cfg := n.cfg
 	n.balancer = requests.NewBalancer(n.bundle)
-	if n.deps.Guards.Overcommit {
+	if n.deps.Guards.AllowOvercommit {
 		n.balancer.AllowOvercommit()
 	}
 	n.pools = pool.NewSet(n.runCtx, cfg.DataCentres, pool.Deps{
@@ -232,12 +232,12 @@
 	n.entry = requests.NewEntry(requests.Deps{
 		Balancer: n.balancer,
 		Upstream: requests.NewUpstream(n.newClient("instances", upstreamConns), requests.UpstreamOptions{
-			AbandonedTimeout: cfg.Linger, SkipRequestIDCheck: n.deps.Guards.AnyAnswer, AssumeNotRun: n.deps.Guards.GuessNotRun,
+			AbandonedTimeout: cfg.Linger, SkipRequestIDCheck: n.deps.Guards.SkipRequestIDCheck, AssumeNotRun: n.deps.Guards.AssumeNotRun,
 		}),
 		Peers:  n.load,
 		Keys:   keyRouter{n},
 		Bundle: n.bundle,
-	}, requests.Options{KeyWindow: cfg.KeyWindow, KeyMargin: cfg.KeyMargin, SkipKeyJournal: n.deps.Guards.NoIntent}, n.log)
+	}, requests.Options{KeyWindow: cfg.KeyWindow, KeyMargin: cfg.KeyMargin, SkipKeyJournal: n.deps.Guards.SkipKeyJournal}, n.log)
 }
 
 // shardChanged passes on that a shard has a new owner.
--- a/matrix/guards_test.go
+++ b/matrix/guards_test.go
@@ -30,7 +30,7 @@
 
 var guardCases = []guardCase{
 	{
-		name: "slot count", promises: []string{promiseRoom}, guards: node.Guards{Overcommit: true},
+		name: "slot count", promises: []string{promiseRoom}, guards: node.Guards{AllowOvercommit: true},
 		rows: []string{"requests rush"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
@@ -50,15 +50,15 @@
 		rows: []string{"node cut from the store only"}, steps: []string{stepPlace}, phases: []phase{before}, ownerOf: "again",
 	},
 	{
-		name: "answer check", promises: []string{promiseAnswer}, guards: node.Guards{AnyAnswer: true},
+		name: "answer check", promises: []string{promiseAnswer}, guards: node.Guards{SkipRequestIDCheck: true},
 		rows: []string{"answers swapped"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
-		name: "unknown told as unknown", promises: []string{promiseNotRun}, guards: node.Guards{GuessNotRun: true},
+		name: "unknown told as unknown", promises: []string{promiseNotRun}, guards: node.Guards{AssumeNotRun: true},
 		rows: []string{"all workers die in a rush"}, steps: []string{stepDispatch}, phases: []phase{after}, skips: []int{0, 8},
 	},
 	{
-		name: "key intent", promises: []string{promiseOnce}, guards: node.Guards{NoIntent: true},
+		name: "key intent", promises: []string{promiseOnce}, guards: node.Guards{SkipKeyJournal: true},
 		rows: []string{"job that can never run"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
@@ -70,7 +70,7 @@
 		rows: []string{"planned stop"}, steps: []string{stepDispatch, stepForward}, phases: []phase{before}, skips: []int{0, 5, 10},
 	},
 	{
-		name: "confirmed bundle", promises: []string{promiseBundle}, guards: node.Guards{ServeStale: true},
+		name: "confirmed bundle", promises: []string{promiseBundle}, guards: node.Guards{ServeStaleBundle: true},
 		rows: []string{"node cut from store and peers"}, steps: []string{stepApply}, phases: []phase{before}, skips: []int{0, 1, 2},
 	},
 }
