--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -36,7 +36,7 @@
 	gauge("switchbank_runs_copied", func(c scheduler.Counts) int64 { return c.Copies })
 	gauge("switchbank_advice_calls", func(c scheduler.Counts) int64 { return c.AdviceCalls })
 	n.metrics.NewGauge("switchbank_workers_aside", n.quarantinedWorkers)
-	gauge("switchbank_workers_set_aside", func(c scheduler.Counts) int64 { return c.SetAside })
+	gauge("switchbank_workers_set_aside", func(c scheduler.Counts) int64 { return c.Quarantines })
 }
 
 // counts returns the sums of the counters of the shards that run here. They start at 0 with
@@ -55,7 +55,7 @@
 		sum.Preempted += c.Preempted
 		sum.Copies += c.Copies
 		sum.AdviceCalls += c.AdviceCalls
-		sum.SetAside += c.SetAside
+		sum.Quarantines += c.Quarantines
 	}
 	return sum
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -271,5 +271,5 @@
 func (o *Owner) WorkersSetAside() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.shard.SetAsideWorkers()
+	return o.shard.QuarantinedWorkers()
 }
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -31,15 +31,15 @@
 // Batch is a set of records, and the ends that they cover.
 type Batch struct {
 	Records []Record
-	// seen are the highest ends by the workers' lives that are covered once the batch is
+	// confirmedEnds are the highest ends by the workers' lives that are covered once the batch is
 	// persisted.
-	seen map[*worker]int64
+	confirmedEnds map[*worker]int64
 }
 
-// leftOutMost is how many batches may leave a job's changes out before these come first:
+// maxSkippedBatches is how many batches may leave a job's changes out before these come first:
 // while the store is slow there may always be more urgent ones, and a worker's ends are
 // confirmed only up to the first whose job has changes that are left out.
-const leftOutMost = 20
+const maxSkippedBatches = 20
 
 // NextBatch returns what has to be persisted, for at most maxJobs jobs and of about maxBytes at
 // most: what was left out of many batches first, then finished ones, since callers wait for
@@ -53,7 +53,7 @@
 	bytes, taken := 0, make(map[string]bool)
 	for _, j := range open[:min(len(open), maxJobs)] {
 		r := Record{
-			Job: j.spec.ID, Queue: j.spec.Queue, Version: j.version, Value: s.encodeProgress(j, j.progress()), Final: j.state.Finished(), Change: j.changed,
+			Job: j.spec.ID, Queue: j.spec.Queue, Version: j.version, Value: s.encodeProgress(j, j.progress()), Final: j.state.Finished(), Change: j.changeCount,
 		}
 		if bytes += len(r.Value); bytes > maxBytes && len(b.Records) > 0 {
 			break
@@ -62,23 +62,23 @@
 		taken[r.Job] = true
 	}
 	for _, j := range open[len(b.Records):] {
-		j.leftOut++
+		j.skippedBatches++
 	}
-	b.seen = make(map[*worker]int64)
-	for _, w := range s.order {
-		if n := s.coveredEnd(w, taken); n > w.confirmedEnd {
-			b.seen[w] = n
+	b.confirmedEnds = make(map[*worker]int64)
+	for _, w := range s.workerList {
+		if n := s.confirmableEnd(w, taken); n > w.confirmedEnd {
+			b.confirmedEnds[w] = n
 		}
 	}
 	return b
 }
 
-// coveredEnd returns up to which number a worker's ends are persisted once the changes of
+// confirmableEnd returns up to which number a worker's ends are persisted once the changes of
 // some jobs are. While a store is slow changes are left out of many batches in a row, and
 // ends that waited for a batch with all of them were confirmed by none.
-func (s *Shard) coveredEnd(w *worker, jobs map[string]bool) int64 {
-	n := w.lastTaken()
-	for _, e := range w.taken {
+func (s *Shard) confirmableEnd(w *worker, jobs map[string]bool) int64 {
+	n := w.lastReadEnd()
+	for _, e := range w.unconfirmedEnds {
 		if s.dirty[e.job] != nil && !jobs[e.job] {
 			n = min(n, e.n-1)
 		}
@@ -88,7 +88,7 @@
 
 // encodeProgress returns the value of a job's progress row as of its last change.
 func (s *Shard) encodeProgress(j *job, p Progress) []byte {
-	p.Epoch, p.Change, p.MovesPlusOne = s.p.Epoch, j.changed, j.spec.Moves+1
+	p.Epoch, p.Change, p.MovesPlusOne = s.params.Epoch, j.changeCount, j.spec.Moves+1
 	value, err := json.Marshal(p)
 	if err != nil {
 		panic("scheduler: progress holds only strings and numbers: " + err.Error())
@@ -98,8 +98,8 @@
 
 // compareDirty orders jobs by how soon their progress should be persisted.
 func compareDirty(a, b *job) int {
-	if old := a.leftOut >= leftOutMost; old != (b.leftOut >= leftOutMost) {
-		if old {
+	if overdue := a.skippedBatches >= maxSkippedBatches; overdue != (b.skippedBatches >= maxSkippedBatches) {
+		if overdue {
 			return -1
 		}
 		return 1
@@ -114,7 +114,7 @@
 }
 
 // Empty reports whether there is nothing to persist and nothing to confirm.
-func (b *Batch) Empty() bool { return len(b.Records) == 0 && len(b.seen) == 0 }
+func (b *Batch) Empty() bool { return len(b.Records) == 0 && len(b.confirmedEnds) == 0 }
 
 // Persisted notes that the batch is in the store, in the rows that are the jobs' own,
 // under the version.
@@ -124,48 +124,48 @@
 			j.version = version
 		}
 	}
-	s.covered(now, b)
+	s.batchDurable(now, b)
 }
 
 // PersistedElsewhere notes that the batch is in the store, but not in the rows that are the
 // jobs' own: it is durable, and is to be written there once MarkDirty asks for it.
-func (s *Shard) PersistedElsewhere(now time.Time, b Batch) { s.covered(now, b) }
+func (s *Shard) PersistedElsewhere(now time.Time, b Batch) { s.batchDurable(now, b) }
 
 // MarkDirty lets the progress of a job be written again; false: there is no such job.
 func (s *Shard) MarkDirty(id string) bool {
 	j := s.jobs[id]
 	if j != nil {
-		s.touch(j)
+		s.markChanged(j)
 	}
 	return j != nil
 }
 
-// covered notes that the changes and ends of a batch are durable.
-func (s *Shard) covered(now time.Time, b Batch) {
+// batchDurable notes that the changes and ends of a batch are durable.
+func (s *Shard) batchDurable(now time.Time, b Batch) {
 	for _, r := range b.Records {
 		if j := s.jobs[r.Job]; j != nil {
-			s.recordSaved(now, j, r)
+			s.recordDurable(now, j, r)
 		}
 	}
-	for w, n := range b.seen {
+	for w, n := range b.confirmedEnds {
 		w.confirmedEnd = max(w.confirmedEnd, n)
-		w.taken = slices.DeleteFunc(w.taken, func(e takenEnd) bool { return e.n <= w.confirmedEnd })
+		w.unconfirmedEnds = slices.DeleteFunc(w.unconfirmedEnds, func(e unconfirmedEnd) bool { return e.n <= w.confirmedEnd })
 	}
 }
 
-// recordSaved notes that a record is durable.
-func (s *Shard) recordSaved(now time.Time, j *job, r Record) {
-	j.leftOut = 0
-	if r.Change == j.changed {
+// recordDurable notes that a record is durable.
+func (s *Shard) recordDurable(now time.Time, j *job, r Record) {
+	j.skippedBatches = 0
+	if r.Change == j.changeCount {
 		delete(s.dirty, r.Job)
 	}
-	if !r.Final || j.finalSaved {
+	if !r.Final || j.finalPersisted {
 		return
 	}
 	s.log.Info("job's end persisted", events.JobEndPersisted, zap.String("job", r.Job), zap.String("state", string(j.state)),
 		zap.Duration("after", now.Sub(j.finishedAt)))
-	s.endSaved(now, j)
-	j.reps = nil
+	s.endPersisted(now, j)
+	j.repeats = nil
 	j.spec.Spec, j.spec.Steps = "", nil
 }
 
--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -516,7 +516,7 @@
 	r.upsertWorkers()
 	r.addLongRunning(batch("full", longRunningTasks(1, 3800)))
 	r.runFor(2 * time.Second)
-	for i := 0; r.shard.Counts().SetAside < 3; i++ {
+	for i := 0; r.shard.Counts().Quarantines < 3; i++ {
 		id := fmt.Sprintf("fails%d", i)
 		r.shard.AddJob(r.now, batch(id, tasks(1, 100)), nil, false)
 		for !r.isRunning(id) {
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -8,45 +8,45 @@
 	// evacuateMargin is how long before a draining worker leaves its checkpointing
 	// tasks are stopped, beside the time that a stop takes.
 	evacuateMargin = 700 * time.Millisecond
-	// noNoticeMargin is assumed where the worker doesn't say when it leaves.
-	noNoticeMargin = 2 * time.Second
+	// defaultNotice is assumed where the worker doesn't say when it leaves.
+	defaultNotice = 2 * time.Second
 )
 
-// evacuate moves what would die with draining workers.
-func (s *Shard) evacuate(now time.Time) {
-	for _, w := range s.order {
+// evacuateWorkers moves what would die with draining workers.
+func (s *Shard) evacuateWorkers(now time.Time) {
+	for _, w := range s.workerList {
 		if (!w.info.Draining && !w.leaving) || w.silent || !w.answered {
 			continue
 		}
-		left := noNoticeMargin
+		left := defaultNotice
 		if !w.leavesAt.IsZero() {
 			left = w.leavesAt.Sub(now)
 		}
 		for _, r := range sortedRuns(w.runs) {
-			if !s.retryStop(now, r) && r.state == runRunning && s.mustLeave(now, r, left) {
+			if !s.retryStop(now, r) && r.state == runRunning && s.mustStopNow(now, r, left) {
 				s.stop(now, r, "worker is draining")
 			}
 		}
 	}
 }
 
-// mustLeave reports whether a run on a worker that leaves in left has to be stopped now.
-func (s *Shard) mustLeave(now time.Time, r *run, left time.Duration) bool {
+// mustStopNow reports whether a run on a worker that leaves in left has to be stopped now.
+func (s *Shard) mustStopNow(now time.Time, r *run, left time.Duration) bool {
 	spec := r.task.step.spec
 	if spec.LongRunning {
-		return spec.MaxUnavailable == 0 || s.away(r.task.step) < spec.MaxUnavailable || left < s.p.StopTime+evacuateMargin
+		return spec.MaxUnavailable == 0 || s.unavailableTasks(r.task.step) < spec.MaxUnavailable || left < s.params.StopTime+evacuateMargin
 	}
-	if s.remaining(now, r)+s.p.StopTime < left {
+	if s.remainingTime(now, r)+s.params.StopTime < left {
 		return false
 	}
 	if spec.Checkpoints {
-		return left < s.p.StopTime+evacuateMargin
+		return left < s.params.StopTime+evacuateMargin
 	}
 	return true
 }
 
-// away returns how many tasks of a step are not at work.
-func (s *Shard) away(st *step) int {
+// unavailableTasks returns how many tasks of a step are not at work.
+func (s *Shard) unavailableTasks(st *step) int {
 	n := 0
 	for _, t := range st.tasks {
 		if len(t.runs) == 0 || t.runs[0].stopping || t.runs[0].percent < 100 {
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -34,7 +34,7 @@
 		r.endOneRun(fmt.Sprintf("old%d", i), cluster.OutcomeDone)
 		r.runFor(100 * time.Millisecond)
 	}
-	if n := r.shard.Counts().SetAside; n == 0 {
+	if n := r.shard.Counts().Quarantines; n == 0 {
 		t.Error("a worker on which all new runs failed was not set aside")
 	}
 }
@@ -54,7 +54,7 @@
 		r.endOneRun(id, how)
 		r.runFor(100 * time.Millisecond)
 	}
-	if n := r.shard.Counts().SetAside; n != 0 {
+	if n := r.shard.Counts().Quarantines; n != 0 {
 		t.Errorf("a worker on which every second run succeeded was set aside %d times", n)
 	}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -16,27 +16,27 @@
 
 // job is an accepted job and its progress.
 type job struct {
-	spec  cluster.Job
-	rank  Rank
-	reps  []*repeat
-	state cluster.State
+	spec    cluster.Job
+	rank    Rank
+	repeats []*repeat
+	state   cluster.State
 	// begun is set once a run of the job was ordered or found.
 	begun bool
 	// inherited is set for jobs that an earlier owner may have begun.
 	inherited bool
 	// moving is set while the job may be on its way to another shard.
 	moving bool
-	// offered is when the job was last offered to other shards, or taken if it wasn't.
-	offered time.Time
-	// finalSaved is set once the final state is in the store.
-	finalSaved bool
-	finishedAt time.Time
-	version    int64 // of the progress row
-	changed    int64 // rises with each change that has to be persisted
-	// leftOut is how many batches have left its changes out.
-	leftOut int
-	// left is how many tasks have not succeeded.
-	left int
+	// offeredAt is when the job was last offeredAt to other shards, or taken if it wasn't.
+	offeredAt time.Time
+	// finalPersisted is set once the final state is in the store.
+	finalPersisted bool
+	finishedAt     time.Time
+	version        int64 // of the progress row
+	changeCount    int64 // rises with each change that has to be persisted
+	// skippedBatches is how many batches have left its changes out.
+	skippedBatches int
+	// tasksLeft is how many tasks have not succeeded.
+	tasksLeft int
 }
 
 // repeat is one run of a job's steps.
@@ -47,18 +47,18 @@
 
 // step is a step of one repeat.
 type step struct {
-	id    StepID
-	job   *job
-	rep   *repeat
-	spec  *cluster.Step
-	tasks []*task
-	done  int
-	// gangRun is the number of the gang's last run.
-	gangRun int64
-	advice  advice
-	joint   joint
-	// keptOn are the workers on which room is set aside for the step, or was.
-	keptOn []*worker
+	id     StepID
+	job    *job
+	repeat *repeat
+	spec   *cluster.Step
+	tasks  []*task
+	done   int
+	// lastGangRun is the number of the gang's last run.
+	lastGangRun int64
+	advice      advice
+	joint       jointState
+	// reservedOn are the workers on which room is set aside for the step, or was.
+	reservedOn []*worker
 	// failedOn is when a member of a gang last failed, by worker.
 	failedOn map[string]time.Time
 	// waitingSince is when the step last began to wait for room; zero: it doesn't.
@@ -82,56 +82,56 @@
 	// uncertain tasks may run on a worker that has not answered since the takeover.
 	uncertain bool
 	notBefore time.Time
-	// leftOn is the worker on which the task failed last, or was stopped because it
+	// avoidWorker is the worker on which the task failed last, or was stopped because it
 	// crawled or stood still there, and leftAt when: it may be the worker's fault, so
 	// that another one comes first.
-	leftOn string
-	leftAt time.Time
-	// waitsFrom is since when the task could start but has no worker, and noteAgainAt
+	avoidWorker string
+	avoidSince  time.Time
+	// waitingSince is since when the task could start but has no worker, and noteAgainAt
 	// after which wait the log tells of it again.
-	waitsFrom   time.Time
-	noteAgainAt time.Duration
-	// moved is how often the task was stopped because it stood still or crawled.
-	moved int
-	// took is how long the run took that succeeded, if it began from the start.
-	took time.Duration
+	waitingSince time.Time
+	nextWaitLog  time.Duration
+	// restarts is how often the task was stopped because it stood still or crawled.
+	restarts int
+	// runTime is how long the run runTime that succeeded, if it began from the start.
+	runTime time.Duration
 }
 
-// rankOf returns the rank of a job: urgent queues first, and within one the earliest due.
-func rankOf(j *cluster.Job, now time.Time) Rank {
+// newRank returns the rank of a job: urgent queues first, and within one the earliest due.
+func newRank(j *cluster.Job, now time.Time) Rank {
 	age := time.Duration(0)
 	if ms := now.UnixMilli() - j.AcceptedMS; ms > 0 {
-		age = min(time.Duration(ms)*time.Millisecond, mostAge)
+		age = min(time.Duration(ms)*time.Millisecond, maxCountedAge)
 	}
-	chain := time.Duration(longestChain(j.Steps)) * time.Millisecond
-	aim := time.Duration(float64(chain)*max(1, j.Policy.Stretch)) + time.Duration(j.Policy.TargetMS)*time.Millisecond
+	criticalPath := time.Duration(criticalPathMS(j.Steps)) * time.Millisecond
+	allowed := time.Duration(float64(criticalPath)*max(1, j.Policy.Stretch)) + time.Duration(j.Policy.TargetMS)*time.Millisecond
 	priority := j.Policy.Priority
 	if slices.ContainsFunc(j.Steps, func(s cluster.Step) bool { return s.LongRunning }) {
 		priority = longRunningPriority
 	}
-	return Rank{Priority: priority, Due: now.Add(aim - age)}
+	return Rank{Priority: priority, Due: now.Add(allowed - age)}
 }
 
-// mostAge is the most age that counts; the time of acceptance comes from the clock
+// maxCountedAge is the most age that counts; the time of acceptance comes from the clock
 // of the node that accepted the job, which may be another one.
-const mostAge = time.Hour
+const maxCountedAge = time.Hour
 
 // longRunningPriority puts long-lived tasks first: they must be at work again
 // within seconds however full the shard is.
 const longRunningPriority = -1
 
-func longestChain(steps []cluster.Step) int64 {
+func criticalPathMS(steps []cluster.Step) int64 {
 	ends := make([]int64, len(steps))
-	longest := int64(0)
+	latest := int64(0)
 	for i := range steps {
 		start := int64(0)
 		for _, k := range steps[i].After {
 			start = max(start, ends[k])
 		}
 		ends[i] = start + steps[i].EstimateMS
-		longest = max(longest, ends[i])
+		latest = max(latest, ends[i])
 	}
-	return longest
+	return latest
 }
 
 // AddJob takes an accepted job. Progress is what an earlier owner persisted, or
@@ -145,19 +145,19 @@
 	if away, ok := s.movedAway[spec.ID]; ok && spec.Moves <= away.moves {
 		return
 	}
-	uncertain = uncertain || (s.takeover.open && spec.Epoch < s.p.Epoch)
+	uncertain = uncertain || (s.takeover.open && spec.Epoch < s.params.Epoch)
 	if progress == nil {
-		progress = s.carried(&spec)
+		progress = s.carriedProgress(&spec)
 	}
 	spec.CarriedProgress = nil
-	j := &job{spec: spec, rank: rankOf(&spec, now), state: cluster.StatePending, inherited: uncertain, offered: now}
+	j := &job{spec: spec, rank: newRank(&spec, now), state: cluster.StatePending, inherited: uncertain, offeredAt: now}
 	s.jobs[spec.ID] = j
 	if progress != nil && progress.State.Finished() {
 		j.state, j.begun, j.version = progress.State, true, progress.version
-		s.endSaved(now, j)
+		s.endPersisted(now, j)
 		return
 	}
-	s.build(j, now, uncertain)
+	s.buildSteps(j, now, uncertain)
 	if progress != nil {
 		j.restore(progress)
 	}
@@ -169,13 +169,13 @@
 	})
 	s.active = slices.Insert(s.active, at, j)
 	s.log.Info("job taken", events.JobAdded, zap.String("job", spec.ID), zap.String("queue", spec.Queue),
-		zap.Int("tasks", j.left), zap.Int("priority", j.rank.Priority), zap.Duration("due_in", j.rank.Due.Sub(now)),
+		zap.Int("tasks", j.tasksLeft), zap.Int("priority", j.rank.Priority), zap.Duration("due_in", j.rank.Due.Sub(now)),
 		zap.Bool("uncertain", uncertain))
 	s.finishIfDone(now, j)
 }
 
-// carried returns the progress with which a job came from another shard, or nil.
-func (s *Shard) carried(spec *cluster.Job) *Progress {
+// carriedProgress returns the progress with which a job came from another shard, or nil.
+func (s *Shard) carriedProgress(spec *cluster.Job) *Progress {
 	if len(spec.CarriedProgress) == 0 {
 		return nil
 	}
@@ -188,19 +188,19 @@
 	return p
 }
 
-func (s *Shard) build(j *job, now time.Time, uncertain bool) {
+func (s *Shard) buildSteps(j *job, now time.Time, uncertain bool) {
 	for k := range max(1, j.spec.Repeats) {
 		rep := &repeat{due: now}
 		if j.spec.Repeats > 0 {
 			rep.due = time.UnixMilli(j.spec.StartMS + int64(k)*j.spec.IntervalMS)
 		}
 		for i := range j.spec.Steps {
-			st := &step{id: StepID{j.spec.ID, k, i}, job: j, rep: rep, spec: &j.spec.Steps[i], gangRun: s.p.Epoch * runsPerEpoch}
+			st := &step{id: StepID{j.spec.ID, k, i}, job: j, repeat: rep, spec: &j.spec.Steps[i], lastGangRun: s.params.Epoch * runsPerEpoch}
 			s.buildTasks(st, uncertain)
-			j.left += len(st.tasks) - st.done
+			j.tasksLeft += len(st.tasks) - st.done
 			rep.steps = append(rep.steps, st)
 		}
-		j.reps = append(j.reps, rep)
+		j.repeats = append(j.repeats, rep)
 	}
 }
 
@@ -209,7 +209,7 @@
 	for x := range st.spec.Count {
 		t := &task{
 			id: cluster.TaskID{Job: st.id.Job, Repeat: st.id.Repeat, Step: st.id.Step, Index: x}, step: st,
-			lastRun: s.p.Epoch * runsPerEpoch, uncertain: uncertain,
+			lastRun: s.params.Epoch * runsPerEpoch, uncertain: uncertain,
 		}
 		if !st.job.spec.MayRun(st.spec, x) {
 			// Another shard runs it; here there is nothing left to do for it.
@@ -223,10 +223,10 @@
 // task returns a task of the shard, or nil if the job or the task is unknown.
 func (s *Shard) task(id cluster.TaskID) *task {
 	j := s.jobs[id.Job]
-	if j == nil || id.Repeat >= len(j.reps) {
+	if j == nil || id.Repeat >= len(j.repeats) {
 		return nil
 	}
-	steps := j.reps[id.Repeat].steps
+	steps := j.repeats[id.Repeat].steps
 	if id.Step >= len(steps) || id.Index >= len(steps[id.Step].tasks) {
 		return nil
 	}
@@ -236,7 +236,7 @@
 // steps ranges over the steps of all repeats of a job.
 func (j *job) steps() iter.Seq[*step] {
 	return func(yield func(*step) bool) {
-		for _, rep := range j.reps {
+		for _, rep := range j.repeats {
 			for _, st := range rep.steps {
 				if !yield(st) {
 					return
@@ -248,14 +248,14 @@
 
 // ready reports whether the step's tasks may start at now.
 func (st *step) ready(now time.Time) bool {
-	if now.Before(st.rep.due) {
+	if now.Before(st.repeat.due) {
 		return false
 	}
-	if st.job.isGuest() {
-		return st.isHeard(now)
+	if st.job.isParticipant() {
+		return st.recentlyQueried(now)
 	}
 	for _, k := range st.spec.After {
-		if dep := st.rep.steps[k]; dep.done < len(dep.tasks) {
+		if dep := st.repeat.steps[k]; dep.done < len(dep.tasks) {
 			return false
 		}
 	}
@@ -269,13 +269,13 @@
 		return
 	}
 	s.log.Info("job cancelled", events.JobEnded, zap.String("job", id), zap.String("state", string(cluster.StateCancelled)))
-	s.finish(now, j, cluster.StateCancelled)
+	s.finishJob(now, j, cluster.StateCancelled)
 }
 
-// finish gives a job its final state and stops what still runs of it.
-func (s *Shard) finish(now time.Time, j *job, state cluster.State) {
+// finishJob gives a job its final state and stops what still runs of it.
+func (s *Shard) finishJob(now time.Time, j *job, state cluster.State) {
 	j.state, j.finishedAt = state, now
-	s.touch(j)
+	s.markChanged(j)
 	s.active = slices.DeleteFunc(s.active, func(o *job) bool { return o == j })
 	for st := range j.steps() {
 		for _, t := range st.tasks {
@@ -287,25 +287,25 @@
 }
 
 func (s *Shard) finishIfDone(now time.Time, j *job) {
-	if j.left > 0 || j.state.Finished() || j.isGuest() {
+	if j.tasksLeft > 0 || j.state.Finished() || j.isParticipant() {
 		return
 	}
 	s.log.Info("job ended", events.JobEnded, zap.String("job", j.spec.ID), zap.String("state", string(cluster.StateSucceeded)),
 		zap.Duration("late_by", now.Sub(j.rank.Due)))
-	s.finish(now, j, cluster.StateSucceeded)
+	s.finishJob(now, j, cluster.StateSucceeded)
 }
 
-// succeed marks a task as done.
-func (s *Shard) succeed(now time.Time, t *task) {
+// markTaskDone marks a task as done.
+func (s *Shard) markTaskDone(now time.Time, t *task) {
 	if t.done {
 		return
 	}
 	t.done = true
 	st := t.step
 	st.done++
-	st.job.left--
+	st.job.tasksLeft--
 	s.counts.Done++
-	s.touch(st.job)
+	s.markChanged(st.job)
 	for _, r := range t.runs {
 		if !st.spec.Gang {
 			s.stop(now, r, "a copy was faster")
@@ -314,21 +314,21 @@
 	s.finishIfDone(now, st.job)
 }
 
-// touch notes that the job's progress has to be persisted.
-func (s *Shard) touch(j *job) {
-	j.changed++
+// markChanged notes that the job's progress has to be persisted.
+func (s *Shard) markChanged(j *job) {
+	j.changeCount++
 	s.dirty[j.spec.ID] = j
 }
 
-// endSaved notes that a job's end is in the store.
-func (s *Shard) endSaved(now time.Time, j *job) {
-	j.finalSaved, j.finishedAt = true, now
+// endPersisted notes that a job's end is in the store.
+func (s *Shard) endPersisted(now time.Time, j *job) {
+	j.finalPersisted, j.finishedAt = true, now
 	s.finished = append(s.finished, j)
 }
 
 // forgetFinished drops jobs whose state callers no longer ask for.
 func (s *Shard) forgetFinished(now time.Time) {
-	for len(s.finished) > 0 && now.Sub(s.finished[0].finishedAt) > s.p.FinishedRetention {
+	for len(s.finished) > 0 && now.Sub(s.finished[0].finishedAt) > s.params.FinishedRetention {
 		id := s.finished[0].spec.ID
 		s.finished[0] = nil
 		s.finished = s.finished[1:]
@@ -336,7 +336,7 @@
 		s.forgotten = append(s.forgotten, id)
 	}
 	for id, away := range s.movedAway {
-		if now.Sub(away.at) > s.p.FinishedRetention {
+		if now.Sub(away.at) > s.params.FinishedRetention {
 			delete(s.movedAway, id)
 		}
 	}
@@ -350,8 +350,8 @@
 	return ids
 }
 
-// sortedWorkers returns the workers in the order of their IDs; maps are ranged in no order, and decisions must repeat.
-func sortedWorkers(m map[string]*worker) []*worker {
+// workersByID returns the workers in the order of their IDs; maps are ranged in no order, and decisions must repeat.
+func workersByID(m map[string]*worker) []*worker {
 	list := make([]*worker, 0, len(m))
 	for _, w := range m {
 		list = append(list, w)
--- a/internal/scheduler/joint.go
+++ b/internal/scheduler/joint.go
@@ -82,50 +82,52 @@
 	Body  T
 }
 
-// joint is what is known of a gang that several shards run together.
-type joint struct {
+// jointState is what is known of a gang that several shards run together.
+type jointState struct {
 	// leadEpoch is the highest epoch of a lead that was heard, and heardAt when.
 	leadEpoch int64
-	heardAt   time.Time
+	queriedAt time.Time
 	// members and startsAt are as in the last GangQuery.
 	members  int
 	startsAt time.Time
-	// asks are for how many members each shard is to keep room, as the lead would have it.
-	asks []int
+	// memberPlan are for how many members each shard is to keep room, as the lead would have it.
+	memberPlan []int
 	// startsIn is in what time the lead expects the start, and stop is set while it wants
 	// what runs of the gang to be stopped.
 	startsIn time.Duration
-	stop     bool
-	// toldAt is when the log last told that the gang waits.
-	toldAt time.Time
+	stopRuns bool
+	// loggedAt is when the log last told that the gang waits.
+	loggedAt time.Time
 }
 
 const (
-	// gangHeard is for how long a lead's question counts: a shard whose lead has gone keeps
+	// gangQueryTTL is for how long a lead's question counts: a shard whose lead has gone keeps
 	// no room and asks for no advice.
-	gangHeard = 800 * time.Millisecond
-	// gangKept is for how long room is kept from one question to the next.
-	gangKept = 500 * time.Millisecond
-	// gangRenew is how long before its end a ticket is renewed: all shards need theirs at
+	gangQueryTTL = 800 * time.Millisecond
+	// gangReservationTTL is for how long room is kept from one question to the next.
+	gangReservationTTL = 500 * time.Millisecond
+	// ticketRenewBefore is how long before its end a ticket is renewed: all shards need theirs at
 	// the same time.
-	gangRenew = time.Second
+	ticketRenewBefore = time.Second
 )
 
 // isJoint reports whether several shards run the job's gangs together, and isGuest whether
 // another one speaks for it.
-func (j *job) isJoint() bool { return j.spec.Share.Joint }
-func (j *job) isGuest() bool { return j.isJoint() && !j.spec.Share.Leads() }
+func (j *job) isJoint() bool       { return j.spec.Share.Joint }
+func (j *job) isParticipant() bool { return j.isJoint() && !j.spec.Share.Leads() }
 
-// isHeard reports whether a gang's lead, which may be this owner, has asked lately.
-func (st *step) isHeard(now time.Time) bool { return now.Sub(st.joint.heardAt) < gangHeard }
+// recentlyQueried reports whether a gang's lead, which may be this owner, has asked lately.
+func (st *step) recentlyQueried(now time.Time) bool {
+	return now.Sub(st.joint.queriedAt) < gangQueryTTL
+}
 
-// jointStep returns a gang that several shards run together, or nil.
-func (s *Shard) jointStep(id StepID) *step {
+// jointGang returns a gang that several shards run together, or nil.
+func (s *Shard) jointGang(id StepID) *step {
 	j := s.jobs[id.Job]
-	if j == nil || j.state.Finished() || !j.isJoint() || id.Repeat >= len(j.reps) || id.Step >= len(j.reps[id.Repeat].steps) {
+	if j == nil || j.state.Finished() || !j.isJoint() || id.Repeat >= len(j.repeats) || id.Step >= len(j.repeats[id.Repeat].steps) {
 		return nil
 	}
-	if st := j.reps[id.Repeat].steps[id.Step]; st.spec.Gang {
+	if st := j.repeats[id.Repeat].steps[id.Step]; st.spec.Gang {
 		return st
 	}
 	return nil
@@ -133,21 +135,21 @@
 
 // AnswerGangQuery answers a lead; ok is false if the job isn't known here, or the lead has been
 // replaced.
-func (s *Shard) AnswerGangQuery(now time.Time, ask GangQuery) (state GangState, ok bool) {
-	st := s.jointStep(ask.Step)
-	if st == nil || ask.Epoch < st.joint.leadEpoch {
+func (s *Shard) AnswerGangQuery(now time.Time, q GangQuery) (state GangState, ok bool) {
+	st := s.jointGang(q.Step)
+	if st == nil || q.Epoch < st.joint.leadEpoch {
 		return GangState{}, false
 	}
-	s.takeAsk(now, st, ask)
+	s.applyGangQuery(now, st, q)
 	return s.gangState(now, st), true
 }
 
-// takeAsk notes what a lead asks for, and stops what it wants stopped.
-func (s *Shard) takeAsk(now time.Time, st *step, ask GangQuery) {
-	st.joint.leadEpoch, st.joint.heardAt = ask.Epoch, now
-	st.joint.members, st.joint.startsAt = ask.Members, now.Add(time.Duration(ask.StartsInMS)*time.Millisecond)
-	st.gangRun = max(st.gangRun, ask.Run)
-	if !ask.Stop {
+// applyGangQuery notes what a lead asks for, and stops what it wants stopped.
+func (s *Shard) applyGangQuery(now time.Time, st *step, q GangQuery) {
+	st.joint.leadEpoch, st.joint.queriedAt = q.Epoch, now
+	st.joint.members, st.joint.startsAt = q.Members, now.Add(time.Duration(q.StartsInMS)*time.Millisecond)
+	st.lastGangRun = max(st.lastGangRun, q.Run)
+	if !q.Stop {
 		return
 	}
 	for _, t := range st.tasks {
@@ -159,21 +161,21 @@
 
 // gangState returns how a gang stands here, and keeps room for it if that is asked for.
 func (s *Shard) gangState(now time.Time, st *step) GangState {
-	g := s.gangRuns(st)
+	g := s.gangRunState(st)
 	if g.Busy || g.Done {
 		return g
 	}
-	s.keepForGang(now, st, &g)
+	s.reserveForJointGang(now, st, &g)
 	if len(st.startable(now)) == len(st.tasks) {
-		g.Ready = min(s.roomNow(now, st), len(st.tasks))
+		g.Ready = min(s.countStartable(now, st), len(st.tasks))
 	}
 	return g
 }
 
-// gangRuns returns what of a gang may run here, and what has ended.
-func (s *Shard) gangRuns(st *step) GangState {
+// gangRunState returns what of a gang may run here, and what has ended.
+func (s *Shard) gangRunState(st *step) GangState {
 	g := GangState{
-		Epoch: s.p.Epoch, AllKnown: !st.job.inherited || s.takeover.complete, Run: st.gangRun,
+		Epoch: s.params.Epoch, AllKnown: !st.job.inherited || s.takeover.complete, Run: st.lastGangRun,
 		Failed: st.tasks[0].failed, Checkpoint: st.checkpoint(),
 	}
 	for _, t := range st.tasks {
@@ -181,7 +183,7 @@
 		g.AllKnown = g.AllKnown && !t.uncertain
 		g.Busy = g.Busy || len(t.runs) > 0
 		for _, r := range t.runs {
-			if r.n == st.gangRun && !r.stopping {
+			if r.number == st.lastGangRun && !r.stopping {
 				g.Running++
 			}
 		}
@@ -189,13 +191,13 @@
 	return g
 }
 
-// keepForGang looks for room for all members of a gang, and sets it aside for as many as
+// reserveForJointGang looks for room for all members of a gang, and sets it aside for as many as
 // the lead asks for. Of several such gangs the first in an order that is the same in all
 // shards has room set aside: two that each had a part of what both need would wait for
 // each other.
-func (s *Shard) keepForGang(now time.Time, st *step, g *GangState) {
-	s.release(st)
-	places := s.soonestRoom(now, st, len(st.tasks), reserveGangMost)
+func (s *Shard) reserveForJointGang(now time.Time, st *step, g *GangState) {
+	s.releaseReservations(st)
+	places := s.soonestPlacements(now, st, len(st.tasks), maxGangReserveWait)
 	g.ReadySoon = len(places)
 	places = places[:min(st.joint.members, len(places))]
 	if len(places) == 0 {
@@ -203,7 +205,7 @@
 	}
 	longest := places[len(places)-1].in
 	g.ReadyInMS = longest.Milliseconds()
-	if s.firstGang(now) != st {
+	if s.firstJointGang(now) != st {
 		return
 	}
 	at := now.Add(longest)
@@ -211,18 +213,18 @@
 		at = st.joint.startsAt
 	}
 	for _, p := range places {
-		p.w.reserve(st, now.Add(gangKept), at)
+		p.w.reserve(st, now.Add(gangReservationTTL), at)
 	}
 }
 
-// firstGang returns the gang that comes first of those for which a lead wants room kept.
-func (s *Shard) firstGang(now time.Time) (first *step) {
+// firstJointGang returns the gang that comes first of those for which a lead wants room kept.
+func (s *Shard) firstJointGang(now time.Time) (first *step) {
 	for _, j := range s.active {
 		if !j.isJoint() {
 			continue
 		}
 		for st := range j.steps() {
-			if st.joint.members > 0 && st.isHeard(now) && (first == nil || compareGangs(st, first) < 0) {
+			if st.joint.members > 0 && st.recentlyQueried(now) && (first == nil || compareGangs(st, first) < 0) {
 				first = st
 			}
 		}
@@ -237,40 +239,40 @@
 		cmp.Compare(x.ID, y.ID), cmp.Compare(a.id.Repeat, b.id.Repeat), cmp.Compare(a.id.Step, b.id.Step))
 }
 
-// startSome starts some members of a gang here, or none if there is no room for all of them.
-func (s *Shard) startSome(now time.Time, st *step, from, to int, run int64, checkpoint string) bool {
-	places := s.fill(now, st, to-from, anyWorker)
+// startMembersHere starts some members of a gang here, or none if there is no room for all of them.
+func (s *Shard) startMembersHere(now time.Time, st *step, from, to int, run int64, checkpoint string) bool {
+	places := s.placeMembers(now, st, to-from, anyWorker)
 	if places == nil {
 		return false
 	}
-	st.gangRun = run
+	st.lastGangRun = run
 	s.startMembers(now, st.tasks[from:to], places, run, checkpoint)
-	s.release(st)
+	s.releaseReservations(st)
 	return true
 }
 
 // StartGangMembers starts members of a gang for its lead; false: none was started.
 func (s *Shard) StartGangMembers(now time.Time, g GangStart) bool {
-	st := s.jointStep(g.Step)
-	if st == nil || g.OwnerEpoch != s.p.Epoch || g.Epoch < st.joint.leadEpoch || g.Run <= st.gangRun ||
+	st := s.jointGang(g.Step)
+	if st == nil || g.OwnerEpoch != s.params.Epoch || g.Epoch < st.joint.leadEpoch || g.Run <= st.lastGangRun ||
 		g.From < 0 || g.To > len(st.tasks) || g.From >= g.To {
 		return false
 	}
-	if g := s.gangRuns(st); g.Busy || g.Done || !g.AllKnown {
+	if g := s.gangRunState(st); g.Busy || g.Done || !g.AllKnown {
 		return false
 	}
-	return s.startSome(now, st, g.From, g.To, g.Run, g.Checkpoint)
+	return s.startMembersHere(now, st, g.From, g.To, g.Run, g.Checkpoint)
 }
 
-// waitJoint asks for advice on this shard's workers for a gang that its lead asks about:
+// requestJointAdvice asks for advice on this shard's workers for a gang that its lead asks about:
 // on all of them that could hold a member, since the lead needs to know for how many of the
 // gang there is room, and again before tickets run out.
-func (s *Shard) waitJoint(now time.Time, st *step) {
-	if !st.isHeard(now) || !st.needsTicket() {
+func (s *Shard) requestJointAdvice(now time.Time, st *step) {
+	if !st.recentlyQueried(now) || !st.needsTicket() {
 		return
 	}
-	able, _ := s.goodRoom(now, st)
-	if able < int(gangChoice*float64(len(st.tasks))) && s.askOthers(now, st, len(st.tasks)) {
+	total, _ := s.approvedRoom(now, st)
+	if total < int(gangOversampling*float64(len(st.tasks))) && s.requestAdviceOnUnknown(now, st, len(st.tasks)) {
 		return
 	}
 	s.renewTickets(now, st)
@@ -281,28 +283,28 @@
 // be there in all shards at once: tickets that were asked for where there was room came too
 // late for it.
 func (s *Shard) renewTickets(now time.Time, st *step) {
-	if !st.mayAsk(now) {
+	if !st.mayRequestAdvice(now) {
 		return
 	}
 	var names []string
 	due := false
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		ans := st.advice.answers[w.info.ID]
-		if !ans.good || !s.couldHold(now, w, st) || len(names) == maxAsked {
+		if !ans.approved || !s.fitsWhenIdle(now, w, st) || len(names) == maxWorkersPerCall {
 			continue
 		}
 		names = append(names, w.info.ID)
-		due = due || ans.expires.Sub(now) < gangRenew
+		due = due || ans.expires.Sub(now) < ticketRenewBefore
 	}
 	if due {
-		s.askAbout(now, st, names)
+		s.requestAdviceOn(now, st, names)
 	}
 }
 
 // ParticipantJobs returns the jobs of which this shard runs members of gangs for another one.
 func (s *Shard) ParticipantJobs() (ids []string) {
 	for _, j := range s.active {
-		if j.isGuest() {
+		if j.isParticipant() {
 			ids = append(ids, j.spec.ID)
 		}
 	}
@@ -311,7 +313,7 @@
 
 // ParticipantJobEnded ends a job of which the shard that speaks for it says that it has ended.
 func (s *Shard) ParticipantJobEnded(now time.Time, id string, state cluster.State) {
-	if j := s.jobs[id]; j != nil && j.isGuest() && !j.state.Finished() {
-		s.finish(now, j, state)
+	if j := s.jobs[id]; j != nil && j.isParticipant() && !j.state.Finished() {
+		s.finishJob(now, j, state)
 	}
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -8,8 +8,8 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// loadEvery is how often the load is measured: as often as another node asks for it.
-const loadEvery = 100 * time.Millisecond
+// loadInterval is how often the load is measured: as often as another node asks for it.
+const loadInterval = 100 * time.Millisecond
 
 // Load returns how much of the shard's room is in use or waited for, as it was
 // measured last: 1 is a full shard in which nothing waits.
@@ -18,55 +18,55 @@
 // unknownLoad is that of a shard whose workers haven't answered yet.
 const unknownLoad = 1.0
 
-// noteLoad measures the load when it is time to.
-func (s *Shard) noteLoad(now time.Time) {
-	if now.Sub(s.loadAt) >= loadEvery {
-		s.load, s.loadAt = s.measureLoad(now), now
+// updateLoad measures the load when it is time to.
+func (s *Shard) updateLoad(now time.Time) {
+	if now.Sub(s.loadMeasuredAt) >= loadInterval {
+		s.load, s.loadMeasuredAt = s.measureLoad(now), now
 	}
 }
 
 // measureLoad holds the work that runs or waits against the room of the workers
 // that take work.
 func (s *Shard) measureLoad(now time.Time) float64 {
-	var room, wanted resource.Amount
-	for _, w := range s.order {
-		if w.takesNew(now) {
-			room = room.Add(w.info.Capacity)
-			wanted = wanted.Add(w.used)
+	var capacity, demand resource.Amount
+	for _, w := range s.workerList {
+		if w.acceptsStarts(now) {
+			capacity = capacity.Add(w.info.Capacity)
+			demand = demand.Add(w.used)
 		}
 	}
-	if room.CPUMilli <= 0 {
+	if capacity.CPUMilli <= 0 {
 		return unknownLoad
 	}
 	for _, j := range s.active {
-		wanted = wanted.Add(j.waitedFor(now))
+		demand = demand.Add(j.waitingDemand(now))
 	}
-	return wanted.DominantShare(room)
+	return demand.DominantShare(capacity)
 }
 
-// waitedFor returns the room that the job's tasks wait for.
-func (j *job) waitedFor(now time.Time) resource.Amount {
+// waitingDemand returns the room that the job's tasks wait for.
+func (j *job) waitingDemand(now time.Time) resource.Amount {
 	var sum resource.Amount
 	for st := range j.steps() {
 		if st.done < len(st.tasks) && st.ready(now) {
-			sum = sum.Add(st.spec.Allocation().Times(st.waitingHere()))
+			sum = sum.Add(st.spec.Allocation().Times(st.waitingTasksHere()))
 		}
 	}
 	return sum
 }
 
-// waitingHere is waiting for this shard's part: a gang that several shards run together
+// waitingTasksHere is waiting for this shard's part: a gang that several shards run together
 // waits in all of them.
-func (st *step) waitingHere() int64 {
-	n := st.waiting()
+func (st *step) waitingTasksHere() int64 {
+	n := st.waitingTasks()
 	if st.job.isJoint() && st.spec.Gang {
 		n /= int64(st.job.spec.Share.Of)
 	}
 	return n
 }
 
-// waiting returns how many tasks of the step neither run nor have succeeded.
-func (st *step) waiting() int64 {
+// waitingTasks returns how many tasks of the step neither run nor have succeeded.
+func (st *step) waitingTasks() int64 {
 	n := int64(0)
 	for _, t := range st.tasks {
 		if !t.done && len(t.runs) == 0 {
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -52,7 +52,7 @@
 		r.endOneRun(id, cluster.OutcomeFailed)
 		r.runWithProgress(100 * time.Millisecond)
 	}
-	if n := r.shard.Counts().SetAside; n != 1 {
+	if n := r.shard.Counts().Quarantines; n != 1 {
 		t.Errorf("the worker was set aside %d times, want once", n)
 	}
 	for _, id := range []string{"c", "d", "e"} {
@@ -116,7 +116,7 @@
 func TestLongRunningTaskUsesWorkerSetAside(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	for i := 0; r.shard.Counts().SetAside < 3; i++ {
+	for i := 0; r.shard.Counts().Quarantines < 3; i++ {
 		id := fmt.Sprintf("fails%d", i)
 		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 		for !r.isRunning(id) {
@@ -171,7 +171,7 @@
 	for _, id := range []string{"a", "b"} {
 		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
 	}
-	for i := 0; r.shard.Counts().SetAside == 0 && i < 30; i++ {
+	for i := 0; r.shard.Counts().Quarantines == 0 && i < 30; i++ {
 		r.runFor(100 * time.Millisecond)
 		r.addProgress("old", 2)
 	}
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -25,24 +25,24 @@
 }
 
 const (
-	// moveAfter is how long a job waits for room before it may move: a move costs two
+	// moveDelay is how long a job waits for room before it may move: a move costs two
 	// writes, and room comes free all the time.
-	moveAfter = 400 * time.Millisecond
-	// moveGangAfter is the same for a job whose gang waits: advice on all workers of
+	moveDelay = 400 * time.Millisecond
+	// moveGangDelay is the same for a job whose gang waits: advice on all workers of
 	// another shard takes up to two seconds.
-	moveGangAfter = 4 * time.Second
-	// moveFrom is the load from which jobs move away for want of room.
-	moveFrom = 1.0
-	// movesMost is how often a job may move.
-	movesMost = 8
-	// joinAfter is how long a gang waits that fits its shard only while little else runs
+	moveGangDelay = 4 * time.Second
+	// moveMinLoad is the load from which jobs move away for want of room.
+	moveMinLoad = 1.0
+	// maxMoves is how often a job may move.
+	maxMoves = 8
+	// jointDelay is how long a gang waits that fits its shard only while little else runs
 	// there, before all shards run it together.
-	joinAfter = 1500 * time.Millisecond
-	// joinUnder is how many times a gang must fit a shard not to count as such.
-	joinUnder = 2
-	// joinFromMoves is after how many moves a gang that its shard can't hold is run by all
+	jointDelay = 1500 * time.Millisecond
+	// jointMaxFit is how many times a gang must fit a shard not to count as such.
+	jointMaxFit = 2
+	// jointMinMoves is after how many moves a gang that its shard can't hold is run by all
 	// shards together: another shard may hold it alone, which takes less.
-	joinFromMoves = 1
+	jointMinMoves = 1
 )
 
 // BeginMoves returns jobs of which nothing runs and which would better run elsewhere, at most
@@ -54,13 +54,13 @@
 		return nil
 	}
 	var list []Move
-	for _, c := range s.mayMoveNow(now) {
+	for _, c := range s.moveCandidates(now) {
 		if len(list) == n {
 			break
 		}
 		j := c.job
-		j.moving, j.offered = true, now
-		m := Move{Job: j.spec, Version: j.version, Mark: s.moveMark(j), Unfit: c.unfit, Joint: c.join}
+		j.moving, j.offeredAt = true, now
+		m := Move{Job: j.spec, Version: j.version, Mark: s.movingMark(j), Unfit: c.unfit, Joint: c.joint}
 		if j.begun {
 			m.Carried = s.encodeProgress(j, j.progress())
 		}
@@ -69,42 +69,42 @@
 	return list
 }
 
-// mover is a job that may move; unfit and join are as in Move.
-type mover struct {
-	job         *job
-	unfit, join bool
+// moveCandidate is a job that may move; unfit and join are as in Move.
+type moveCandidate struct {
+	job          *job
+	unfit, joint bool
 }
 
-// mayMoveNow returns the jobs that may move: those first that this shard can never run,
+// moveCandidates returns the jobs that may move: those first that this shard can never run,
 // and of each kind those that were offered, or taken, the longest ago.
-func (s *Shard) mayMoveNow(now time.Time) []mover {
-	var list []mover
+func (s *Shard) moveCandidates(now time.Time) []moveCandidate {
+	var list []moveCandidate
 	for _, j := range s.active {
 		if !s.mayMove(j) {
 			continue
 		}
-		unfit := s.unfit(j)
-		join := s.joins(now, j, unfit)
-		if unfit != nil || join || (!j.begun && s.load >= moveFrom && j.waitsTooLong(now)) {
-			list = append(list, mover{j, unfit != nil, join})
+		unfit := s.unfitStep(j)
+		joint := s.needsJoint(now, j, unfit)
+		if unfit != nil || joint || (!j.begun && s.load >= moveMinLoad && j.waitsTooLong(now)) {
+			list = append(list, moveCandidate{j, unfit != nil, joint})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b mover) int {
+	slices.SortStableFunc(list, func(a, b moveCandidate) int {
 		if a.unfit != b.unfit {
 			if a.unfit {
 				return -1
 			}
 			return 1
 		}
-		return a.job.offered.Compare(b.job.offered)
+		return a.job.offeredAt.Compare(b.job.offeredAt)
 	})
 	return list
 }
 
-// moveMark returns the progress that says that a job is moving. It is newer than any
+// movingMark returns the progress that says that a job is moving. It is newer than any
 // that was persisted of the job.
-func (s *Shard) moveMark(j *job) []byte {
-	j.changed++
+func (s *Shard) movingMark(j *job) []byte {
+	j.changeCount++
 	p := j.progress()
 	p.Moving = true
 	return s.encodeProgress(j, p)
@@ -113,14 +113,14 @@
 // mayMove reports whether the job is whole, nothing of it may run, and it has moves left.
 // While progress of it is being written it waits, since that write would replace the mark.
 func (s *Shard) mayMove(j *job) bool {
-	if j.moving || s.dirty[j.spec.ID] != nil || !j.spec.Share.Whole() || j.spec.Moves >= movesMost || j.runs() {
+	if j.moving || s.dirty[j.spec.ID] != nil || !j.spec.Share.Whole() || j.spec.Moves >= maxMoves || j.mayBeRunning() {
 		return false
 	}
 	return !j.inherited || s.takeover.complete
 }
 
-// runs reports whether anything of the job may run.
-func (j *job) runs() bool {
+// mayBeRunning reports whether anything of the job may run.
+func (j *job) mayBeRunning() bool {
 	if !j.begun {
 		return false
 	}
@@ -165,22 +165,22 @@
 // job may move.
 func (j *job) waitsTooLong(now time.Time) bool {
 	for st := range j.steps() {
-		after := moveAfter
+		delay := moveDelay
 		if st.spec.Gang {
-			after = moveGangAfter
+			delay = moveGangDelay
 		}
-		if !st.waitingSince.IsZero() && now.Sub(st.waitingSince) >= after {
+		if !st.waitingSince.IsZero() && now.Sub(st.waitingSince) >= delay {
 			return true
 		}
 	}
 	return false
 }
 
-// joins reports whether all shards should run the job's gangs together; unfit is a step of
+// needsJoint reports whether all shards should run the job's gangs together; unfit is a step of
 // it that this shard can't hold, or nil.
-func (s *Shard) joins(now time.Time, j *job, unfit *step) bool {
+func (s *Shard) needsJoint(now time.Time, j *job, unfit *step) bool {
 	if unfit != nil {
-		return unfit.spec.Gang && j.spec.Moves >= joinFromMoves
+		return unfit.spec.Gang && j.spec.Moves >= jointMinMoves
 	}
 	return s.waitsForTightGang(now, j)
 }
@@ -189,46 +189,46 @@
 // shard holds it only while little else runs there.
 func (s *Shard) waitsForTightGang(now time.Time, j *job) bool {
 	for st := range j.steps() {
-		enough := joinUnder * len(st.tasks)
-		if st.spec.Gang && st.waited(now) >= joinAfter && s.roomFor(st, enough) < enough {
+		enough := jointMaxFit * len(st.tasks)
+		if st.spec.Gang && st.waitTime(now) >= jointDelay && s.maxTasksHere(st, enough) < enough {
 			return true
 		}
 	}
 	return false
 }
 
-// unfit returns a step of the job that is left and can never run here, or nil.
-func (s *Shard) unfit(j *job) *step {
-	if len(s.order) == 0 {
+// unfitStep returns a step of the job that is left and can never run here, or nil.
+func (s *Shard) unfitStep(j *job) *step {
+	if len(s.workerList) == 0 {
 		return nil
 	}
 	for st := range j.steps() {
-		if st.done < len(st.tasks) && !s.holds(st) {
+		if st.done < len(st.tasks) && !s.canHold(st) {
 			return st
 		}
 	}
 	return nil
 }
 
-// holds reports whether the shard's workers could run a step if they were free: one task
+// canHold reports whether the shard's workers could run a step if they were free: one task
 // at least, and all together of a gang or of tasks that last. Workers that advice rejects
 // don't count; those that it was not asked about do.
-func (s *Shard) holds(st *step) bool {
+func (s *Shard) canHold(st *step) bool {
 	need := 1
 	if st.spec.Gang || st.spec.LongRunning {
 		need = len(st.tasks) - st.done
 	}
-	return s.roomFor(st, need) >= need
+	return s.maxTasksHere(st, need) >= need
 }
 
-// roomFor returns how many tasks of a step the shard's workers could run if they were
+// maxTasksHere returns how many tasks of a step the shard's workers could run if they were
 // free, or so many as are enough.
-func (s *Shard) roomFor(st *step, enough int) (room int) {
-	for _, w := range s.order {
+func (s *Shard) maxTasksHere(st *step, enough int) (room int) {
+	for _, w := range s.workerList {
 		if w.info.Draining || w.leaving || w.entryInvalid || (st.spec.Label != "" && !w.info.HasLabel(st.spec.Label)) {
 			continue
 		}
-		if ans, known := st.advice.answers[w.info.ID]; known && !ans.good {
+		if ans, known := st.advice.answers[w.info.ID]; known && !ans.approved {
 			continue
 		}
 		if room += int(fitsIn(w.info.Capacity, st)); room >= enough {
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -11,28 +11,28 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// endsListed is how many ends a worker lists at once. Behind a full list there may be more,
+// maxListedEnds is how many ends a worker lists at once. Behind a full list there may be more,
 // so that a run which is not in it may have ended.
-const endsListed = 500
+const maxListedEnds = 500
 
 // Observe takes a worker's report, the answer to the hold with that number.
 func (s *Shard) Observe(now time.Time, id string, seq int64, report cluster.Report) {
 	w := s.workers[id]
-	if w == nil || seq <= w.lastReport || !s.settleLife(now, w, report.Started) {
+	if w == nil || seq <= w.lastReportedHold || !s.resolveIncarnation(now, w, report.Started) {
 		return
 	}
-	w.lastReport = seq
-	w.clock, w.clockAt = report.ClockMS, now
+	w.lastReportedHold = seq
+	w.clockMS, w.clockAt = report.ClockMS, now
 	if w.silent {
 		w.silent = false
 		s.log.Info("worker answers again", events.WorkerResponsive, zap.String("worker", id), zap.Duration("silent", now.Sub(w.silentSince)))
 	}
 	first := !w.answered
-	w.answered, w.heard = true, true
+	w.answered, w.answeredSinceLoad = true, true
 	if first {
-		s.settleInDoubt(now, id)
+		s.resolveInDoubt(now, id)
 		if w.generation > 1 && w.started != 0 {
-			w.inDoubtLease = now.Add(s.p.MaxLease + leaseMargin)
+			w.inDoubtLeaseEnd = now.Add(s.params.MaxLease + leaseMargin)
 		}
 	}
 	listed := make(map[runKey]bool, len(report.Running)+len(report.Ended))
@@ -40,43 +40,43 @@
 		listed[runKey{e.Task, e.Run}] = true
 		if e.N > w.lastEnd {
 			w.lastEnd = e.N
-			s.takeEnd(now, w, e)
+			s.receiveEnd(now, w, e)
 		}
 	}
-	clear(w.foreign)
+	clear(w.unknownRuns)
 	for _, e := range report.Running {
 		listed[runKey{e.Task, e.Run}] = true
-		s.running(now, w, e)
+		s.observeRun(now, w, e)
 	}
-	if len(report.Ended) < endsListed {
-		s.missing(now, w, seq, listed)
+	if len(report.Ended) < maxListedEnds {
+		s.dropUnlisted(now, w, seq, listed)
 	}
-	s.recount(w)
+	s.recomputeUsed(w)
 	if first {
-		s.log.Info("worker taken over", events.WorkerTakenOver, zap.String("worker", id), zap.Int64("epoch", s.p.Epoch), zap.Int("runs", len(w.runs)))
+		s.log.Info("worker taken over", events.WorkerTakenOver, zap.String("worker", id), zap.Int64("epoch", s.params.Epoch), zap.Int("runs", len(w.runs)))
 	}
 }
 
-// settleLife takes the start that a worker's answer tells, and reports whether the answer is
+// resolveIncarnation takes the start that a worker's answer tells, and reports whether the answer is
 // of the life known. One that is of another life is the last that the old one gets: what the
 // new one runs shows once it has taken an order of its own generation.
-func (s *Shard) settleLife(now time.Time, w *worker, started int64) bool {
-	if w.relate(started, true) == newerLife {
-		s.replaceLife(now, w, started)
+func (s *Shard) resolveIncarnation(now time.Time, w *worker, started int64) bool {
+	if w.relationTo(started, true) == newerIncarnation {
+		s.replaceIncarnation(now, w, started)
 		return false
 	}
 	if w.started != started {
 		// Nothing was known of it but an entry, or what the last owner left.
-		w.started, w.noEntry = started, w.info.Started != started
+		w.started, w.entryMissing = started, w.info.Started != started
 	}
 	return true
 }
 
-// running takes one entry of what a worker runs.
-func (s *Shard) running(now time.Time, w *worker, e cluster.RunStatus) {
+// observeRun takes one entry of what a worker runs.
+func (s *Shard) observeRun(now time.Time, w *worker, e cluster.RunStatus) {
 	r := s.runs[runKey{e.Task, e.Run}]
 	if r == nil {
-		r = s.adopt(now, w, e)
+		r = s.adoptRun(now, w, e)
 	}
 	if r == nil || r.worker != w {
 		return
@@ -86,17 +86,17 @@
 	}
 	// Answers pass each other: one to a question that was asked before this list was read
 	// may be older than the run, which then ran twice.
-	r.knownAt, r.taken = w.holds, true
+	r.knownSinceHold, r.accepted = w.holdsSent, true
 	t := r.task
 	t.uncertain = false
 	if r.firstAt.IsZero() {
 		r.firstAt, r.firstPercent = now, e.Percent
 	}
 	if e.Percent != r.percent {
-		r.percent, r.percentAt = e.Percent, now
+		r.percent, r.percentChangedAt = e.Percent, now
 	}
 	r.usage = e.Usage
-	s.noteSettled(now, w, r)
+	s.creditLongRunning(now, w, r)
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
 	}
@@ -105,21 +105,21 @@
 	}
 }
 
-// adopt takes over a run that an earlier owner started, or that was thought
+// adoptRun takes over a run that an earlier owner started, or that was thought
 // lost; what must not run is stopped.
-func (s *Shard) adopt(now time.Time, w *worker, e cluster.RunStatus) *run {
+func (s *Shard) adoptRun(now time.Time, w *worker, e cluster.RunStatus) *run {
 	t := s.task(e.Task)
 	if t == nil {
-		w.foreign[runKey{e.Task, e.Run}] = true
+		w.unknownRuns[runKey{e.Task, e.Run}] = true
 		if s.mayBeUnread(e.Task.Job) {
 			return nil
 		}
 		s.log.Warn("run of no known task", events.RunUnknown, zap.Stringer("task", e.Task), zap.Int64("run", e.Run), zap.String("worker", w.info.ID))
-		s.emit(Stop{Order: s.orderTo(w), Task: e.Task, Run: e.Run})
+		s.emit(Stop{Order: s.orderFor(w), Task: e.Task, Run: e.Run})
 		return nil
 	}
 	others := len(t.runs) > 0 && !t.step.spec.Speculative
-	r := s.add(now, t, e.Run, w, runRunning)
+	r := s.addRun(now, t, e.Run, w, runRunning)
 	if t.step.spec.BestEffortCPU {
 		r.pace = paceUnknown
 	}
@@ -133,19 +133,19 @@
 	return r
 }
 
-// missing drops runs that the report should list and doesn't.
-func (s *Shard) missing(now time.Time, w *worker, seq int64, listed map[runKey]bool) {
+// dropUnlisted drops runs that the report should list and doesn't.
+func (s *Shard) dropUnlisted(now time.Time, w *worker, seq int64, listed map[runKey]bool) {
 	for _, r := range sortedRuns(w.runs) {
-		if listed[r.key()] || seq <= r.knownAt || r.state == runStarting {
+		if listed[r.key()] || seq <= r.knownSinceHold || r.state == runStarting {
 			continue
 		}
 		if r.state == runUnanswered && !r.stopped {
 			s.stop(now, r, "start not answered")
 			continue
 		}
-		s.log.Info("run is not there", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.n),
+		s.log.Info("run is not there", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
 			zap.String("worker", w.info.ID), zap.String("cause", "not listed"), zap.Bool("stopped", r.stopped))
-		s.drop(r)
-		s.breakGang(now, r, "a member is gone")
+		s.dropRun(r)
+		s.stopOtherMembers(now, r, "a member is gone")
 	}
 }
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -21,23 +21,23 @@
 	paceLow  = 0.6
 	// paceStep is how much a filler gets back after each calm period.
 	paceStep = 25
-	// paceCalm is the calm period before a filler gets more, and paceEvery the
+	// paceCalmPeriod is the calm period before a filler gets more, and paceEvery the
 	// least time between two changes: a change works after 0.1 s and shows in
 	// the figure of the last half second.
-	paceCalm  = 1500 * time.Millisecond
-	paceEvery = 600 * time.Millisecond
-	// paceTrial is how long a filler is held entirely before it is tried at minPace while
+	paceCalmPeriod  = 1500 * time.Millisecond
+	paceMinInterval = 600 * time.Millisecond
+	// paceTrialDelay is how long a filler is held entirely before it is tried at minPace while
 	// the tail is under paceHigh: the serving task's own may never be under paceLow.
-	paceTrial = 4 * time.Second
+	paceTrialDelay = 4 * time.Second
 )
 
-// paceFillers slows tasks that fill beside serving tasks whose latency nears its target.
-func (s *Shard) paceFillers(now time.Time) {
-	for _, w := range s.order {
+// paceBestEffortRuns slows tasks that fill beside serving tasks whose latency nears its target.
+func (s *Shard) paceBestEffortRuns(now time.Time) {
+	for _, w := range s.workerList {
 		if w.silent || !w.answered {
 			continue
 		}
-		var fillers []*run
+		var bestEffort []*run
 		worst, serving := 0.0, false
 		for _, r := range sortedRuns(w.runs) {
 			spec := r.task.step.spec
@@ -45,21 +45,21 @@
 				continue
 			}
 			if spec.BestEffortCPU {
-				fillers = append(fillers, r)
+				bestEffort = append(bestEffort, r)
 			}
 			if spec.LatencyTargetMS > 0 {
 				serving = true
 				worst = max(worst, float64(r.usage)/float64(spec.LatencyTargetMS))
 			}
 		}
-		for _, r := range fillers {
-			s.paceOne(now, r, worst, serving)
+		for _, r := range bestEffort {
+			s.adjustPace(now, r, worst, serving)
 		}
 	}
 }
 
-func (s *Shard) paceOne(now time.Time, r *run, worst float64, serving bool) {
-	if now.Sub(r.paceSent) < paceEvery {
+func (s *Shard) adjustPace(now time.Time, r *run, worst float64, serving bool) {
+	if now.Sub(r.paceSetAt) < paceMinInterval {
 		return
 	}
 	pace := max(r.pace, 0)
@@ -67,29 +67,29 @@
 	case !serving:
 		pace = fullPace
 	case worst > paceHigh:
-		r.calmFrom = now
+		r.calmSince = now
 		pace /= 2
 		if pace < minPace {
 			pace = 0
 		}
 	case worst < paceLow:
-		if r.calmFrom.IsZero() || now.Sub(r.calmFrom) > paceCalm {
-			r.calmFrom = now
+		if r.calmSince.IsZero() || now.Sub(r.calmSince) > paceCalmPeriod {
+			r.calmSince = now
 			pace = min(fullPace, pace+paceStep)
 		}
 	default:
-		r.calmFrom = now
-		if r.pace == 0 && now.Sub(r.paceSent) >= paceTrial {
+		r.calmSince = now
+		if r.pace == 0 && now.Sub(r.paceSetAt) >= paceTrialDelay {
 			pace = minPace
 		}
 	}
 	if pace == r.pace {
 		return
 	}
-	s.log.Info("pace set", events.PaceSet, zap.Stringer("task", r.task.id), zap.Int64("run", r.n), zap.String("worker", r.worker.info.ID),
+	s.log.Info("pace set", events.PaceSet, zap.Stringer("task", r.task.id), zap.Int64("run", r.number), zap.String("worker", r.worker.info.ID),
 		zap.Int("percent", pace), zap.Float64("worst_of_target", worst))
-	r.pace, r.paceSent = pace, now
-	s.emit(SetPace{Order: s.orderTo(r.worker), Task: r.task.id, Run: r.n, Percent: pace})
+	r.pace, r.paceSetAt = pace, now
+	s.emit(SetPace{Order: s.orderFor(r.worker), Task: r.task.id, Run: r.number, Percent: pace})
 }
 
 // minPace is the pace below which a filler is held entirely.
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -15,7 +15,7 @@
 
 // preempt stops less urgent runs to make room for n tasks of a step.
 func (s *Shard) preempt(now time.Time, st *step, n int) {
-	n -= s.reservedFor(now, st)
+	n -= s.reservedTasks(now, st)
 	for range n {
 		w, victims := s.cheapestVictims(now, st)
 		if w == nil {
@@ -25,26 +25,26 @@
 			s.counts.Preempted++
 			s.stop(now, r, "preempted by "+st.id.Job)
 		}
-		w.reserve(st, now.Add(s.p.StopTime+reservationSlack), time.Time{})
+		w.reserve(st, now.Add(s.params.StopTime+reservationSlack), time.Time{})
 	}
 }
 
-// reservedFor returns for how many tasks of the step room is being made.
-func (s *Shard) reservedFor(now time.Time, st *step) int {
+// reservedTasks returns for how many tasks of the step room is being made.
+func (s *Shard) reservedTasks(now time.Time, st *step) int {
 	n := 0
-	st.keptOn = slices.DeleteFunc(st.keptOn, func(w *worker) bool {
+	st.reservedOn = slices.DeleteFunc(st.reservedOn, func(w *worker) bool {
 		res, ok := w.reserved[st]
 		if !ok || !now.Before(res.until) || s.workers[w.info.ID] != w {
 			delete(w.reserved, st)
 			return true
 		}
-		n += timesFits(res.amount, st.spec.Allocation())
+		n += countFits(res.amount, st.spec.Allocation())
 		return false
 	})
 	return n
 }
 
-func timesFits(total, one resource.Amount) int {
+func countFits(total, one resource.Amount) int {
 	switch {
 	case one.CPUMilli > 0:
 		return int(total.CPUMilli / one.CPUMilli)
@@ -60,8 +60,8 @@
 	var best *worker
 	var bestRuns []*run
 	bestCost := 0.0
-	for _, w := range s.order {
-		if !s.mayHold(now, w, st) || !s.spreadAllows(w, st, timesFits(w.reserved[st].amount, st.spec.Allocation())) {
+	for _, w := range s.workerList {
+		if !s.usableAfterWait(now, w, st) || !s.spreadAllows(w, st, countFits(w.reserved[st].amount, st.spec.Allocation())) {
 			continue
 		}
 		if st.needsTicket() {
@@ -80,7 +80,7 @@
 // victimsOn returns the runs on a worker whose end makes room for one more
 // task of the step, the cheapest first, and the work that is lost.
 func (s *Shard) victimsOn(now time.Time, w *worker, st *step) ([]*run, float64, bool) {
-	free := w.free(now, st).Sub(w.reserved[st].amount)
+	free := w.freeFor(now, st).Sub(w.reserved[st].amount)
 	var list []*run
 	for _, r := range w.runs {
 		if r.stopping {
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -75,7 +75,7 @@
 	if j.state.Finished() {
 		return p
 	}
-	for k, rep := range j.reps {
+	for k, rep := range j.repeats {
 		for i, st := range rep.steps {
 			if ss, changed := st.state(k, i); changed {
 				p.Steps = append(p.Steps, ss)
@@ -110,22 +110,22 @@
 func (j *job) restore(p *Progress) {
 	j.version, j.begun, j.moving = p.version, p.Begun, p.Moving
 	for _, ss := range p.Steps {
-		if ss.Repeat < 0 || ss.Repeat >= len(j.reps) || ss.Step < 0 || ss.Step >= len(j.reps[ss.Repeat].steps) {
+		if ss.Repeat < 0 || ss.Repeat >= len(j.repeats) || ss.Step < 0 || ss.Step >= len(j.repeats[ss.Repeat].steps) {
 			continue
 		}
-		st := j.reps[ss.Repeat].steps[ss.Step]
+		st := j.repeats[ss.Repeat].steps[ss.Step]
 		for x := range min(len(ss.Done), len(st.tasks)) {
 			if ss.Done[x] == '1' && !st.tasks[x].done {
 				st.tasks[x].done = true
 				st.done++
-				j.left--
+				j.tasksLeft--
 			}
 		}
 		for _, ts := range ss.Tasks {
 			if ts.Index >= 0 && ts.Index < len(st.tasks) {
 				t := st.tasks[ts.Index]
 				t.failed, t.checkpoint, t.lastRun = ts.Failed, ts.Checkpoint, max(t.lastRun, ts.LastRun)
-				st.gangRun = max(st.gangRun, t.lastRun)
+				st.lastGangRun = max(st.lastGangRun, t.lastRun)
 			}
 		}
 	}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -17,25 +17,25 @@
 // free the soonest; only what would be late by waiting stops the work of others.
 
 const (
-	// reserveFor is how long room stays set aside before it is looked at anew: runs end
+	// reservationTTL is how long room stays set aside before it is looked at anew: runs end
 	// earlier or later than expected, and a report is up to 0.5 s old.
-	reserveFor = 300 * time.Millisecond
-	// reserveSteps is how many steps may have room set aside in one round, the most
+	reservationTTL = 300 * time.Millisecond
+	// maxReservingSteps is how many steps may have room set aside in one round, the most
 	// urgent first: each looks at all runs of the shard.
-	reserveSteps = 8
-	// reserveAgain is when a step for which none was found is looked at again: those that
+	maxReservingSteps = 8
+	// reserveRetryDelay is when a step for which none was found is looked at again: those that
 	// never find any would else take the turns of all others.
-	reserveAgain = 500 * time.Millisecond
-	// reserveMost is the longest wait for which room is set aside; beyond it, more is
+	reserveRetryDelay = 500 * time.Millisecond
+	// maxReserveWait is the longest wait for which room is set aside; beyond it, more is
 	// lost by keeping room empty than by waiting on.
-	reserveMost = 4 * time.Second
-	// stopsFrom is the wait from which a task that lasts stops less urgent work instead: it
+	maxReserveWait = 4 * time.Second
+	// preemptAfter is the wait from which a task that lasts stops less urgent work instead: it
 	// is to be at work again within seconds, and its tickets hold for a few.
-	stopsFrom = time.Second
-	// reserveGangMost is the same for the most urgent gang of a shard, whose members find
+	preemptAfter = time.Second
+	// maxGangReserveWait is the same for the most urgent gang of a shard, whose members find
 	// room at once only if it is kept: the tasks beside it take up to 15 s, and what ends
 	// before the gang's time may use the room meanwhile.
-	reserveGangMost = 15 * time.Second
+	maxGangReserveWait = 15 * time.Second
 	// slackMargin is kept of the time for which a step may wait: the ends of others are
 	// known from reports that are up to 0.5 s old.
 	slackMargin = 300 * time.Millisecond
@@ -45,8 +45,8 @@
 type reservation struct {
 	amount resource.Amount
 	until  time.Time
-	// at is when the step is expected to use it; zero: it is being made by stopping runs.
-	at time.Time
+	// neededAt is when the step is expected to use it; zero: it is being made by stopping runs.
+	neededAt time.Time
 }
 
 // blocks reports whether the room that a step has set aside is not there for another
@@ -55,63 +55,63 @@
 	switch {
 	case owner == other:
 		return false
-	case res.at.IsZero():
+	case res.neededAt.IsZero():
 		return true
 	case other.job.rank.Priority < owner.job.rank.Priority:
 		return false
 	}
-	return now.Add(other.estimate()).After(res.at)
+	return now.Add(other.estimate()).After(res.neededAt)
 }
 
 // reserve sets room aside for n waiting tasks of a step, as far as it comes free in time.
 func (s *Shard) reserve(now time.Time, st *step, n int, within time.Duration) {
-	if s.reserving >= reserveSteps || (!st.spec.LongRunning && now.Sub(st.noRoomAt) < reserveAgain) {
+	if s.reservingSteps >= maxReservingSteps || (!st.spec.LongRunning && now.Sub(st.noRoomAt) < reserveRetryDelay) {
 		return
 	}
-	if n -= s.reservedFor(now, st); n <= 0 {
+	if n -= s.reservedTasks(now, st); n <= 0 {
 		return
 	}
-	s.reserving++
-	places := s.soonestRoom(now, st, n, within)
+	s.reservingSteps++
+	places := s.soonestPlacements(now, st, n, within)
 	if len(places) == 0 {
 		st.noRoomAt = now
 	}
 	for _, p := range places {
-		p.w.reserve(st, now.Add(reserveFor), now.Add(p.in))
+		p.w.reserve(st, now.Add(reservationTTL), now.Add(p.in))
 	}
 }
 
 // reserveGang sets room aside for all members of a gang.
 func (s *Shard) reserveGang(now time.Time, st *step) {
-	if s.reservedFor(now, st) >= len(st.tasks) {
-		s.gangReserving = true
+	if s.reservedTasks(now, st) >= len(st.tasks) {
+		s.gangReserved = true
 		return
 	}
-	if s.reserving >= reserveSteps && s.gangReserving {
+	if s.reservingSteps >= maxReservingSteps && s.gangReserved {
 		return
 	}
-	s.reserving++
-	s.release(st)
-	within := reserveMost
-	if !s.gangReserving {
-		s.gangReserving, within = true, reserveGangMost
+	s.reservingSteps++
+	s.releaseReservations(st)
+	within := maxReserveWait
+	if !s.gangReserved {
+		s.gangReserved, within = true, maxGangReserveWait
 	}
-	places := s.soonestRoom(now, st, len(st.tasks), within)
+	places := s.soonestPlacements(now, st, len(st.tasks), within)
 	if len(places) < len(st.tasks) {
 		return
 	}
 	longest := places[len(places)-1].in
 	for _, p := range places {
-		p.w.reserve(st, now.Add(reserveFor), now.Add(longest))
+		p.w.reserve(st, now.Add(reservationTTL), now.Add(longest))
 	}
 }
 
-// release gives up all room that is set aside for a step.
-func (s *Shard) release(st *step) {
-	for _, w := range st.keptOn {
+// releaseReservations gives up all room that is set aside for a step.
+func (s *Shard) releaseReservations(st *step) {
+	for _, w := range st.reservedOn {
 		delete(w.reserved, st)
 	}
-	st.keptOn = nil
+	st.reservedOn = nil
 }
 
 // reserve keeps room for one more task of a step until a time; at is when the step is
@@ -119,69 +119,69 @@
 func (w *worker) reserve(st *step, until, at time.Time) {
 	res, ok := w.reserved[st]
 	if !ok {
-		st.keptOn = append(st.keptOn, w)
+		st.reservedOn = append(st.reservedOn, w)
 	}
 	res.amount = res.amount.Add(st.spec.Allocation())
-	res.until, res.at = until, at
+	res.until, res.neededAt = until, at
 	w.reserved[st] = res
 }
 
 // slack returns for how long a step may wait and its job still be in time.
 func (s *Shard) slack(now time.Time, st *step) time.Duration {
-	return st.job.rank.Due.Sub(now) - s.chainFrom(st)
+	return st.job.rank.Due.Sub(now) - s.criticalPathFrom(st)
 }
 
-// chainFrom returns how long the work takes from the start of a step to the end of its job.
-func (s *Shard) chainFrom(st *step) time.Duration {
+// criticalPathFrom returns how long the work takes from the start of a step to the end of its job.
+func (s *Shard) criticalPathFrom(st *step) time.Duration {
 	after := time.Duration(0)
-	for _, next := range st.rep.steps {
+	for _, next := range st.repeat.steps {
 		if slices.Contains(next.spec.After, st.id.Step) {
-			after = max(after, s.chainFrom(next))
+			after = max(after, s.criticalPathFrom(next))
 		}
 	}
-	return s.expected(st) + after
+	return s.expectedTime(st) + after
 }
 
-// place is room for one task on a worker, and in what time it is free.
-type place struct {
+// placement is room for one task on a worker, and in what time it is free.
+type placement struct {
 	w  *worker
 	in time.Duration
 }
 
-// soonestRoom returns where n more tasks of a step will find room the soonest, in that
+// soonestPlacements returns where n more tasks of a step will find room the soonest, in that
 // order, as far as they do in time, beside what is set aside for the step already.
-func (s *Shard) soonestRoom(now time.Time, st *step, n int, within time.Duration) []place {
-	var list []place
-	for _, w := range s.order {
-		if !s.mayHold(now, w, st) || !st.mayBeGood(w) {
+func (s *Shard) soonestPlacements(now time.Time, st *step, n int, within time.Duration) []placement {
+	var list []placement
+	for _, w := range s.workerList {
+		if !s.usableAfterWait(now, w, st) || !st.mayBeApproved(w) {
 			continue
 		}
-		for _, in := range s.roomTimes(now, w, st, n, within) {
-			list = append(list, place{w, in})
+		for _, in := range s.placementTimes(now, w, st, n, within) {
+			list = append(list, placement{w, in})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b place) int { return cmp.Compare(a.in, b.in) })
+	slices.SortStableFunc(list, func(a, b placement) int { return cmp.Compare(a.in, b.in) })
 	return list[:min(n, len(list))]
 }
 
-// mayBeGood reports whether room on a worker may be kept for the step: advice allows it,
+// mayBeApproved reports whether room on a worker may be kept for the step: advice allows it,
 // or for tasks that last is being asked, so that others don't fill it until it answers.
-func (st *step) mayBeGood(w *worker) bool {
-	return !st.needsTicket() || st.advice.answers[w.info.ID].good || (st.spec.LongRunning && st.advice.asked[w.info.ID])
+func (st *step) mayBeApproved(w *worker) bool {
+	return !st.needsTicket() || st.advice.answers[w.info.ID].approved || (st.spec.LongRunning && st.advice.pending[w.info.ID])
 }
 
-// runEnd is when a run is expected to leave its room.
-type runEnd struct {
+// expectedEnd is when a run is expected to leave its room.
+type expectedEnd struct {
 	room resource.Amount
 	in   time.Duration
 }
 
-// roomTimes returns in what time a worker has room for each of up to n more tasks of a
+// placementTimes returns in what time a worker has room for each of up to n more tasks of a
 // step, by the ends of what runs there.
-func (s *Shard) roomTimes(now time.Time, w *worker, st *step, n int, within time.Duration) (times []time.Duration) {
+func (s *Shard) placementTimes(now time.Time, w *worker, st *step, n int, within time.Duration) (times []time.Duration) {
 	need, kept := st.spec.Allocation(), w.reserved[st].amount
-	free, beside := w.free(now, st).Sub(kept), timesFits(kept, need)
-	ends, at := s.runEnds(now, w), time.Duration(0)
+	free, beside := w.freeFor(now, st).Sub(kept), countFits(kept, need)
+	ends, at := s.expectedRunEnds(now, w), time.Duration(0)
 	for len(times) < n && s.spreadAllows(w, st, beside+len(times)) {
 		for !free.Fits(need) {
 			if len(ends) == 0 || ends[0].in > within {
@@ -195,23 +195,23 @@
 	return times
 }
 
-// runEnds returns when the runs on a worker are expected to end, the soonest first, as
+// expectedRunEnds returns when the runs on a worker are expected to end, the soonest first, as
 // they were at the beginning of this round: many steps wait in a round, and each asks.
-func (s *Shard) runEnds(now time.Time, w *worker) []runEnd {
-	if w.endsRound == s.round {
-		return w.ends
+func (s *Shard) expectedRunEnds(now time.Time, w *worker) []expectedEnd {
+	if w.expectedEndsRound == s.round {
+		return w.expectedEnds
 	}
-	ends := w.ends[:0]
+	ends := w.expectedEnds[:0]
 	for _, r := range w.runs {
 		spec := r.task.step.spec
 		switch {
 		case r.stopping:
-			ends = append(ends, runEnd{spec.Allocation(), s.p.StopTime})
+			ends = append(ends, expectedEnd{spec.Allocation(), s.params.StopTime})
 		case !spec.LongRunning:
-			ends = append(ends, runEnd{spec.Allocation(), s.remaining(now, r)})
+			ends = append(ends, expectedEnd{spec.Allocation(), s.remainingTime(now, r)})
 		}
 	}
-	slices.SortFunc(ends, func(a, b runEnd) int { return cmp.Compare(a.in, b.in) })
-	w.ends, w.endsRound = ends, s.round
+	slices.SortFunc(ends, func(a, b expectedEnd) int { return cmp.Compare(a.in, b.in) })
+	w.expectedEnds, w.expectedEndsRound = ends, s.round
 	return ends
 }
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -29,39 +29,39 @@
 // or it is certain that it isn't there.
 type run struct {
 	task   *task
-	n      int64
+	number int64
 	worker *worker
 	state  runState
 	// stopping is set once a stop was ordered; stopped once it was acknowledged.
-	stopping  bool
-	stopped   bool
-	stopSent  time.Time
-	stopCause string
-	// knownAt is the number of the last hold sent before the latest reply about
+	stopping   bool
+	stopped    bool
+	stopSentAt time.Time
+	stopCause  string
+	// knownSinceHold is the number of the last hold sent before the latest reply about
 	// the run: only reports of later holds tell whether it is there.
-	knownAt   int64
-	startedAt time.Time
+	knownSinceHold int64
+	startedAt      time.Time
 	// orderedAt is when the run was ordered, or found, and taken is set once its worker's
 	// life is known to have taken the order.
 	orderedAt time.Time
-	taken     bool
+	accepted  bool
 	// percent of the work that is done, when it last rose, and since when it is followed.
-	percent      int
-	percentAt    time.Time
-	firstPercent int
-	firstAt      time.Time
-	usage        int64
+	percent          int
+	percentChangedAt time.Time
+	firstPercent     int
+	firstAt          time.Time
+	usage            int64
 	// pace is the share at which the run works; paceSent is when it was last set.
-	pace     int
-	paceSent time.Time
-	calmFrom time.Time
+	pace      int
+	paceSetAt time.Time
+	calmSince time.Time
 	// resumed is set when the run began from a checkpoint.
 	resumed bool
-	// spoke is set once a run that lasts has been taken as a success of its worker.
-	spoke bool
+	// credited is set once a run that lasts has been taken as a success of its worker.
+	credited bool
 }
 
-func (r *run) key() runKey { return runKey{r.task.id, r.n} }
+func (r *run) key() runKey { return runKey{r.task.id, r.number} }
 
 func sortedRuns(m map[runKey]*run) []*run {
 	list := make([]*run, 0, len(m))
@@ -73,7 +73,7 @@
 }
 
 func compareRun(a, b *run) int {
-	return cmp.Or(cmp.Compare(a.n, b.n), compareTask(a.task.id, b.task.id))
+	return cmp.Or(cmp.Compare(a.number, b.number), compareTask(a.task.id, b.task.id))
 }
 
 func compareTask(a, b cluster.TaskID) int {
@@ -90,24 +90,24 @@
 	return a.Index - b.Index
 }
 
-// add notes a run on a worker.
-func (s *Shard) add(now time.Time, t *task, n int64, w *worker, state runState) *run {
-	r := &run{task: t, n: n, worker: w, state: state, startedAt: now, orderedAt: now, percentAt: now, knownAt: w.holds, pace: fullPace}
-	t.runs, t.waitsFrom, t.noteAgainAt = append(t.runs, r), time.Time{}, 0
+// addRun notes a run on a worker.
+func (s *Shard) addRun(now time.Time, t *task, n int64, w *worker, state runState) *run {
+	r := &run{task: t, number: n, worker: w, state: state, startedAt: now, orderedAt: now, percentChangedAt: now, knownSinceHold: w.holdsSent, pace: fullPace}
+	t.runs, t.waitingSince, t.nextWaitLog = append(t.runs, r), time.Time{}, 0
 	t.lastRun = max(t.lastRun, n)
-	t.step.gangRun = max(t.step.gangRun, n)
+	t.step.lastGangRun = max(t.step.lastGangRun, n)
 	w.runs[r.key()] = r
 	w.used = w.used.Add(t.step.spec.Allocation())
 	s.runs[r.key()] = r
 	if j := t.step.job; !j.begun {
 		j.begun = true
-		s.touch(j)
+		s.markChanged(j)
 	}
 	return r
 }
 
-// drop removes a run that is certain not to be there any more.
-func (s *Shard) drop(r *run) {
+// dropRun removes a run that is certain not to be there any more.
+func (s *Shard) dropRun(r *run) {
 	if s.runs[r.key()] != r {
 		return
 	}
@@ -117,29 +117,29 @@
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(o *run) bool { return o == r })
 }
 
-// stopRetry is when an unanswered stop is sent again.
-const stopRetry = 350 * time.Millisecond
+// stopRetryInterval is when an unanswered stop is sent again.
+const stopRetryInterval = 350 * time.Millisecond
 
 // stop orders a run to stop. The room stays taken until its end is listed.
 func (s *Shard) stop(now time.Time, r *run, cause string) {
-	if r.stopping && (r.stopped || now.Sub(r.stopSent) < stopRetry) {
+	if r.stopping && (r.stopped || now.Sub(r.stopSentAt) < stopRetryInterval) {
 		return
 	}
 	if !r.stopping {
 		s.counts.Stops++
-		s.log.Info("stopping run", events.RunStopped, zap.Stringer("task", r.task.id), zap.Int64("run", r.n),
+		s.log.Info("stopping run", events.RunStopped, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
 			zap.String("worker", r.worker.info.ID), zap.String("cause", cause), zap.Int("percent", r.percent))
 	}
-	r.stopping, r.stopSent, r.stopCause = true, now, cause
-	s.emit(Stop{Order: s.orderTo(r.worker), Task: r.task.id, Run: r.n})
+	r.stopping, r.stopSentAt, r.stopCause = true, now, cause
+	s.emit(Stop{Order: s.orderFor(r.worker), Task: r.task.id, Run: r.number})
 }
 
-// breakGang stops the other members of a gang's run when one is lost.
-func (s *Shard) breakGang(now time.Time, r *run, cause string) {
+// stopOtherMembers stops the other members of a gang's run when one is lost.
+func (s *Shard) stopOtherMembers(now time.Time, r *run, cause string) {
 	if !r.task.step.spec.Gang || r.task.done {
 		return
 	}
-	s.breakGangRun(now, r.task.step, r.n, cause)
+	s.stopGangRun(now, r.task.step, r.number, cause)
 }
 
 // StartReplied takes the reply to a start.
@@ -149,7 +149,7 @@
 		return
 	}
 	if s.workers[id] != r.worker {
-		s.inDoubtReplied(now, r, reply)
+		s.inDoubtStartReplied(now, r, reply)
 		return
 	}
 	if reply != cluster.ReplyOK {
@@ -159,46 +159,46 @@
 	switch reply {
 	case cluster.ReplyOK:
 		if r.state == runStarting {
-			r.state, r.startedAt, r.percentAt = runRunning, now, now
+			r.state, r.startedAt, r.percentChangedAt = runRunning, now, now
 		}
-		r.knownAt, r.taken = r.worker.holds, true
+		r.knownSinceHold, r.accepted = r.worker.holdsSent, true
 		return
 	case cluster.ReplyNewIncarnation:
 		// It may run there under a life that isn't known yet, whose answer settles it.
 		s.emit(Poll{Worker: id})
 		return
 	case cluster.ReplyUnknown:
-		r.state, r.knownAt = runUnanswered, r.worker.holds
+		r.state, r.knownSinceHold = runUnanswered, r.worker.holdsSent
 		s.stop(now, r, "start not answered")
-		s.breakGang(now, r, "start not answered")
+		s.stopOtherMembers(now, r, "start not answered")
 		return
 	case cluster.ReplyOtherIncarnation:
 		s.WorkerEnded(now, id, "another life answers at its address")
 		return
 	case cluster.ReplyTicketInvalid:
-		r.task.step.advice.discard(id)
+		r.task.step.advice.discardTicket(id)
 	case cluster.ReplyBusy, cluster.ReplyInvalid:
 		s.workerFailed(now, r.worker, r, r.task.id.Job)
 		if reply == cluster.ReplyBusy {
 			// An invalid order may be the job's own fault.
-			r.worker.refusesUntil = now.Add(s.p.StopTime + refusedPause)
+			r.worker.busyUntil = now.Add(s.params.StopTime + busyWorkerDelay)
 		}
 	case cluster.ReplyNotSent:
 		s.HoldFailed(now, id, "connection not made")
 	case cluster.ReplyFenced, cluster.ReplyStaleRun, cluster.ReplyDeadlinePassed, cluster.ReplyNoRoom:
 	}
-	r.task.notBefore = now.Add(rejectedPause)
-	s.drop(r)
-	s.breakGang(now, r, "start not taken")
+	r.task.notBefore = now.Add(rejectedStartDelay)
+	s.dropRun(r)
+	s.stopOtherMembers(now, r, "start not taken")
 }
 
-// rejectedPause keeps a task whose start was rejected from being tried again at once.
-const rejectedPause = 50 * time.Millisecond
+// rejectedStartDelay keeps a task whose start was rejected from being tried again at once.
+const rejectedStartDelay = 50 * time.Millisecond
 
-// refusedPause is how much longer than a stop a worker that was busy gets no other start:
+// busyWorkerDelay is how much longer than a stop a worker that was busy gets no other start:
 // a task whose worker refuses has to go elsewhere, and a gang again as soon as its other
 // members are stopped.
-const refusedPause = 300 * time.Millisecond
+const busyWorkerDelay = 300 * time.Millisecond
 
 // StopReplied takes the reply to a stop.
 func (s *Shard) StopReplied(now time.Time, id string, task cluster.TaskID, n int64, reply cluster.Reply) {
@@ -208,7 +208,7 @@
 	}
 	switch reply {
 	case cluster.ReplyOK:
-		r.stopped, r.knownAt = true, r.worker.holds
+		r.stopped, r.knownSinceHold = true, r.worker.holdsSent
 		if r.state == runUnanswered {
 			// The hold that is open says nothing of it, and the next one may be kept open.
 			s.emit(Poll{Worker: id})
@@ -216,9 +216,9 @@
 	case cluster.ReplyOtherIncarnation:
 		s.WorkerEnded(now, id, "another life answers at its address")
 	default:
-		r.stopSent = now
+		r.stopSentAt = now
 		if r.state == runUnanswered && reply == cluster.ReplyUnknown && !r.worker.silent {
-			s.emit(Stop{Order: s.orderTo(r.worker), Task: task, Run: n})
+			s.emit(Stop{Order: s.orderFor(r.worker), Task: task, Run: n})
 		}
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -112,20 +112,20 @@
 
 // Shard is the state of one shard in its owner's memory.
 type Shard struct {
-	p       Params
-	log     *zap.Logger
-	began   time.Time
-	workers map[string]*worker
-	// lives are those that had each ID, and inDoubt the runs of which it isn't known whether
+	params    Params
+	log       *zap.Logger
+	startedAt time.Time
+	workers   map[string]*worker
+	// incarnations are those that had each ID, and inDoubt the runs of which it isn't known whether
 	// a life that is over, or a later one of its ID, took the order, by that ID.
-	lives   map[string]*lives
-	inDoubt map[string][]*run
-	// generations is the highest of those of IDs that were forgotten: a life that comes back
+	incarnations map[string]*incarnationHistory
+	inDoubt      map[string][]*run
+	// maxForgottenGeneration is the highest of those of IDs that were forgotten: a life that comes back
 	// would refuse a lower one.
-	generations int64
-	order       []*worker // sorted by ID, for decisions that repeat
-	jobs        map[string]*job
-	active      []*job // unfinished, sorted by rank
+	maxForgottenGeneration int64
+	workerList             []*worker // sorted by ID, for decisions that repeat
+	jobs                   map[string]*job
+	active                 []*job // unfinished, sorted by rank
 	// runs are all that may take room somewhere, by task and number.
 	runs  map[runKey]*run
 	dirty map[string]*job
@@ -137,29 +137,29 @@
 	// to this owner any more.
 	movedAway map[string]movedJob
 	takeover  takeover
-	// unread reports whether a job may be in the store that has not been read; nil:
+	// unreadFunc reports whether a job may be in the store that has not been read; nil:
 	// all have been.
-	unread func(job string) bool
-	out    []Command
-	// goodShare is the share of asked workers that advice allows, by queue.
-	goodShare map[string]float64
+	unreadFunc func(job string) bool
+	commands   []Command
+	// approvalRates is the share of asked workers that advice allows, by queue.
+	approvalRates map[string]float64
 	// ratios are the learned ratios of run time to estimate.
 	ratios map[stepKind]*ratio
 	counts Counts
-	// directoryAt is when the directory was last read, and directorySince since when
+	// directoryReadAt is when the directory was last read, and directoryReadSince since when
 	// it is read without a gap.
-	directoryAt, directorySince time.Time
-	// watchedAt is when all workers and runs were last looked through.
-	watchedAt time.Time
+	directoryReadAt, directoryReadSince time.Time
+	// scannedAt is when all workers and runs were last looked through.
+	scannedAt time.Time
 	// round counts the rounds of decisions.
 	round int64
-	// reserving is how many steps had room set aside in this round.
-	reserving int
-	// gangReserving is set once a gang has had room set aside in this round, or none was found.
-	gangReserving bool
+	// reservingSteps is how many steps had room set aside in this round.
+	reservingSteps int
+	// gangReserved is set once a gang has had room set aside in this round, or none was found.
+	gangReserved bool
 	// load is what Load returns, as of loadAt.
-	load   float64
-	loadAt time.Time
+	load           float64
+	loadMeasuredAt time.Time
 }
 
 type runKey struct {
@@ -169,16 +169,16 @@
 
 // Counts are totals of decisions, for the metrics.
 type Counts struct {
-	Starts, Done, Failed, Lost, Stops, Preempted, Copies, AdviceCalls, SetAside int64
+	Starts, Done, Failed, Lost, Stops, Preempted, Copies, AdviceCalls, Quarantines int64
 }
 
 // New returns an empty shard.
 func New(p Params, now time.Time, log *zap.Logger) *Shard {
 	return &Shard{
-		p: p, log: log, began: now,
-		workers: make(map[string]*worker), lives: make(map[string]*lives), inDoubt: make(map[string][]*run), jobs: make(map[string]*job), runs: make(map[runKey]*run),
-		dirty: make(map[string]*job), movedAway: make(map[string]movedJob), takeover: takeover{open: true, since: now},
-		goodShare: make(map[string]float64), ratios: make(map[stepKind]*ratio), load: unknownLoad,
+		params: p, log: log, startedAt: now,
+		workers: make(map[string]*worker), incarnations: make(map[string]*incarnationHistory), inDoubt: make(map[string][]*run), jobs: make(map[string]*job), runs: make(map[runKey]*run),
+		dirty: make(map[string]*job), movedAway: make(map[string]movedJob), takeover: takeover{open: true, jobsLoadedAt: now},
+		approvalRates: make(map[string]float64), ratios: make(map[stepKind]*ratio), load: unknownLoad,
 	}
 }
 
@@ -187,37 +187,37 @@
 
 // Schedule takes all decisions that are open at now and returns what is to be done.
 func (s *Shard) Schedule(now time.Time) []Command {
-	s.settle(now)
-	if now.Sub(s.watchedAt) >= watchEvery {
-		s.watchedAt = now
-		s.watch(now)
+	s.updateTakeover(now)
+	if now.Sub(s.scannedAt) >= scanInterval {
+		s.scannedAt = now
+		s.scan(now)
 	}
 	s.placeAll(now)
-	out := s.out
-	s.out = nil
+	out := s.commands
+	s.commands = nil
 	return out
 }
 
-// watchEvery is how often all workers and runs are looked through. Their reports are up
+// scanInterval is how often all workers and runs are looked through. Their reports are up
 // to 0.5 s old, while a busy shard places work up to 250 times a second: looking each
 // time was a sixth of an owner's own work with 120 workers.
-const watchEvery = 50 * time.Millisecond
+const scanInterval = 50 * time.Millisecond
 
-// watch looks through all workers and runs for what time alone has changed.
-func (s *Shard) watch(now time.Time) {
+// scan looks through all workers and runs for what time alone has changed.
+func (s *Shard) scan(now time.Time) {
 	s.expireLeases(now)
 	s.expireInDoubt(now)
-	s.forgetLives(now)
-	s.watchProgress(now)
-	s.noteLeaving(now)
-	s.evacuate(now)
-	s.paceFillers(now)
+	s.forgetIncarnations(now)
+	s.checkProgress(now)
+	s.detectLeavingWorkers(now)
+	s.evacuateWorkers(now)
+	s.paceBestEffortRuns(now)
 	s.forgetFinished(now)
-	s.noteLoad(now)
-	s.noteWaits(now)
+	s.updateLoad(now)
+	s.logWaitingTasks(now)
 }
 
-func (s *Shard) emit(c Command) { s.out = append(s.out, c) }
+func (s *Shard) emit(c Command) { s.commands = append(s.commands, c) }
 
 // Waiting returns how many accepted jobs of a queue have no task that has begun.
 func (s *Shard) Waiting(queue string) int {
@@ -234,10 +234,10 @@
 // for one that another shard speaks for.
 func (s *Shard) Job(id string) (state cluster.State, ok bool) {
 	j := s.jobs[id]
-	if j == nil || j.isGuest() {
+	if j == nil || j.isParticipant() {
 		return "", false
 	}
-	if j.state.Finished() && !j.finalSaved {
+	if j.state.Finished() && !j.finalPersisted {
 		return cluster.StateRunning, true
 	}
 	if !j.state.Finished() && j.begun {
--- a/internal/scheduler/search_test.go
+++ b/internal/scheduler/search_test.go
@@ -542,9 +542,9 @@
 func (s *simulation) checkWorkersRecover() {
 	const interval = 4 * time.Second
 	probe := resource.Amount{CPUMilli: 50, MemoryMB: 1}
-	for end := s.now.Add(recoveryTime); s.failure == "" && s.shard.SetAsideWorkers() > s.fullWorkers(probe); {
+	for end := s.now.Add(recoveryTime); s.failure == "" && s.shard.QuarantinedWorkers() > s.fullWorkers(probe); {
 		if s.now.After(end) {
-			s.fail("%d workers are set aside, want only full ones, of which there are %d", s.shard.SetAsideWorkers(), s.fullWorkers(probe))
+			s.fail("%d workers are set aside, want only full ones, of which there are %d", s.shard.QuarantinedWorkers(), s.fullWorkers(probe))
 			return
 		}
 		st := cluster.Step{Count: len(s.workers), Need: probe, EstimateMS: 1000, MaxPerWorker: 1}
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -12,94 +12,94 @@
 	// reports every half second, restoring a checkpoint takes up to 0.6 s, and a
 	// percent of the longest task 0.25 s.
 	stalledAfter = 1300 * time.Millisecond
-	// fillerStill is the same for a run that fills: it gets what others leave, which may be
+	// bestEffortStalledAfter is the same for a run that fills: it gets what others leave, which may be
 	// little for a while; and lastingStill for one that lasts and is not at work yet, which
 	// takes up to a second on a sound worker. Both double each time the task is moved, up to
 	// stillDoubled times.
-	fillerStill  = 8 * time.Second
-	lastingStill = 4 * time.Second
-	stillDoubled = 3
+	bestEffortStalledAfter  = 8 * time.Second
+	longRunningStalledAfter = 4 * time.Second
+	maxStalledDoublings     = 3
 	// slowFactor is how many times as long as its siblings a run may look to need
 	// before it is moved or copied: on sound workers the longest of a step takes
 	// 1.9 times as long as the median (4,083 tasks of a calm day), and slow workers
 	// take four times as long or more.
 	slowFactor = 2.4
-	// slowLearned is the same beside what tasks of its kind took before, which also
+	// slowFactorLearned is the same beside what tasks of its kind took before, which also
 	// differ from step to step.
-	slowLearned = 3.5
-	// slowAge is the least age, in units of the typical time, of a run that is
+	slowFactorLearned = 3.5
+	// slowMinAge is the least age, in units of the typical time, of a run that is
 	// called slow, and slowWindow the least time over which its speed is taken.
-	slowAge    = 0.7
+	slowMinAge = 0.7
 	slowWindow = 400 * time.Millisecond
 	// minSiblings is how many other tasks of the step make a typical time.
 	minSiblings = 2
-	// slowSteps is how many steps must find a worker slow before it is set aside, and
+	// minSlowSteps is how many steps must find a worker slow before it is set aside, and
 	// slowMemory how long that counts unless a task of usual speed ends there.
-	slowSteps  = 2
-	slowMemory = 6 * time.Second
-	// stalledRuns is the same for runs that stand still.
-	stalledRuns = 2
-	// mostMoves is how often a task is moved because it crawls: one that crawls on
+	minSlowSteps = 2
+	slowStepTTL  = 6 * time.Second
+	// minStalledRuns is the same for runs that stand still.
+	minStalledRuns = 2
+	// maxSlowRestarts is how often a task is moved because it crawls: one that crawls on
 	// two workers is longer than its siblings by nature.
-	mostMoves = 1
-	// silentCopy is how long a worker is silent before its speculative runs are copied.
-	silentCopy = 200 * time.Millisecond
+	maxSlowRestarts = 1
+	// copyAfterSilence is how long a worker is silent before its speculative runs are copied.
+	copyAfterSilence = 200 * time.Millisecond
 )
 
-// watchProgress looks for runs that stand still or crawl: speculative ones get
+// checkProgress looks for runs that stand still or crawl: speculative ones get
 // a copy elsewhere, others are stopped and start again, from their checkpoint
 // if they have one.
-func (s *Shard) watchProgress(now time.Time) {
-	for _, w := range s.order {
-		if w.silent && now.Sub(w.silentSince) > silentCopy {
-			s.copySilent(now, w)
+func (s *Shard) checkProgress(now time.Time) {
+	for _, w := range s.workerList {
+		if w.silent && now.Sub(w.silentSince) > copyAfterSilence {
+			s.copySilentRuns(now, w)
 		}
 		if w.silent || !w.answered {
 			continue
 		}
 		stalled := 0
 		for _, r := range sortedRuns(w.runs) {
-			if s.watchRun(now, w, r) {
+			if s.checkRun(now, w, r) {
 				stalled++
 			}
 		}
-		if stalled >= stalledRuns || (stalled > 0 && w.health.probing) {
-			s.setAside(now, w, tasksStandStill)
+		if stalled >= minStalledRuns || (stalled > 0 && w.health.probing) {
+			s.quarantine(now, w, causeTasksStalled)
 		}
-		if slow := w.health.slowNow(now); slow >= slowSteps || (slow > 0 && w.health.probing) {
-			s.setAside(now, w, tasksCrawl)
+		if slow := w.health.countSlowSteps(now); slow >= minSlowSteps || (slow > 0 && w.health.probing) {
+			s.quarantine(now, w, causeTasksSlow)
 		}
 	}
 }
 
-// watchRun helps a run that stands still or crawls on its worker, and reports
+// checkRun helps a run that stands still or crawls on its worker, and reports
 // whether it stands still.
-func (s *Shard) watchRun(now time.Time, w *worker, r *run) (standsStill bool) {
+func (s *Shard) checkRun(now time.Time, w *worker, r *run) (stalled bool) {
 	if s.retryStop(now, r) {
 		return false
 	}
-	if r.staysBehind() {
+	if r.stalledTooLong() {
 		// That says nothing of the worker.
-		s.startElsewhere(now, r, "does not come on")
+		s.restartElsewhere(now, r, "does not come on")
 		return false
 	}
-	if !watched(r) {
+	if !reflectsWorkerSpeed(r) {
 		return false
 	}
-	standsStill = r.standsStill(now)
-	crawls := !standsStill && s.crawls(now, r)
-	if crawls {
-		w.health.crawled(now, r.task.step)
+	stalled = r.isStalled(now)
+	tooSlow := !stalled && s.isTooSlow(now, r)
+	if tooSlow {
+		w.health.noteSlowStep(now, r.task.step)
 	}
-	if standsStill || crawls {
-		s.helpSlow(now, r, standsStill)
+	if stalled || tooSlow {
+		s.handleSlowRun(now, r, stalled)
 	}
-	return standsStill
+	return stalled
 }
 
-// copySilent starts copies of the speculative runs on a silent worker, whose
+// copySilentRuns starts copies of the speculative runs on a silent worker, whose
 // other runs have to wait until its life or lease is over.
-func (s *Shard) copySilent(now time.Time, w *worker) {
+func (s *Shard) copySilentRuns(now time.Time, w *worker) {
 	for _, r := range sortedRuns(w.runs) {
 		if spec := r.task.step.spec; spec.Speculative && !spec.LongRunning && r.task.attemptsLeft() > 1 {
 			s.copyRun(now, r.task, r)
@@ -111,37 +111,37 @@
 // run that it is made of.
 func (t *task) attemptsLeft() int { return t.step.job.spec.Policy.MaxAttempts - len(t.failed) }
 
-// watched reports whether a run's progress says something of its worker.
-func watched(r *run) bool {
+// reflectsWorkerSpeed reports whether a run's progress says something of its worker.
+func reflectsWorkerSpeed(r *run) bool {
 	spec := r.task.step.spec
 	return r.state == runRunning && !spec.LongRunning && !spec.BestEffortCPU && r.pace == fullPace && r.percent < 100
 }
 
-// standsStill reports whether a run's percent has not risen for a time in which its worker reported.
-func (r *run) standsStill(now time.Time) bool {
-	return now.Sub(r.percentAt) > stalledAfter && r.worker.clockAt.After(r.percentAt.Add(stalledAfter/2))
+// isStalled reports whether a run's percent has not risen for a time in which its worker reported.
+func (r *run) isStalled(now time.Time) bool {
+	return now.Sub(r.percentChangedAt) > stalledAfter && r.worker.clockAt.After(r.percentChangedAt.Add(stalledAfter/2))
 }
 
-// allStandStill reports whether all runs of a task stand still, and none is being stopped.
-func (t *task) allStandStill(now time.Time) bool {
-	return !slices.ContainsFunc(t.runs, func(r *run) bool { return r.stopping || !watched(r) || !r.standsStill(now) })
+// allStalled reports whether all runs of a task stand still, and none is being stopped.
+func (t *task) allStalled(now time.Time) bool {
+	return !slices.ContainsFunc(t.runs, func(r *run) bool { return r.stopping || !reflectsWorkerSpeed(r) || !r.isStalled(now) })
 }
 
-// staysBehind reports whether a run that fills has not come on, or has been held, or one
+// stalledTooLong reports whether a run that fills has not come on, or has been held, or one
 // that lasts has not come to work, for so long that it should start elsewhere.
-func (r *run) staysBehind() bool {
+func (r *run) stalledTooLong() bool {
 	spec := r.task.step.spec
 	if (!spec.BestEffortCPU && !spec.LongRunning) || r.state != runRunning || r.pace == paceUnknown || r.percent == 100 {
 		return false
 	}
-	patience := fillerStill
+	patience := bestEffortStalledAfter
 	if !spec.BestEffortCPU {
-		patience = lastingStill
+		patience = longRunningStalledAfter
 	}
-	patience <<= min(r.task.moved, stillDoubled)
-	since := r.percentAt
-	if r.paceSent.After(since) {
-		since = r.paceSent
+	patience <<= min(r.task.restarts, maxStalledDoublings)
+	since := r.percentChangedAt
+	if r.paceSetAt.After(since) {
+		since = r.paceSetAt
 	}
 	// A report that is older says nothing: the run may have come to work since.
 	return r.worker.clockAt.After(since.Add(patience))
@@ -149,15 +149,15 @@
 
 // retryStop repeats a stop that was not acknowledged, and reports whether the run is stopping.
 func (s *Shard) retryStop(now time.Time, r *run) bool {
-	if r.stopping && !r.stopped && now.Sub(r.stopSent) >= stopRetry {
+	if r.stopping && !r.stopped && now.Sub(r.stopSentAt) >= stopRetryInterval {
 		s.stop(now, r, r.stopCause)
 	}
 	return r.stopping
 }
 
-// total returns how long the whole of a run's work takes at the speed seen so
+// projectedTime returns how long the whole of a run's work takes at the speed seen so
 // far; ok is false while too little of it has been seen.
-func (r *run) total() (time.Duration, bool) {
+func (r *run) projectedTime() (time.Duration, bool) {
 	window := r.worker.clockAt.Sub(r.firstAt)
 	if r.firstAt.IsZero() || window < slowWindow {
 		return 0, false
@@ -166,17 +166,17 @@
 	return time.Duration(float64(window) * 100 / float64(gained)), true
 }
 
-// typicalTime returns the median time of the other tasks of a task's step, of those
+// siblingTime returns the median time of the other tasks of a task's step, of those
 // that are done and those that run on other workers than w.
-func typicalTime(of *task, w *worker) (time.Duration, bool) {
+func siblingTime(of *task, w *worker) (time.Duration, bool) {
 	var times []time.Duration
 	for _, t := range of.step.tasks {
 		switch {
 		case t == of:
-		case t.took > 0:
-			times = append(times, t.took)
+		case t.runTime > 0:
+			times = append(times, t.runTime)
 		case len(t.runs) == 1 && t.runs[0].worker != w && !t.runs[0].stopping:
-			if d, ok := t.runs[0].total(); ok {
+			if d, ok := t.runs[0].projectedTime(); ok {
 				times = append(times, d)
 			}
 		}
@@ -188,54 +188,54 @@
 	return times[len(times)/2], true
 }
 
-// crawls reports whether a run is far slower than its siblings or, if there are too
+// isTooSlow reports whether a run is far slower than its siblings or, if there are too
 // few on other workers, than tasks of its kind were before.
-func (s *Shard) crawls(now time.Time, r *run) bool {
-	total, ok := r.total()
+func (s *Shard) isTooSlow(now time.Time, r *run) bool {
+	total, ok := r.projectedTime()
 	if !ok {
 		return false
 	}
 	factor := slowFactor
-	usual, ok := typicalTime(r.task, r.worker)
+	usual, ok := siblingTime(r.task, r.worker)
 	if !ok {
-		factor = slowLearned
+		factor = slowFactorLearned
 		usual, ok = s.learnedTime(r.task.step)
 	}
-	if !ok || now.Sub(r.startedAt) < time.Duration(slowAge*float64(usual)) || total < time.Duration(factor*float64(usual)) {
+	if !ok || now.Sub(r.startedAt) < time.Duration(slowMinAge*float64(usual)) || total < time.Duration(factor*float64(usual)) {
 		return false
 	}
 	left := time.Duration(float64(total) * float64(100-r.percent) / 100)
-	return left > usual+s.p.StopTime
+	return left > usual+s.params.StopTime
 }
 
-// helpSlow gives a run that stands still or crawls a copy, or stops it so that its
+// handleSlowRun gives a run that stands still or crawls a copy, or stops it so that its
 // task starts again elsewhere.
-func (s *Shard) helpSlow(now time.Time, r *run, standsStill bool) {
+func (s *Shard) handleSlowRun(now time.Time, r *run, stalled bool) {
 	t, st := r.task, r.task.step
-	if t.done || (len(t.runs) > 1 && !t.allStandStill(now)) || (st.spec.Gang && !standsStill) {
+	if t.done || (len(t.runs) > 1 && !t.allStalled(now)) || (st.spec.Gang && !stalled) {
 		return
 	}
 	if st.spec.Speculative && t.attemptsLeft() > 1 && len(t.runs) == 1 {
 		s.copyRun(now, t, r)
 		return
 	}
-	if !standsStill && t.moved >= mostMoves {
+	if !stalled && t.restarts >= maxSlowRestarts {
 		return
 	}
 	cause := "crawls"
-	if standsStill {
+	if stalled {
 		cause = "stands still"
 	}
-	s.startElsewhere(now, r, cause)
+	s.restartElsewhere(now, r, cause)
 }
 
-// startElsewhere stops a run so that its task starts again, on another worker if it can.
-func (s *Shard) startElsewhere(now time.Time, r *run, cause string) {
+// restartElsewhere stops a run so that its task starts again, on another worker if it can.
+func (s *Shard) restartElsewhere(now time.Time, r *run, cause string) {
 	t := r.task
-	t.moved++
-	t.leftOn, t.leftAt = r.worker.info.ID, now
+	t.restarts++
+	t.avoidWorker, t.avoidSince = r.worker.info.ID, now
 	s.stop(now, r, cause)
-	s.breakGang(now, r, "a member "+cause)
+	s.stopOtherMembers(now, r, "a member "+cause)
 }
 
 // copyRun starts a second run of a speculative task on another worker, also if an earlier
@@ -244,11 +244,11 @@
 	if len(t.runs) > 1 || t.done || now.Before(t.notBefore) || t.step.job.state.Finished() {
 		return
 	}
-	left := func(w *worker) bool { return w.info.ID == t.leftOn && now.Sub(t.leftAt) < avoidFor }
-	w := s.bestWorker(now, t.step, nil, func(w *worker) bool { return w != slow.worker && !left(w) })
+	avoided := func(w *worker) bool { return w.info.ID == t.avoidWorker && now.Sub(t.avoidSince) < avoidDuration }
+	w := s.bestWorker(now, t.step, nil, func(w *worker) bool { return w != slow.worker && !avoided(w) })
 	if w == nil {
 		if t.step.needsTicket() {
-			s.ask(now, t.step, 1, true)
+			s.requestAdvice(now, t.step, 1, true)
 		}
 		return
 	}
--- a/internal/scheduler/slow_test.go
+++ b/internal/scheduler/slow_test.go
@@ -139,7 +139,7 @@
 		r.add(fmt.Sprintf("j%d", i), 9)
 		r.simulate(4 * time.Second)
 	}
-	if n := r.shard.Counts().SetAside; n == 0 {
+	if n := r.shard.Counts().Quarantines; n == 0 {
 		t.Error("the slow worker was never set aside")
 	}
 	onSlow := 0
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -16,48 +16,48 @@
 type takeover struct {
 	// open is set until everything is known.
 	open bool
-	// since is when jobs were loaded last.
-	since time.Time
-	// listed is set once the platform's machines have been listed, expected are the
+	// jobsLoadedAt is when jobs were loaded last.
+	jobsLoadedAt time.Time
+	// machinesListed is set once the platform's machines have been machinesListed, expected are the
 	// workers alive there. The directory alone is not enough: its entries lapse
 	// while the store is away.
-	listed   bool
-	expected map[string]bool
+	machinesListed bool
+	expected       map[string]bool
 	// complete is set once every worker has answered, be it after the takeover: then all is
 	// known of what an earlier owner began. Until then a worker may still report it.
 	complete bool
 }
 
-// unlistedFor is how long a new owner waits for the list of machines: after an
+// machineListTimeout is how long a new owner waits for the list of machines: after an
 // outage of the store the directory's entries are back within two seconds.
-const unlistedFor = 3 * time.Second
+const machineListTimeout = 3 * time.Second
 
 // ExpectWorkers notes which workers are alive according to the platform's machines.
 func (s *Shard) ExpectWorkers(ids []string) {
-	if s.takeover.listed {
+	if s.takeover.machinesListed {
 		return
 	}
-	s.takeover.listed = true
+	s.takeover.machinesListed = true
 	s.takeover.expected = make(map[string]bool, len(ids))
 	for _, id := range ids {
 		s.takeover.expected[id] = true
 	}
 }
 
-// settle ends the takeover once nothing is uncertain.
-func (s *Shard) settle(now time.Time) {
+// updateTakeover ends the takeover once nothing is uncertain.
+func (s *Shard) updateTakeover(now time.Time) {
 	if !s.takeover.open {
 		// A takeover that ended by time is complete once the last worker has answered.
 		s.takeover.complete = s.takeover.complete || s.allKnown()
 		return
 	}
-	if s.uncertain(now) {
+	if s.mayHaveUnknownRuns(now) {
 		return
 	}
 	s.takeover.open = false
 	s.takeover.complete = s.allKnown()
-	s.log.Info("takeover complete", events.TakeoverDone, zap.Int64("epoch", s.p.Epoch), zap.Int("workers", len(s.order)),
-		zap.Bool("machines_listed", s.takeover.listed), zap.Duration("took", now.Sub(s.began)))
+	s.log.Info("takeover complete", events.TakeoverDone, zap.Int64("epoch", s.params.Epoch), zap.Int("workers", len(s.workerList)),
+		zap.Bool("machines_listed", s.takeover.machinesListed), zap.Duration("took", now.Sub(s.startedAt)))
 	for _, j := range s.active {
 		for st := range j.steps() {
 			for _, t := range st.tasks {
@@ -67,29 +67,29 @@
 	}
 }
 
-// uncertain reports whether a worker may have what this owner doesn't know of.
-func (s *Shard) uncertain(now time.Time) bool {
-	if now.Sub(s.takeover.since) > s.p.UncertainFor {
+// mayHaveUnknownRuns reports whether a worker may have what this owner doesn't know of.
+func (s *Shard) mayHaveUnknownRuns(now time.Time) bool {
+	if now.Sub(s.takeover.jobsLoadedAt) > s.params.UncertainFor {
 		return false
 	}
-	if !s.takeover.listed && now.Sub(s.takeover.since) < unlistedFor {
+	if !s.takeover.machinesListed && now.Sub(s.takeover.jobsLoadedAt) < machineListTimeout {
 		return true
 	}
 	return !s.allAnswered()
 }
 
 // allKnown reports whether the workers alive are known, and all have answered.
-func (s *Shard) allKnown() bool { return s.takeover.listed && s.allAnswered() }
+func (s *Shard) allKnown() bool { return s.takeover.machinesListed && s.allAnswered() }
 
 // allAnswered reports whether every worker that is known or expected has answered.
 func (s *Shard) allAnswered() bool {
 	for id := range s.takeover.expected {
-		if w := s.workers[id]; w == nil || !w.heard {
+		if w := s.workers[id]; w == nil || !w.answeredSinceLoad {
 			return false
 		}
 	}
-	for _, w := range s.order {
-		if !w.heard {
+	for _, w := range s.workerList {
+		if !w.answeredSinceLoad {
 			return false
 		}
 	}
--- a/internal/scheduler/times.go
+++ b/internal/scheduler/times.go
@@ -11,31 +11,31 @@
 // from it.
 type ratio struct {
 	mean float64
-	// spread is the mean deviation, as a share of the mean.
-	spread float64
-	n      int
+	// deviation is the mean deviation, as a share of the mean.
+	deviation float64
+	n         int
 }
 
 // add takes in the ratio of one task.
 func (r *ratio) add(x float64) {
-	r.n = min(r.n+1, ratioMemory)
+	r.n = min(r.n+1, maxRatioWeight)
 	r.mean += (x - r.mean) / float64(r.n)
-	r.spread += (math.Abs(x/r.mean-1) - r.spread) / float64(r.n)
+	r.deviation += (math.Abs(x/r.mean-1) - r.deviation) / float64(r.n)
 }
 
 const (
-	// ratioMemory bounds the weight of the past in a running mean.
-	ratioMemory = 30
-	// minLearned is how many run times are learned before they count.
-	minLearned = 5
-	// mostSpread is the deviation up to which a learned time tells a slow worker:
+	// maxRatioWeight bounds the weight of the past in a running mean.
+	maxRatioWeight = 30
+	// minLearnedRuns is how many run times are learned before they count.
+	minLearnedRuns = 5
+	// maxDeviation is the deviation up to which a learned time tells a slow worker:
 	// estimates of some queues are right to a fifth, those of others to a half.
-	mostSpread = 0.4
-	// minGained is the progress in percent from which a run's own speed is trusted.
-	minGained = 5
-	// minExpected is the least time that a task is expected to take, whatever its
+	maxDeviation = 0.4
+	// minGainedPercent is the progress in percent from which a run's own speed is trusted.
+	minGainedPercent = 5
+	// minExpectedTime is the least time that a task is expected to take, whatever its
 	// estimate says.
-	minExpected = 200 * time.Millisecond
+	minExpectedTime = 200 * time.Millisecond
 )
 
 // stepKind is what the run times of a step are learned for: the image that its tasks
@@ -49,8 +49,8 @@
 	return stepKind{queue: st.job.spec.Queue}
 }
 
-// learn notes how long a task took beside its estimate.
-func (s *Shard) learn(st *step, took time.Duration) {
+// learnRunTime notes how long a task took beside its estimate.
+func (s *Shard) learnRunTime(st *step, took time.Duration) {
 	if st.spec.EstimateMS <= 0 || st.spec.LongRunning {
 		return
 	}
@@ -63,21 +63,21 @@
 	r.add(took.Seconds() * 1000 / float64(st.spec.EstimateMS))
 }
 
-// learned returns what is known of a step's run times, or nil.
-func (s *Shard) learned(st *step) *ratio {
-	if r := s.ratios[st.kind()]; r != nil && r.n >= minLearned {
+// learnedRatio returns what is known of a step's run times, or nil.
+func (s *Shard) learnedRatio(st *step) *ratio {
+	if r := s.ratios[st.kind()]; r != nil && r.n >= minLearnedRuns {
 		return r
 	}
 	return nil
 }
 
-// expected returns how long a task of the step should take on a sound worker.
-func (s *Shard) expected(st *step) time.Duration {
+// expectedTime returns how long a task of the step should take on a sound worker.
+func (s *Shard) expectedTime(st *step) time.Duration {
 	d := st.estimate()
-	if r := s.learned(st); r != nil && st.spec.Image != "" {
+	if r := s.learnedRatio(st); r != nil && st.spec.Image != "" {
 		d = time.Duration(float64(d) * r.mean)
 	}
-	return max(d, minExpected)
+	return max(d, minExpectedTime)
 }
 
 // estimate returns how long a task of the step takes by its specification.
@@ -88,23 +88,23 @@
 // learnedTime returns how long a task of the step takes by what others of its kind
 // took; ok is false while that is not known, or differs too much.
 func (s *Shard) learnedTime(st *step) (time.Duration, bool) {
-	r := s.learned(st)
-	if r == nil || st.spec.EstimateMS <= 0 || r.spread > mostSpread {
+	r := s.learnedRatio(st)
+	if r == nil || st.spec.EstimateMS <= 0 || r.deviation > maxDeviation {
 		return 0, false
 	}
-	return max(time.Duration(r.mean*float64(st.estimate())), minExpected), true
+	return max(time.Duration(r.mean*float64(st.estimate())), minExpectedTime), true
 }
 
-// remaining returns how long a run still needs, by its own progress if it has any.
-func (s *Shard) remaining(now time.Time, r *run) time.Duration {
-	gained, since := r.percent-r.firstPercent, r.percentAt.Sub(r.firstAt)
-	if gained > minGained && since > 0 {
+// remainingTime returns how long a run still needs, by its own progress if it has any.
+func (s *Shard) remainingTime(now time.Time, r *run) time.Duration {
+	gained, since := r.percent-r.firstPercent, r.percentChangedAt.Sub(r.firstAt)
+	if gained > minGainedPercent && since > 0 {
 		left := time.Duration(float64(since) / float64(gained) * float64(100-r.percent))
-		return max(0, left-now.Sub(r.percentAt))
+		return max(0, left-now.Sub(r.percentChangedAt))
 	}
-	left := time.Duration(float64(s.expected(r.task.step)) * float64(100-r.percent) / 100)
+	left := time.Duration(float64(s.expectedTime(r.task.step)) * float64(100-r.percent) / 100)
 	if r.percent == 0 {
 		return max(0, left-now.Sub(r.startedAt))
 	}
-	return max(0, left-now.Sub(r.percentAt))
+	return max(0, left-now.Sub(r.percentChangedAt))
 }
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -10,32 +10,32 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// firstNoted is after which wait a task that lasts is told of in the log, and then again
+// firstWaitLog is after which wait a task that lasts is told of in the log, and then again
 // after each doubling: such a task should be at work again within seconds.
-const firstNoted = 2 * time.Second
+const firstWaitLog = 2 * time.Second
 
 // obstacle is the first reason for which a worker doesn't get a task.
 type obstacle uint8
 
 const (
-	noObstacle      obstacle = iota
-	isAway                   // it does not answer
-	isLeaving                // it drains, leaves, or its entry names no worker to use
-	isAside                  // it is set aside
-	isProbing                // it was set aside, and what it got since is still being judged
-	refuses                  // it was busy a short while ago
-	hasForeignRuns           // what runs there isn't known
-	isUnfit                  // another service, no such label, or too small
-	isRejected               // advice has rejected it
-	isUnasked                // advice has not been asked about it
-	ticketIsOver             // it is good, but the ticket has run out
-	hasItsStep               // it has as many tasks of the step as it may
-	isFull                   // it has no room
-	numberObstacles = iota
+	obstacleNone          obstacle = iota
+	obstacleSilent                 // it does not answer
+	obstacleLeaving                // it drains, leaves, or its entry names no worker to use
+	obstacleQuarantined            // it is set aside
+	obstacleProbing                // it was set aside, and what it got since is still being judged
+	obstacleBusy                   // it was busy a short while ago
+	obstacleUnknownRuns            // what runs there isn't known
+	obstacleUnfit                  // another service, no such label, or too small
+	obstacleRejected               // advice has rejected it
+	obstacleNoAdvice               // advice has not been asked about it
+	obstacleTicketExpired          // it is good, but the ticket has run out
+	obstacleMaxPerWorker           // it has as many tasks of the step as it may
+	obstacleFull                   // it has no room
+	obstacleCount         = iota
 )
 
 // obstacleNames are the names of the obstacles in the log.
-var obstacleNames = [numberObstacles]string{
+var obstacleNames = [obstacleCount]string{
 	"usable", "away", "leaving", "aside", "probing", "refuses", "unknown_runs", "unfit", "rejected", "unasked", "ticket_over", "spread", "full",
 }
 
@@ -43,84 +43,84 @@
 // since a task that lasts takes workers that are set aside after a while.
 func (s *Shard) obstacleTo(now time.Time, w *worker, st *step) obstacle {
 	switch {
-	case !w.answers():
-		return isAway
-	case !w.stays():
-		return isLeaving
-	case now.Before(w.refusesUntil):
-		return refuses
-	case len(w.foreign) > 0:
-		return hasForeignRuns
-	case !s.suits(now, w, st):
-		return isUnfit
+	case !w.responsive():
+		return obstacleSilent
+	case !w.available():
+		return obstacleLeaving
+	case now.Before(w.busyUntil):
+		return obstacleBusy
+	case len(w.unknownRuns) > 0:
+		return obstacleUnknownRuns
+	case !s.eligible(now, w, st):
+		return obstacleUnfit
 	case !s.spreadAllows(w, st, 0):
-		return hasItsStep
+		return obstacleMaxPerWorker
 	}
-	if o := st.adviceObstacle(now, w); o != noObstacle {
+	if o := st.adviceObstacle(now, w); o != obstacleNone {
 		return o
 	}
 	switch {
-	case !w.free(now, st).Fits(st.spec.Allocation()):
-		return isFull
-	case now.Before(w.health.asideUntil):
-		return isAside
-	case !w.health.takes(now, w):
-		return isProbing
+	case !w.freeFor(now, st).Fits(st.spec.Allocation()):
+		return obstacleFull
+	case now.Before(w.health.quarantinedUntil):
+		return obstacleQuarantined
+	case !w.health.acceptsTask(now, w):
+		return obstacleProbing
 	}
-	return noObstacle
+	return obstacleNone
 }
 
 // adviceObstacle returns what advice has against a worker.
 func (st *step) adviceObstacle(now time.Time, w *worker) obstacle {
 	if !st.needsTicket() {
-		return noObstacle
+		return obstacleNone
 	}
 	ans, known := st.advice.answers[w.info.ID]
 	switch {
 	case !known:
-		return isUnasked
-	case !ans.good:
-		return isRejected
+		return obstacleNoAdvice
+	case !ans.approved:
+		return obstacleRejected
 	case !now.Before(ans.expires):
-		return ticketIsOver
+		return obstacleTicketExpired
 	}
-	return noObstacle
+	return obstacleNone
 }
 
-// noteWaits tells of tasks that last and have waited for long, and what keeps them from
+// logWaitingTasks tells of tasks that last and have waited for long, and what keeps them from
 // the workers.
-func (s *Shard) noteWaits(now time.Time) {
+func (s *Shard) logWaitingTasks(now time.Time) {
 	for _, j := range s.active {
 		for st := range j.steps() {
 			if st.spec.LongRunning && !st.waitingSince.IsZero() {
-				s.noteStepWaits(now, st)
+				s.logWaitingTasksOf(now, st)
 			}
 		}
 	}
 }
 
-// noteStepWaits tells of the tasks of a step that wait.
-func (s *Shard) noteStepWaits(now time.Time, st *step) {
+// logWaitingTasksOf tells of the tasks of a step that wait.
+func (s *Shard) logWaitingTasksOf(now time.Time, st *step) {
 	for _, t := range st.startable(now) {
-		if t.waitsFrom.IsZero() {
+		if t.waitingSince.IsZero() {
 			continue // its turn has come since the last round
 		}
-		if waited := now.Sub(t.waitsFrom); waited >= max(firstNoted, t.noteAgainAt) {
-			t.noteAgainAt = 2 * waited
-			s.logWait(now, t, waited)
+		if waited := now.Sub(t.waitingSince); waited >= max(firstWaitLog, t.nextWaitLog) {
+			t.nextWaitLog = 2 * waited
+			s.logWaitingTask(now, t, waited)
 		}
 	}
 }
 
-// logWait writes the line of a task that waits.
-func (s *Shard) logWait(now time.Time, t *task, waited time.Duration) {
+// logWaitingTask writes the line of a task that waits.
+func (s *Shard) logWaitingTask(now time.Time, t *task, waited time.Duration) {
 	st := t.step
-	var counts [numberObstacles]int
-	for _, w := range s.order {
+	var counts [obstacleCount]int
+	for _, w := range s.workerList {
 		counts[s.obstacleTo(now, w, st)]++
 	}
-	fields := []zap.Field{events.TaskWaiting, zap.Stringer("task", t.id), zap.Duration("waited", waited), zap.Int("workers", len(s.order)),
-		zap.Bool("asking", st.advice.calls > 0), zap.Int64("cpu_milli", st.spec.Need.CPUMilli), zap.Int64("memory_mb", st.spec.Need.MemoryMB)}
+	fields := []zap.Field{events.TaskWaiting, zap.Stringer("task", t.id), zap.Duration("waited", waited), zap.Int("workers", len(s.workerList)),
+		zap.Bool("asking", st.advice.openCalls > 0), zap.Int64("cpu_milli", st.spec.Need.CPUMilli), zap.Int64("memory_mb", st.spec.Need.MemoryMB)}
 	for i, n := range counts {
 		if n > 0 {
 			fields = append(fields, zap.Int(obstacleNames[i], n))
@@ -129,10 +129,10 @@
 	s.log.Warn("task waits", fields...)
 }
 
-// SetAsideWorkers returns how many workers get nothing, or one task at a time, for their health.
-func (s *Shard) SetAsideWorkers() int {
+// QuarantinedWorkers returns how many workers get nothing, or one task at a time, for their health.
+func (s *Shard) QuarantinedWorkers() int {
 	n := 0
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.health.probing {
 			n++
 		}
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -17,57 +17,57 @@
 	info cluster.Worker
 	// started is the start of the life that has answered, or before it has, the one expected.
 	started int64
-	// since is when the life became known, lives what is known of all that had its ID, and
+	// knownSince is when the life became known, lives what is known of all that had its ID, and
 	// generation its number among them.
-	since      time.Time
-	lives      *lives
+	knownSince time.Time
+	history    *incarnationHistory
 	generation int64
-	// next is an entry that names another life than the one known; nil: there is none. And
+	// nextEntry is an entry that names another life than the one known; nil: there is none. And
 	// noEntry is set while the directory has not shown the entry of this life.
-	next    *cluster.Worker
-	noEntry bool
+	nextEntry    *cluster.Worker
+	entryMissing bool
 	// answered is set once the worker has taken this owner's fence; only then is
 	// all that runs there known.
 	answered bool
-	// heard is set once it has answered since jobs were loaded last.
-	heard bool
+	// answeredSinceLoad is set once it has answered since jobs were loaded last.
+	answeredSinceLoad bool
 	// silent is set while the last hold has failed.
 	silent      bool
 	silentSince time.Time
 	runs        map[runKey]*run
-	// foreign are the runs whose job is not known here. How much room they take isn't
+	// unknownRuns are the runs whose job is not known here. How much room they take isn't
 	// known either, so that the worker counts as full for each.
-	foreign map[runKey]bool
-	used    resource.Amount
+	unknownRuns map[runKey]bool
+	used        resource.Amount
 	// reserved is room set aside, or being freed by preemption, by the step that is to have it.
 	reserved map[*step]reservation
-	// ends are when its runs are expected to end, the soonest first, as of the endsRound-th round.
-	ends      []runEnd
-	endsRound int64
-
-	// holds counts the holds sent; a report counts only for what was known before it was sent.
-	holds int64
-	// lastReport is the highest hold whose report was taken.
-	lastReport int64
-	// clock and clockAt are the last reading of the worker's steady clock.
-	clock   int64
+	// expectedEnds are when its runs are expected to end, the soonest first, as of the endsRound-th round.
+	expectedEnds      []expectedEnd
+	expectedEndsRound int64
+
+	// holdsSent counts the holdsSent sent; a report counts only for what was known before it was sent.
+	holdsSent int64
+	// lastReportedHold is the highest hold whose report was taken.
+	lastReportedHold int64
+	// clockMS and clockAt are the last reading of the worker's steady clockMS.
+	clockMS int64
 	clockAt time.Time
-	// deadline is the latest lease ever sent, on the worker's clock.
-	deadline int64
-	// inDoubtLease is until when an order for an earlier life may have leased what runs
+	// deadlineMS is the latest lease ever sent, on the worker's clock.
+	deadlineMS int64
+	// inDoubtLeaseEnd is until when an order for an earlier life may have leased what runs
 	// there: its deadline was on another clock, on which it may seem to be far away.
-	inDoubtLease time.Time
+	inDoubtLeaseEnd time.Time
 
-	// held are ends of jobs that have not been read yet, by rising numbers.
-	held         []cluster.RunEnd
+	// unreadEnds are ends of jobs that have not been read yet, by rising numbers.
+	unreadEnds   []cluster.RunEnd
 	lastEnd      int64 // the highest end taken
 	confirmedEnd int64 // the highest end that is persisted
-	// taken are the ends that are not confirmed and of which a job has to be persisted.
-	taken    []takenEnd
-	health   health
-	leavesAt time.Time
-	// refusesUntil is until when nothing new starts there, since it was busy.
-	refusesUntil time.Time
+	// unconfirmedEnds are the ends that are not confirmed and of which a job has to be persisted.
+	unconfirmedEnds []unconfirmedEnd
+	health          health
+	leavesAt        time.Time
+	// busyUntil is until when nothing new starts there, since it was busy.
+	busyUntil time.Time
 	// unlisted is set while the directory doesn't list the worker, since unlistedAt.
 	unlisted   bool
 	unlistedAt time.Time
@@ -78,8 +78,8 @@
 	entryInvalid bool
 }
 
-// takenEnd is an end that was taken, by its number and job.
-type takenEnd struct {
+// unconfirmedEnd is an end that was taken, by its number and job.
+type unconfirmedEnd struct {
 	n   int64
 	job string
 }
@@ -99,7 +99,7 @@
 		s.log.Info("worker found", events.WorkerFound, zap.Stringer("worker", info.Incarnation()), zap.String("rack", info.Rack),
 			zap.Int64("cpu_milli", info.Capacity.CPUMilli))
 	}
-	if !s.entryOfLife(now, w, info) {
+	if !s.acceptEntry(now, w, info) {
 		return
 	}
 	if info.Draining && !w.info.Draining {
@@ -114,23 +114,23 @@
 	}
 }
 
-// entryOfLife reports whether an entry is that of the life known. One of another life is
+// acceptEntry reports whether an entry is that of the life known. One of another life is
 // kept until the worker has been asked, and one of a life that is over is late.
-func (s *Shard) entryOfLife(now time.Time, w *worker, info cluster.Worker) bool {
-	switch w.relate(info.Started, false) {
-	case olderLife:
+func (s *Shard) acceptEntry(now time.Time, w *worker, info cluster.Worker) bool {
+	switch w.relationTo(info.Started, false) {
+	case endedIncarnation:
 		return false
-	case newerLife:
+	case newerIncarnation:
 		w.setListed(now, true)
-		if w.next == nil || w.next.Started != info.Started {
+		if w.nextEntry == nil || w.nextEntry.Started != info.Started {
 			s.log.Info("entry of another life", events.DirectoryEntryInvalid, zap.Stringer("worker", w.info.Incarnation()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
 			s.emit(Poll{Worker: info.ID})
 		}
-		w.next = &info
+		w.nextEntry = &info
 		return false
-	case sameLife:
+	case sameIncarnation:
 	}
-	w.started, w.next, w.noEntry = info.Started, nil, false
+	w.started, w.nextEntry, w.entryMissing = info.Started, nil, false
 	return true
 }
 
@@ -142,11 +142,11 @@
 	}
 	s.log.Warn("worker's life is over", events.WorkerEnded, zap.String("worker", id), zap.String("evidence", evidence),
 		zap.Int("runs", len(w.runs)))
-	s.endLife(now, w, "worker's life is over")
+	s.endIncarnation(now, w, "worker's life is over")
 	delete(s.workers, id)
-	w.lives.goneAt = now
+	w.history.endedAt = now
 	delete(s.takeover.expected, id)
-	s.order = sortedWorkers(s.workers)
+	s.workerList = workersByID(s.workers)
 }
 
 // HoldSent numbers a hold that is about to be sent and returns the order for it.
@@ -155,54 +155,54 @@
 	if w == nil {
 		return 0, cluster.Order{}, 0, false
 	}
-	w.holds++
-	order = s.orderTo(w)
-	if w.answers() {
+	w.holdsSent++
+	order = s.orderFor(w)
+	if w.responsive() {
 		// A silent worker gets no renewal: its lease has to end some time.
-		order = s.renewing(now, w)
+		order = s.renewalOrder(now, w)
 	}
-	return w.holds, order, w.confirmedEnd, true
+	return w.holdsSent, order, w.confirmedEnd, true
 }
 
-// orderTo returns the head of an order that leaves the worker's lease as it is.
-func (s *Shard) orderTo(w *worker) cluster.Order {
-	return cluster.Order{Worker: w.info.ID, Started: w.started, Address: w.address(), Fence: s.p.Epoch, Generation: w.generation}
+// orderFor returns the head of an order that leaves the worker's lease as it is.
+func (s *Shard) orderFor(w *worker) cluster.Order {
+	return cluster.Order{Worker: w.info.ID, Started: w.started, Address: w.address(), Fence: s.params.Epoch, Generation: w.generation}
 }
 
 // address returns where the worker is called: where the entry of another life says, if the
 // one known doesn't answer.
 func (w *worker) address() string {
-	if w.silent && w.next != nil {
-		return w.next.Address
+	if w.silent && w.nextEntry != nil {
+		return w.nextEntry.Address
 	}
 	return w.info.Address
 }
 
-// renewing returns the head of an order that renews the worker's lease.
-func (s *Shard) renewing(now time.Time, w *worker) cluster.Order {
-	return s.orderWithin(now, w, s.p.Lease)
+// renewalOrder returns the head of an order that renews the worker's lease.
+func (s *Shard) renewalOrder(now time.Time, w *worker) cluster.Order {
+	return s.orderWithDeadline(now, w, s.params.Lease)
 }
 
-// startWithin is how long after its decision a worker takes a start. An order that the
+// maxStartDelay is how long after its decision a worker takes a start. An order that the
 // owner has given up may still be on its way, over a connection that has taken it, and
 // would begin a run on a worker that has said meanwhile that it leaves. It is twice as long
 // as the longest wait for an answer, so that starts on slow links are not refused.
-const startWithin = 1200 * time.Millisecond
+const maxStartDelay = 1200 * time.Millisecond
 
-// starting returns the head of an order to start a run. Its deadline is the last moment at
+// startOrder returns the head of an order to start a run. Its deadline is the last moment at
 // which the worker takes it; the lease, which a deadline never shortens, is renewed by holds.
-func (s *Shard) starting(now time.Time, w *worker) cluster.Order {
-	return s.orderWithin(now, w, min(startWithin, s.p.Lease))
+func (s *Shard) startOrder(now time.Time, w *worker) cluster.Order {
+	return s.orderWithDeadline(now, w, min(maxStartDelay, s.params.Lease))
 }
 
-// orderWithin returns the head of an order with a deadline, on the worker's clock.
-func (s *Shard) orderWithin(now time.Time, w *worker, d time.Duration) cluster.Order {
-	o := s.orderTo(w)
+// orderWithDeadline returns the head of an order with a deadline, on the worker's clock.
+func (s *Shard) orderWithDeadline(now time.Time, w *worker, d time.Duration) cluster.Order {
+	o := s.orderFor(w)
 	if w.started != 0 && w.answered {
-		o.ClockMS = w.clock + time.Duration(float64(now.Sub(w.clockAt))/ClockSlack).Milliseconds()
+		o.ClockMS = w.clockMS + time.Duration(float64(now.Sub(w.clockAt))/ClockSlack).Milliseconds()
 	}
-	o.DeadlineMS = w.clock + now.Sub(w.clockAt).Milliseconds() + d.Milliseconds()
-	w.deadline = max(w.deadline, o.DeadlineMS)
+	o.DeadlineMS = w.clockMS + now.Sub(w.clockAt).Milliseconds() + d.Milliseconds()
+	w.deadlineMS = max(w.deadlineMS, o.DeadlineMS)
 	return o
 }
 
@@ -220,19 +220,19 @@
 // leaseEnd returns when everything on the worker is surely dead unless it is renewed.
 func (s *Shard) leaseEnd(w *worker) time.Time {
 	if !w.answered {
-		return s.began.Add(s.p.UncertainFor)
+		return s.startedAt.Add(s.params.UncertainFor)
 	}
-	left := time.Duration(w.deadline-w.clock) * time.Millisecond
+	left := time.Duration(w.deadlineMS-w.clockMS) * time.Millisecond
 	end := w.clockAt.Add(time.Duration(float64(left)*ClockSlack) + leaseMargin)
-	if w.inDoubtLease.After(end) {
-		return w.inDoubtLease
+	if w.inDoubtLeaseEnd.After(end) {
+		return w.inDoubtLeaseEnd
 	}
 	return end
 }
 
 // expireLeases frees what ran on silent workers whose lease is surely over.
 func (s *Shard) expireLeases(now time.Time) {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if (w.silent || !w.answered) && len(w.runs) > 0 && now.After(s.leaseEnd(w)) {
 			s.log.Warn("worker's lease is over", events.WorkerLeaseExpired, zap.String("worker", w.info.ID),
 				zap.Duration("silent", now.Sub(w.silentSince)), zap.Int("runs", len(w.runs)))
@@ -249,21 +249,21 @@
 	for _, r := range sortedRuns(w.runs) {
 		s.loseRun(now, r, cause)
 	}
-	clear(w.foreign)
-	s.recount(w)
+	clear(w.unknownRuns)
+	s.recomputeUsed(w)
 }
 
 // loseRun takes a run off its worker, which can't have it any more.
 func (s *Shard) loseRun(now time.Time, r *run, cause string) {
 	s.counts.Lost++
-	s.log.Warn("run lost", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.n),
+	s.log.Warn("run lost", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
 		zap.String("worker", r.worker.info.ID), zap.String("cause", cause), zap.Int("percent", r.percent))
-	s.drop(r)
-	s.breakGang(now, r, cause)
+	s.dropRun(r)
+	s.stopOtherMembers(now, r, cause)
 }
 
-// free returns the worker's room for a step.
-func (w *worker) free(now time.Time, st *step) resource.Amount {
+// freeFor returns the worker's room for a step.
+func (w *worker) freeFor(now time.Time, st *step) resource.Amount {
 	a := w.info.Capacity.Sub(w.used)
 	if len(w.reserved) == 0 {
 		return a
@@ -280,13 +280,13 @@
 	return a
 }
 
-// recount works out anew how much of the worker's room is taken.
-func (s *Shard) recount(w *worker) {
+// recomputeUsed works out anew how much of the worker's room is taken.
+func (s *Shard) recomputeUsed(w *worker) {
 	w.used = resource.Amount{}
 	for _, r := range w.runs {
 		w.used = w.used.Add(r.task.step.spec.Allocation())
 	}
-	w.used = w.used.Add(w.info.Capacity.Times(int64(len(w.foreign))))
+	w.used = w.used.Add(w.info.Capacity.Times(int64(len(w.unknownRuns))))
 }
 
 // WorkerEntryInvalid notes that a worker's entry in the directory is there but names no worker
@@ -337,8 +337,8 @@
 
 // Workers returns the IDs of the known workers, in order.
 func (s *Shard) Workers() []string {
-	ids := make([]string, 0, len(s.order))
-	for _, w := range s.order {
+	ids := make([]string, 0, len(s.workerList))
+	for _, w := range s.workerList {
 		ids = append(ids, w.info.ID)
 	}
 	return ids
@@ -346,8 +346,8 @@
 
 // WorkerInfos returns what is known of the workers, in the order of their IDs.
 func (s *Shard) WorkerInfos() []cluster.Worker {
-	list := make([]cluster.Worker, 0, len(s.order))
-	for _, w := range s.order {
+	list := make([]cluster.Worker, 0, len(s.workerList))
+	for _, w := range s.workerList {
 		list = append(list, w.info)
 	}
 	return list
