--- a/internal/node/added_test.go
+++ b/internal/node/added_test.go
@@ -16,8 +16,9 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// BenchmarkAddedTime sends the same request to an instance directly and through
-// a node, side by side: at rest by one caller, and by as many as there are slots.
+// BenchmarkAddedTime measures the latency that a node adds to a request: it sends the
+// same request to an instance directly and through a node, with one caller and with
+// as many callers as the instance has slots.
 func BenchmarkAddedTime(b *testing.B) {
 	const slots = 32
 	r := startNode(b, nil)
@@ -45,6 +46,8 @@
 	}
 }
 
+// sendConcurrently sends b.N requests from a number of concurrent callers, and reports
+// percentiles of the latency.
 func sendConcurrently(b *testing.B, url string, callers int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -29,19 +29,21 @@
 )
 
 const (
+	// maxWorkloadBytes bounds the body of a workload.
 	maxWorkloadBytes = 256 << 10
 	maxKeyLength     = 128
 	maxWatchTime     = 30 * time.Second
 	listTimeout      = 5 * time.Second
 )
 
-// Route is a route of the callers' interface.
+// Route is a route of the callers' API.
 type Route struct {
 	Method string
 	Path   string
 }
 
-// CallerRoutes are the routes of the callers' interface, as docs/openapi.yaml has them.
+// CallerRoutes returns the routes of the callers' API, so that a test can compare
+// them with docs/openapi.yaml.
 func CallerRoutes() []Route {
 	var routes []Route
 	for _, r := range (&Node{}).callerHandlers() {
@@ -76,7 +78,8 @@
 	return n.limitCallers(mux)
 }
 
-// limitCallers bounds the work of callers and turns them away while the node can't serve.
+// limitCallers bounds the requests in flight, and refuses all requests while the
+// bundle in force is not confirmed.
 func (n *Node) limitCallers(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -100,7 +103,7 @@
 		RetryAfter(retryAfter).WithOutcome(string(api.OutcomeRefused)))
 }
 
-// team returns the team that a request comes from, checked by its token.
+// team returns the team that sent a request, authenticated by its token.
 func (n *Node) team(r *http.Request) (bundle.Team, error) {
 	name := r.Header.Get(api.HeaderTeam)
 	t, ok := n.bundle().Team(name)
@@ -116,8 +119,9 @@
 	return t, nil
 }
 
-// tokenValid reports whether the request's bearer token has one of the digests, if
-// there are any. It compares in constant time, and all, so that time tells nothing.
+// tokenValid reports whether the digest of the request's bearer token is one of
+// digests, or digests is empty. It compares all digests in constant time, so that
+// the time taken reveals nothing about them.
 func tokenValid(digests []string, r *http.Request) bool {
 	if len(digests) == 0 {
 		return true
@@ -158,7 +162,7 @@
 	_, _ = w.Write(res.Answer.Body)
 }
 
-// resultProblem tells a caller of a request that was not done.
+// resultProblem returns the problem document for a request that was not done.
 func resultProblem(res requests.Result) error {
 	status := http.StatusServiceUnavailable
 	switch {
@@ -176,7 +180,7 @@
 	return p
 }
 
-// readRequest reads and checks a caller's request.
+// readRequest reads and validates a caller's request.
 func (n *Node) readRequest(w http.ResponseWriter, r *http.Request) (requests.Request, error) {
 	t, err := n.team(r)
 	if err != nil {
@@ -224,7 +228,8 @@
 	return ms, nil
 }
 
-// readKeyHeaders reads the headers that say whether a request may be repeated.
+// readKeyHeaders reads the headers that say whether a request may be repeated. A
+// key's creation time may be at most maxSkew in the future.
 func readKeyHeaders(r *http.Request, req *requests.Request, maxSkew time.Duration) error {
 	switch v := r.Header.Get(api.HeaderRepeatable); v {
 	case "", "false":
@@ -279,7 +284,8 @@
 	httpx.WriteJSON(w, status, v)
 }
 
-// checkWorkload refuses what can never run, before anything of it is kept.
+// checkWorkload returns an error for a workload that can never run, so that it is
+// refused before it is journalled.
 func (n *Node) checkWorkload(t bundle.Team, wl api.Workload) error {
 	if err := wl.Check(); err != nil {
 		return err
@@ -299,7 +305,8 @@
 	return n.checkWorkerSize(wl)
 }
 
-// exceedsTeamLimit reports whether a workload asks for more at once than its team may ever have.
+// exceedsTeamLimit reports whether a workload needs more at once than the limit of
+// its team allows.
 func exceedsTeamLimit(wl api.Workload, t bundle.Team) bool {
 	need := wl.Size
 	if wl.Kind == api.KindAllAtOnce {
@@ -310,7 +317,8 @@
 		l.Accelerators > 0 && need.Accelerators > l.Accelerators
 }
 
-// checkWorkerSize refuses a size that no worker of the cell has.
+// checkWorkerSize returns an error if no known worker of the cell is large enough for
+// a task of the workload.
 func (n *Node) checkWorkerSize(wl api.Workload) error {
 	known := false
 	fitting := int64(0)
@@ -341,7 +349,8 @@
 	n.reply(w, http.StatusOK, st, err)
 }
 
-// readWatchParams reads since and wait_ms, by which a caller waits for a change.
+// readWatchParams reads since and wait_ms, with which a caller waits for a change
+// of a workload.
 func readWatchParams(r *http.Request, ref *JobRef) error {
 	if s := r.FormValue("since"); s != "" {
 		since, err := strconv.ParseInt(s, 10, 64)
@@ -360,7 +369,8 @@
 	return nil
 }
 
-// getForTeam returns a workload of a team; another team's is as if it were not there.
+// getForTeam returns a workload of a team. A workload of another team is reported as
+// not found, so that teams cannot learn of each other's workloads.
 func (n *Node) getForTeam(ctx context.Context, t bundle.Team, ref JobRef) (api.Status, error) {
 	key := n.jobKey(ref.ID)
 	ref.Shard = string(key)
@@ -397,7 +407,8 @@
 	n.reply(w, http.StatusOK, n.listAllNodes(ctx, t.Name), nil)
 }
 
-// listAllNodes asks every node for the workloads of a team.
+// listAllNodes asks every node for the workloads of a team. The list is partial if a
+// node did not answer.
 func (n *Node) listAllNodes(ctx context.Context, team string) api.StatusList {
 	nodes := n.lease.Known()
 	parts := make([]api.StatusList, len(nodes)+1)
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -18,7 +18,8 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// callPeer sends a message to the peers' listener and returns the reason of its problem.
+// callPeer sends a message to the peers' listener, and returns the reply and the reason
+// of a problem.
 func callPeer[Req, Resp any](t *testing.T, r *testNode, path string, req Req) (Resp, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -30,52 +31,54 @@
 	return resp, httpx.Reason(err)
 }
 
-// TestPeerContract sends a node what a peer may send it, and what it must turn away.
+// TestPeerContract checks that a node answers the messages of peers, and refuses calls for
+// shards that it does not own and duplicates of forwarded requests.
 func TestPeerContract(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
-	const elsewhere = "worker/nowhere/000"
+	const otherShard = "worker/nowhere/000"
 	a := worker.Attempt{Job: "j", N: 1}
-	places := []peer.Placement{{Attempt: a, Shard: elsewhere, Worker: "w", Reservation: "r"}}
-	if _, reason := callPeer[peer.ReserveRequest, peer.ReserveReply](t, r, peer.PathReserve, peer.ReserveRequest{Shard: elsewhere}); reason != peer.ReasonNotOwner {
-		t.Errorf("reserve elsewhere: %q", reason)
+	places := []peer.Placement{{Attempt: a, Shard: otherShard, Worker: "w", Reservation: "r"}}
+	if _, reason := callPeer[peer.ReserveRequest, peer.ReserveReply](t, r, peer.PathReserve, peer.ReserveRequest{Shard: otherShard}); reason != peer.ReasonNotOwner {
+		t.Errorf("reserve in a shard of another owner: %q", reason)
 	}
-	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: elsewhere, Placements: places}); reason != peer.ReasonNotOwner {
-		t.Errorf("confirm elsewhere: %q", reason)
+	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: otherShard, Placements: places}); reason != peer.ReasonNotOwner {
+		t.Errorf("confirm in a shard of another owner: %q", reason)
 	}
 	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
-		t.Errorf("events elsewhere: %q", reason)
+		t.Errorf("events for a shard of another owner: %q", reason)
 	}
 	if _, reason := callPeer[peer.KeyBegin, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBegin{Shard: "job/999"}); reason != peer.ReasonNotOwner {
-		t.Errorf("key elsewhere: %q", reason)
+		t.Errorf("key in a shard of another owner: %q", reason)
 	}
-	const here = "worker/kosice-1/000"
-	known, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: here, Placements: places})
+	const ownShard = "worker/kosice-1/000"
+	known, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: ownShard, Placements: places})
 	if reason != "" || len(known.Items) != 1 || known.Items[0].State == peer.ConfirmAccepted {
-		t.Errorf("a task that nobody placed: %+v %s", known, reason)
+		t.Errorf("confirm of a task without a reservation: %+v %s", known, reason)
 	}
-	// An event of a job that is not there is taken, so that its sender forgets it.
+	// An event of an unknown job is accepted, so that its sender does not retry it forever.
 	ev := peer.EventsRequest{Shard: "job/000", Events: []peer.Event{{Kind: peer.EventLost, Attempt: a}}}
 	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, ev); reason != "" {
-		t.Errorf("an event of nobody's job: %q", reason)
+		t.Errorf("event of an unknown job: %q", reason)
 	}
 	req := requests.Request{ID: "once", Service: "none", Team: "inkasoft", TimeoutMS: 100}
 	res, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req)
 	if reason != "" || res.Outcome != api.OutcomeRefused {
-		t.Errorf("a request to a service that is not here: %+v %s", res, reason)
+		t.Errorf("request to a service without instances: %+v %s", res, reason)
 	}
 	if _, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req); reason != "handed_over_before" {
-		t.Errorf("the same request again: %q", reason)
+		t.Errorf("duplicate of a forwarded request: %q", reason)
 	}
 	if sum, reason := callPeer[httpx.None, peer.Summary](t, r, peer.PathSummary, httpx.None{}); reason != "" || sum.Node != "entry-1" || sum.Head != 1 {
-		t.Errorf("the summary: %+v %s", sum, reason)
+		t.Errorf("summary: %+v %s", sum, reason)
 	}
 	if head, reason := callPeer[httpx.None, node.HeadReply](t, r, peer.PathHead, httpx.None{}); reason != "" || head.Bundle.Digest() != head.Head.Digest {
-		t.Errorf("the head: %+v %s", head.Head, reason)
+		t.Errorf("head: %+v %s", head.Head, reason)
 	}
 }
 
-// TestOperatorContract makes an operator's calls, right and wrong, in the order of a roll-out.
+// TestOperatorContract makes valid and invalid calls of an operator, in the order of a
+// bundle's roll-out.
 func TestOperatorContract(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -113,11 +116,11 @@
 	}
 	st, err := op.Bundle(t.Context())
 	if err != nil || st.Head.Version != 2 || st.Bundle.Limits.TimeoutMS != 12_345 || st.Proposal != nil {
-		t.Errorf("after it: %+v, %v", st.Head, err)
+		t.Errorf("status after the roll-out: %+v, %v", st.Head, err)
 	}
 	h, err := op.History(t.Context())
 	if err != nil || len(h.Heads) != 2 {
-		t.Errorf("the history: %+v, %v", h, err)
+		t.Errorf("history: %+v, %v", h, err)
 	}
 }
 
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -17,25 +17,29 @@
 
 const (
 	followInterval = time.Second
-	// staleAfter is how long a node serves without having heard of the bundle in
-	// force, from the store or from a peer.
+	// staleAfter is how long a node serves callers after the store or a peer last
+	// confirmed the bundle in force.
 	staleAfter = 5 * time.Second
-	// confirmFor is how long a node confirms the bundle of its peers after it was
-	// confirmed itself: longer than the pause between two rounds of summaries. With
-	// staleAfter it stays within the 7 s in which a change is in force everywhere.
+	// confirmFor is how long a node confirms its peers' bundle after its own was
+	// confirmed. It is longer than the interval of the exchange of summaries.
+	// staleAfter + confirmFor must stay within the 7 s after which a change is in force
+	// on every node that serves.
 	confirmFor = 2 * time.Second
 )
 
-// follower keeps the node on the bundle that is in force: the highest version
-// that the store or a peer tells of.
+// follower applies the bundle in force: the highest version that the store or a peer
+// reports. A node thus follows changes through its peers while it cannot reach the
+// store.
 type follower struct {
 	n *Node
 
-	mu       sync.Mutex
-	head     bundle.Head
-	bundle   *bundle.Bundle
+	mu     sync.Mutex
+	head   bundle.Head
+	bundle *bundle.Bundle
+	// haveHead is set once the head has been read from the store or a peer.
 	haveHead bool
-	// confirmedAt is when the store or a peer last told of a version not above ours.
+	// confirmedAt is when the last call was sent in which the store or a peer reported no
+	// version above ours.
 	confirmedAt  time.Time
 	stagedDigest string
 	stagedBundle *bundle.Bundle
@@ -56,7 +60,7 @@
 	}
 }
 
-// poll reads the head and the proposal once.
+// poll reads the head and the proposal from the store once.
 func (f *follower) poll(ctx context.Context) {
 	asked := time.Now()
 	head, err := f.n.bundles.Head(ctx)
@@ -78,7 +82,8 @@
 	f.n.lease.SetBundles(staged, version)
 }
 
-// advance applies a head that is higher than the present one.
+// advance fetches and applies the bundle of head, if its version is higher than the
+// current one.
 func (f *follower) advance(ctx context.Context, head bundle.Head) error {
 	f.mu.Lock()
 	present := f.head
@@ -101,7 +106,7 @@
 	return nil
 }
 
-// apply puts a bundle in force unless a higher one is.
+// apply puts a bundle in force, unless one with a higher version already is.
 func (f *follower) apply(head bundle.Head, b *bundle.Bundle) {
 	f.mu.Lock()
 	if head.Version <= f.head.Version {
@@ -115,7 +120,8 @@
 	f.n.log.Info("bundle in force", events.BundleInForce, zap.Int64("version", head.Version), zap.String("digest", head.Digest))
 }
 
-// stage holds the proposed bundle ready.
+// stage fetches the proposed bundle, so that it can be applied as soon as it is
+// accepted.
 func (f *follower) stage(ctx context.Context) {
 	p, ok, err := f.n.bundles.PendingProposal(ctx)
 	if err != nil || !ok {
@@ -138,9 +144,11 @@
 	f.n.log.Info("bundle staged", events.BundleStaged, zap.String("change", p.Change), zap.Int64("version", p.Version()))
 }
 
-// observePeer takes the bundle of a peer that is ahead, so that a node without sight
-// of the store follows too. A peer that was confirmed itself confirms the
-// present bundle; one that comes out of a cut of its own doesn't.
+// observePeer handles the version that a peer reported in reply to a call sent at
+// asked. If the peer is ahead, its bundle is fetched and applied, so that a node that
+// cannot reach the store follows too. Otherwise the peer confirms the current bundle,
+// but only if its own was confirmed recently: a peer that was cut off itself may have
+// missed a change.
 func (f *follower) observePeer(address string, version int64, confirmed bool, asked time.Time) {
 	f.mu.Lock()
 	newer := version > f.head.Version
@@ -180,7 +188,7 @@
 	return f.head, f.bundle
 }
 
-// headRead reports whether the head has been headRead from the store or a peer.
+// headRead reports whether the head has been read from the store or a peer.
 func (f *follower) headRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,8 +202,8 @@
 	return f.haveHead && time.Since(f.confirmedAt) < confirmFor
 }
 
-// isFresh reports whether the bundle in force was confirmed a short time ago;
-// a node that was paused or cut off is not fresh until it has asked again.
+// isFresh reports whether the bundle in force was confirmed recently. A node that was
+// paused or cut off is not fresh until its bundle is confirmed again.
 func (f *follower) isFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -17,27 +17,30 @@
 )
 
 const (
-	// summaryIntervals is how many exchanges a peer's summary is used without a newer one.
+	// summaryIntervals is for how many exchange intervals a peer's summary is used if no
+	// newer one arrives.
 	summaryIntervals = 4
-	// maxConcurrentExchanges bounds the peers that are asked together.
+	// maxConcurrentExchanges bounds the peers that are called concurrently.
 	maxConcurrentExchanges = 16
-	// minRefreshInterval is the least time between two exchanges that requests bring about.
+	// minRefreshInterval is the minimum time between two exchanges triggered by requests.
 	minRefreshInterval = 100 * time.Millisecond
 )
 
-// cellLoad is what the node knows of the cellLoad of all nodes; each asks the others
-// for their summary every short while.
+// cellLoad holds what this node knows of the load of all nodes. Every node asks the
+// others for their summaries at a regular interval.
 type cellLoad struct {
 	n *Node
-	// refreshSem lets one request at a time bring an exchange about.
+	// refreshSem lets only one request at a time trigger an exchange.
 	refreshSem  chan struct{}
 	lastRefresh time.Time
 
-	mu            sync.Mutex
-	peers         map[string]*peerState
+	mu    sync.Mutex
+	peers map[string]*peerState
+	// exchangedOnce is set once an exchange has ended while the lease was held.
 	exchangedOnce bool
 }
 
+// peerState is the latest summary of a peer.
 type peerState struct {
 	node       lease.Node
 	summary    peer.Summary
@@ -61,7 +64,8 @@
 	}
 }
 
-// RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
+// RefreshLoads asks the peers for their summaries now, unless the last refresh is
+// more recent than minRefreshInterval.
 func (l *cellLoad) RefreshLoads(ctx context.Context) {
 	select {
 	case l.refreshSem <- struct{}{}:
@@ -76,7 +80,7 @@
 	l.lastRefresh = time.Now()
 }
 
-// exchange asks every known peer for its summary.
+// exchange asks every known peer for its summary, and drops expired summaries.
 func (l *cellLoad) exchange(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentExchanges)
@@ -113,7 +117,8 @@
 	l.n.follower.observePeer(node.PeerAddress, sum.Head, sum.Confirmed, asked)
 }
 
-// hasExchanged reports whether the node has held its lease and asked its peers once.
+// hasExchanged reports whether the node has completed an exchange while it held its
+// lease.
 func (l *cellLoad) hasExchanged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +134,7 @@
 	}
 }
 
-// eachSummary calls fn for the summary of every node, this one's first.
+// eachSummary calls fn for the summary of every node, starting with this one's.
 func (l *cellLoad) eachSummary(fn func(peer.Summary)) {
 	fn(l.ownSummary())
 	l.mu.Lock()
@@ -139,14 +144,14 @@
 	}
 }
 
-// Pools returns how much room the worker shards of the cell have.
+// Pools returns the summaries of all worker shards of the cell.
 func (l *cellLoad) Pools() []peer.PoolSummary {
 	var pools []peer.PoolSummary
 	l.eachSummary(func(s peer.Summary) { pools = append(pools, s.Pools...) })
 	return pools
 }
 
-// Teams returns what the teams use, node by node.
+// Teams returns the usage of each team on each node.
 func (l *cellLoad) Teams() []peer.TeamUsage {
 	var teams []peer.TeamUsage
 	l.eachSummary(func(s peer.Summary) { teams = append(teams, s.Teams...) })
@@ -168,8 +173,8 @@
 	return loads
 }
 
-// Forward hands a request to a peer, and counts the slot that it will take
-// until the peer's next summary.
+// Forward sends a request to a peer. It counts one slot less as free until the peer's
+// next summary, so that not all requests go to the same peer.
 func (l *cellLoad) Forward(ctx context.Context, node string, r requests.Request) (requests.Result, error) {
 	l.mu.Lock()
 	p, ok := l.peers[node]
@@ -191,7 +196,7 @@
 	return res, err
 }
 
-// dropPeer drops a peer that was not reached, until it answers again.
+// dropPeer drops the summary of an unreachable peer, until it answers again.
 func (l *cellLoad) dropPeer(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -34,12 +34,12 @@
 	return 0
 }
 
-// refused counts what was turned away, by reason.
+// refused counts a refused call, by reason.
 func (c counters) refused(reason string) {
 	c.n.metrics.GetOrCreateCounter(fmt.Sprintf("switchbank_refused_total{reason=%q}", reason)).Inc()
 }
 
-// request counts a request that ended, and the time it took.
+// request counts a request that ended, and records its duration.
 func (c counters) request(res requests.Result, elapsed time.Duration) {
 	c.n.metrics.GetOrCreateCounter(fmt.Sprintf("switchbank_requests_total{outcome=%q,reason=%q}", res.Outcome, res.Reason)).Inc()
 	c.n.metrics.GetOrCreateHistogram(fmt.Sprintf("switchbank_request_seconds{outcome=%q}", res.Outcome)).Update(elapsed.Seconds())
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -26,7 +26,8 @@
 	return slices.Compact(names)
 }
 
-// TestMetricsCatalogue holds docs/metrics.md against the code of both kinds of node.
+// TestMetricsCatalogue checks that docs/metrics.md lists exactly the metrics in the code of
+// both kinds of node.
 func TestMetricsCatalogue(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -40,6 +41,6 @@
 	files = slices.DeleteFunc(files, func(f string) bool { return f == "metrics_test.go" || f == "node_test.go" })
 	code, page := metricNames(t, files...), metricNames(t, "../../docs/metrics.md")
 	if !slices.Equal(code, page) {
-		t.Errorf("the code has %v\nthe page has %v", code, page)
+		t.Errorf("metrics in the code: %v\nmetrics in the page: %v", code, page)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,12 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package node puts the parts of a switchbank node together: its three
-// listeners, its lease, its shards, the journal, the pools and the requests.
+// Package node assembles a switchbank node from its parts: the listeners for
+// callers, peers and operators, the node's lease, the shards that it owns, the
+// journal, the worker pools and the request path.
+//
+// A node holds a lease as long as it is alive, and owns shards under that lease.
+// It schedules the jobs of its job shards and runs tasks on the workers of its
+// worker shards. Every node serves callers: it forwards calls to the owner of the
+// shard they concern, and requests to the peers with free instances.
 //
 // # Usage
 //
-//	n, err := node.New(cfg, node.Deps{Platform: client, Callers: l1, Peers: l2, Operators: l3, Log: log})
-//	err = n.Run(ctx) // a planned stop begins when ctx ends
+//	n := node.New(cfg, node.Deps{Platform: client, Callers: l1, Peers: l2, Operators: l3, Log: log})
+//	err := n.Run(ctx) // a planned stop begins when ctx ends
 package node
 
 import (
@@ -37,10 +43,10 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// maxForwardedIDs is how many ids of requests that were handed over are kept.
+// maxForwardedIDs is how many IDs of forwarded requests are remembered to detect duplicates.
 const maxForwardedIDs = 1 << 14
 
-// Platform is what a node uses of the platform.
+// Platform is the part of the platform's API that a node uses.
 type Platform interface {
 	Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error)
 	Get(ctx context.Context, table, key string) (platform.Row, error)
@@ -51,57 +57,56 @@
 	Hosts(ctx context.Context, dataCentre string) ([]platform.Host, error)
 }
 
-// Guards are safeguards that a test can switch off, to show that it would see
-// their absence. All are on in a node that serves.
+// Guards switch individual safeguards off, so that a test can show that it detects
+// the faults they prevent. The zero value leaves all safeguards on.
 type Guards struct {
-	// NoEpochs lets a shard's new owner keep the old epoch.
+	// NoEpochs does not raise a shard's epoch when its owner changes.
 	NoEpochs bool
-	// NoLeaseCheck takes the lease for held whatever the clock says.
+	// NoLeaseCheck treats the lease as held even after it has expired.
 	NoLeaseCheck bool
-	// SkipConditions writes the journal without its conditions.
+	// SkipConditions writes the journal without the conditions that fence a previous owner.
 	SkipConditions bool
-	// StartBeforeJournal starts tasks before their place is journalled.
+	// StartBeforeJournal starts tasks before their placement is journalled.
 	StartBeforeJournal bool
-	// SkipKeyJournal runs keyed requests without journalling them.
+	// SkipKeyJournal runs requests with a key without journalling them first.
 	SkipKeyJournal bool
-	// AllowOvercommit leaves the slots of instances uncounted.
+	// AllowOvercommit does not count the occupied slots of instances.
 	AllowOvercommit bool
-	// SkipRequestIDCheck passes on answers without comparing their request id.
+	// SkipRequestIDCheck returns answers without checking that they carry the request's ID.
 	SkipRequestIDCheck bool
-	// AssumeNotRun says of a call that broke off that it did not run.
+	// AssumeNotRun reports an interrupted call as not run although it may have run.
 	AssumeNotRun bool
-	// IgnoreLeaving goes on using workers that leave.
+	// IgnoreLeaving keeps using workers that are leaving.
 	IgnoreLeaving bool
-	// ServeStaleBundle serves without having heard of the bundle in force lately.
+	// ServeStaleBundle serves callers even if the bundle in force was not confirmed recently.
 	ServeStaleBundle bool
-	// NoDrain drops what is in flight at a planned stop.
+	// NoDrain drops the requests in flight at a planned stop.
 	NoDrain bool
 }
 
 // Deps are the dependencies of a Node.
 type Deps struct {
-	// Platform is the way to the platform; nil means HTTP to the URL of the settings.
+	// Platform is the client of the platform; nil means HTTP to the URL in the settings.
 	Platform  Platform
 	Callers   net.Listener
 	Peers     net.Listener
 	Operators net.Listener
 	// Dial opens connections to peers, workers and instances; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Wrap goes around the transport of each of the node's HTTP clients; nil
-	// means nothing.
+	// Wrap wraps the transport of each of the node's HTTP clients; nil leaves it as it is.
 	Wrap   func(http.RoundTripper) http.RoundTripper
 	Log    *zap.Logger
 	Guards Guards
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindListen is a listener that ended by itself.
+	// KindListen means that a listener failed.
 	KindListen Kind = "listen"
-	// KindLease is a lease that another process has taken.
+	// KindLease means that another process has taken the node's lease.
 	KindLease Kind = "lease"
 )
 
@@ -142,14 +147,14 @@
 	draining atomic.Bool
 	drain    chan struct{}
 	inFlight chan struct{}
-	// forwardedIDs holds the ids of the requests that peers forwardedIDs over last.
+	// forwardedIDs holds the IDs of the requests that peers forwarded most recently.
 	forwardedIDs *lru.Cache[string, struct{}]
 	counters     counters
 	runCtx       context.Context
 	stopRun      context.CancelFunc
 }
 
-// New returns a node that does not run yet.
+// New returns a node that Run has yet to start.
 func New(cfg config.Config, deps Deps) *Node {
 	n := &Node{
 		cfg: cfg, deps: deps, metrics: metrics.NewSet(),
@@ -157,7 +162,7 @@
 		drain:    make(chan struct{}, 1),
 		inFlight: make(chan struct{}, cfg.Limits.InFlight),
 	}
-	// The size is a constant above 0, so that this can't fail.
+	// New fails only for a size of 0 or less.
 	n.forwardedIDs, _ = lru.New[string, struct{}](maxForwardedIDs)
 	n.runCtx, n.stopRun = context.WithCancel(context.Background())
 	n.peerHTTP = n.newClient("peers", peerConns)
@@ -240,7 +245,7 @@
 	}, requests.Options{KeyWindow: cfg.KeyWindow, KeyMargin: cfg.KeyMargin, SkipKeyJournal: n.deps.Guards.SkipKeyJournal}, n.log)
 }
 
-// shardChanged passes on that a shard has a new owner.
+// shardChanged tells the job shards that a worker shard has a new owner.
 func (n *Node) shardChanged(key shard.Key) {
 	if key.Kind() == shard.KindWorker {
 		n.jobs.WorkerShardOwnerChanged(key)
@@ -250,8 +255,8 @@
 // bundle returns the bundle in force.
 func (n *Node) bundle() *bundle.Bundle { return n.follower.current() }
 
-// Run serves until ctx ends or Drain is called; then it stops as planned: it
-// hands its shards over and finishes what is in flight.
+// Run serves until ctx ends or Drain is called. It then makes a planned stop: it
+// hands its shards over and finishes the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.Info("node started", events.NodeStarted, zap.String("callers", n.deps.Callers.Addr().String()),
 		zap.String("peers", n.deps.Peers.Addr().String()), zap.String("operators", n.deps.Operators.Addr().String()))
@@ -292,7 +297,8 @@
 	}
 }
 
-// stop is a planned stop, unless run has ended by a failure.
+// stop hands the shards over and shuts the servers down. After a failure, when
+// runCtx has ended, it neither hands over nor waits for requests in flight.
 func (n *Node) stop(runCtx context.Context, servers []*server) {
 	if runCtx.Err() == nil && !n.deps.Guards.NoDrain {
 		n.draining.Store(true)
@@ -331,8 +337,10 @@
 	}
 }
 
-// Ready reports whether the node serves callers: it has read the bundle in
-// force, holds or has held its lease, and does not drain.
+// Ready returns nil if the node serves callers, and otherwise the reason why not.
+// A node is ready once it has read the bundle in force, has had it confirmed
+// recently, and has exchanged load with its peers while holding its lease. It is
+// not ready while it drains.
 func (n *Node) Ready() error {
 	switch {
 	case n.draining.Load():
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,7 +36,7 @@
 
 const rivalToken = "the rival's token"
 
-// testNode is a node on loopback with stand-ins.
+// testNode is a node on loopback addresses, with a simulated platform.
 type testNode struct {
 	callers, peers, operators string
 	n                         *node.Node
@@ -53,7 +53,8 @@
 	return l
 }
 
-// startNode runs a node with one worker and a bundle in force; change alters its settings.
+// startNode runs a node with one worker and a bundle in force. change, if not nil, modifies
+// the settings.
 func startNode(t testing.TB, change func(*config.Config)) *testNode {
 	t.Helper()
 	cfg, err := config.Parse("node.yaml", examples.Node)
@@ -93,7 +94,8 @@
 	return client.New(client.Config{Callers: r.callers, Operators: r.operators, Team: team, Token: token})
 }
 
-// putBundle puts a bundle in force: team inkasoft is open, team rival has a token and a limit.
+// putBundle puts a bundle in force in which team inkasoft needs no token, and team rival
+// has a token and a limit.
 func (r *testNode) putBundle(t testing.TB) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -127,7 +129,7 @@
 	}
 }
 
-// TestListenersServeOnlyTheirRoutes asks each listener for the others' routes.
+// TestListenersServeOnlyTheirRoutes checks that no listener serves the routes of another.
 func TestListenersServeOnlyTheirRoutes(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -157,7 +159,8 @@
 	}
 }
 
-// TestInvalidWorkloadsAreRefused sends what must be refused, and checks that nothing of it is kept.
+// TestInvalidWorkloadsAreRefused checks that invalid workloads are refused with the field at
+// fault, and that none of them is stored.
 func TestInvalidWorkloadsAreRefused(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -193,7 +196,7 @@
 	}
 	list, err := r.client("inkasoft", "").List(t.Context())
 	if err != nil || len(list.Workloads) != 0 {
-		t.Errorf("kept: %+v, %v", list, err)
+		t.Errorf("stored workloads: %+v, %v", list, err)
 	}
 }
 
@@ -221,7 +224,8 @@
 	return resp.StatusCode, p
 }
 
-// TestInvalidRequestsAreRefused sends requests whose headers or bodies must be refused, each with its own reason.
+// TestInvalidRequestsAreRefused checks that requests with invalid headers or bodies are each
+// refused for the right reason.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -255,7 +259,8 @@
 	}
 }
 
-// TestTeamsAreIsolated has one team read and cancel another's work.
+// TestTeamsAreIsolated checks that a team can neither read nor cancel the workloads of
+// another team, nor create one above its limit.
 func TestTeamsAreIsolated(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -267,21 +272,21 @@
 	_, cancelErr := rival.Cancel(t.Context(), "mine")
 	for _, err := range []error{getErr, cancelErr} {
 		if p, ok := client.ProblemOf(err); !ok || p.Status != http.StatusNotFound {
-			t.Errorf("the rival was told: %v", err)
+			t.Errorf("call on the workload of another team: %v", err)
 		}
 	}
 	list, err := rival.List(t.Context())
 	if err != nil || len(list.Workloads) != 0 {
-		t.Errorf("the rival sees %+v, %v", list, err)
+		t.Errorf("list of another team: %+v, %v", list, err)
 	}
 	big := job("big")
 	big.Team = "rival"
 	if _, err := rival.Create(t.Context(), big); err == nil || !strings.Contains(err.Error(), "limit") {
-		t.Errorf("above the team's limit: %v", err)
+		t.Errorf("workload above the team's limit: %v", err)
 	}
 }
 
-// TestOperatorToken asks the operators' listener with and without a token.
+// TestOperatorToken checks that the operators' listener refuses calls without a valid token.
 func TestOperatorToken(t *testing.T) {
 	t.Parallel()
 	const token = "an operator's token"
@@ -312,7 +317,8 @@
 	}
 }
 
-// TestCreateIsIdempotent sends a workload twice, and then another of the same id.
+// TestCreateIsIdempotent checks that the same workload can be created twice, and that a
+// different one with the same ID is refused.
 func TestCreateIsIdempotent(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
@@ -326,14 +332,15 @@
 	other.Tasks = 2
 	_, err := c.Create(t.Context(), other)
 	if p, ok := client.ProblemOf(err); !ok || p.Status != http.StatusConflict || p.Field != "id" {
-		t.Errorf("another workload of the same id: %v", err)
+		t.Errorf("different workload with the same ID: %v", err)
 	}
 	if _, err := c.Wait(t.Context(), "same", func(s api.Status) bool { return s.State == api.JobDone }); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestWorkloadsAndKeysAreBounded fills a node with workloads and keys.
+// TestWorkloadsAndKeysAreBounded checks that a shard refuses workloads and keys beyond its
+// limits.
 func TestWorkloadsAndKeysAreBounded(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, func(c *config.Config) {
@@ -357,7 +364,8 @@
 	}
 }
 
-// TestConnectionAndHeaderLimits opens more connections and sends larger headers than are allowed.
+// TestConnectionAndHeaderLimits checks that connections beyond the limit and headers that
+// are too large are refused, and that the metric counts the connections.
 func TestConnectionAndHeaderLimits(t *testing.T) {
 	t.Parallel()
 	const most = 8
--- a/internal/node/openapi_test.go
+++ b/internal/node/openapi_test.go
@@ -17,7 +17,7 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// document is the part of the OpenAPI page that is held against the code.
+// document is the part of docs/openapi.yaml that is compared with the code.
 type document struct {
 	Paths      map[string]map[string]any `yaml:"paths"`
 	Components struct {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -29,7 +29,7 @@
 	maxBundleBytes = 4 << 20
 )
 
-// Status is what a node tells an operator of itself and of the cell.
+// Status is a node's view of itself and of the cell, for operators.
 type Status struct {
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
@@ -45,7 +45,7 @@
 	Nodes        []NodeBundles `json:"nodes"`
 }
 
-// NodeBundles tells which bundle a live node applies and has staged.
+// NodeBundles is the bundle that a live node applies and the one that it has staged.
 type NodeBundles struct {
 	Node     string `json:"node"`
 	InForce  int64  `json:"in_force"`
@@ -53,7 +53,8 @@
 	Draining bool   `json:"draining,omitempty"`
 }
 
-// BundleStatus tells what is in force, what waits, and who holds it back.
+// BundleStatus is the bundle in force, the pending proposal, and the nodes that have
+// yet to stage it.
 type BundleStatus struct {
 	Head     bundle.Head      `json:"head"`
 	Bundle   *bundle.Bundle   `json:"bundle,omitempty"`
@@ -69,7 +70,7 @@
 	Proposal bundle.Proposal `json:"proposal"`
 }
 
-// AcceptRequest names the change to be accepted.
+// AcceptRequest names the change to accept.
 type AcceptRequest struct {
 	Change string `json:"change"`
 }
@@ -79,7 +80,7 @@
 	Heads []bundle.Head `json:"heads"`
 }
 
-// DrainReply tells that a planned stop has begun.
+// DrainReply confirms that a planned stop has begun.
 type DrainReply struct {
 	Node     string `json:"node"`
 	Draining bool   `json:"draining"`
@@ -93,7 +94,7 @@
 	return mux
 }
 
-// authenticatedRoutes are those that ask for an operator's token.
+// authenticatedRoutes returns the routes that require an operator's token.
 func (n *Node) authenticatedRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -112,7 +113,8 @@
 	return mux
 }
 
-// requireOperator turns away who has no operator's token, where the settings ask for one.
+// requireOperator refuses requests without an operator's token, if the settings have
+// any.
 func (n *Node) requireOperator(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !tokenValid(n.cfg.Operators.TokenSHA256, r) {
@@ -124,7 +126,7 @@
 	})
 }
 
-// operatorHandler serves a call of an operator.
+// operatorHandler returns the handler of an operator's call.
 func operatorHandler[Req, Resp any](fn func(context.Context, Req) (Resp, error)) http.Handler {
 	return httpx.Handle(maxBundleBytes, func(ctx context.Context, req Req) (Resp, error) {
 		resp, err := fn(ctx, req)
@@ -198,7 +200,8 @@
 	return st, nil
 }
 
-// nodesNotStaged returns the live nodes that do not hold a bundle ready.
+// nodesNotStaged returns the live nodes that have not staged a bundle; draining ones
+// do not count.
 func (n *Node) nodesNotStaged(digest string) []string {
 	var waiting []string
 	for _, node := range n.lease.Live() {
@@ -220,7 +223,7 @@
 	return p, err
 }
 
-// accept moves the head once every live node holds the bundle ready.
+// accept puts a proposed bundle in force once every live node has staged it.
 func (n *Node) accept(ctx context.Context, req AcceptRequest) (bundle.Head, error) {
 	p, ok, err := n.bundles.PendingProposal(ctx)
 	if err != nil {
@@ -239,8 +242,8 @@
 		return head, err
 	}
 	n.log.Info("bundle accepted", events.BundleRolledOut, zap.Int64("version", head.Version), zap.String("change", head.Change))
-	// In force here at once, and by the peers' exchange everywhere, even when the
-	// store goes down before any node has read the new head.
+	// Apply the bundle here at once. The exchange of load spreads it to all nodes, even
+	// if the store goes down before any of them has read the new head.
 	if err := n.follower.advance(ctx, head); err != nil {
 		n.log.Warn("bundle not read", events.BundleNotRead, zap.Error(err))
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,20 +17,21 @@
 	"switchbank.example/switchbank/internal/requests"
 )
 
-// maxPeerBody bounds a message between nodes: a body in base64 and some more.
+// maxPeerBody bounds a message between nodes, which may hold a request's body in base64.
 const maxPeerBody = 32 << 20
 
-// JobRef names a workload to its shard's owner.
+// JobRef identifies a workload to the owner of its shard.
 type JobRef struct {
 	Shard string `json:"shard"`
 	ID    string `json:"id"`
-	// Since waits for a revision above it, at most WaitMS milliseconds.
+	// Since makes the call wait at most WaitMS milliseconds for a revision above it.
 	Since  int64 `json:"since,omitempty"`
 	WaitMS int64 `json:"wait_ms,omitempty"`
-	Tasks  bool  `json:"tasks,omitempty"`
+	// Tasks asks for the status of each task.
+	Tasks bool `json:"tasks,omitempty"`
 }
 
-// CreateRequest carries a workload to its shard's owner.
+// CreateRequest carries a new workload to the owner of its shard.
 type CreateRequest struct {
 	Shard    string       `json:"shard"`
 	Workload api.Workload `json:"workload"`
@@ -41,7 +42,7 @@
 	Team string `json:"team,omitempty"`
 }
 
-// HeadReply is the bundle in force on a node.
+// HeadReply carries the bundle in force on a node.
 type HeadReply struct {
 	Head   bundle.Head    `json:"head"`
 	Bundle *bundle.Bundle `json:"bundle"`
@@ -66,7 +67,7 @@
 	return mux
 }
 
-// handlePeer serves a message between nodes.
+// handlePeer registers the handler of a message between nodes.
 func handlePeer[Req, Resp any](mux *http.ServeMux, path string, fn func(context.Context, Req) (Resp, error)) {
 	mux.Handle("POST "+path, httpx.Handle(maxPeerBody, func(ctx context.Context, req Req) (Resp, error) {
 		resp, err := fn(ctx, req)
@@ -95,8 +96,8 @@
 	return api.StatusList{Workloads: n.jobs.List(req.Team)}, nil
 }
 
-// runForwarded ends a request that a peer handed over; it is not handed on. A
-// message that comes twice is turned away the second time.
+// runForwarded runs a request that a peer forwarded, and does not forward it again.
+// It refuses a message that arrives a second time.
 func (n *Node) runForwarded(ctx context.Context, r requests.Request) (requests.Result, error) {
 	if seen, _ := n.forwardedIDs.ContainsOrAdd(r.ID, struct{}{}); seen {
 		return requests.Result{}, httpx.NewProblem(http.StatusConflict, "handed_over_before", r.ID)
@@ -115,7 +116,8 @@
 	return HeadReply{Head: head, Bundle: b}, nil
 }
 
-// forward hands a request to a peer.
+// forward sends a request to a peer. The error satisfies requests.IsNotSent if no
+// connection was established, so that the request certainly did not run.
 func (n *Node) forward(ctx context.Context, address string, r requests.Request) (requests.Result, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -18,17 +18,20 @@
 )
 
 const (
-	// ownerRetryTime is how long a call waits for a shard that is between two owners.
+	// ownerRetryTime is how long a call is retried while a shard changes owners.
 	ownerRetryTime     = 3 * time.Second
 	ownerRetryInterval = 50 * time.Millisecond
-	// callTimeout bounds the calls that a node makes on its own account.
+	// callTimeout bounds the calls that a node makes without a caller's deadline.
 	callTimeout = 5 * time.Second
-	retryAfter  = time.Second
-	// retryAfterFull is when something that was kept may have been forgotten.
+	// retryAfter is the usual Retry-After of a refused call.
+	retryAfter = time.Second
+	// retryAfterFull is the Retry-After while a shard is full, which ends only when
+	// workloads or keys reach the end of their retention.
 	retryAfterFull = time.Minute
 )
 
-// callOwner calls the owner of a shard: this node's own function, or a peer.
+// callOwner calls the owner of a shard: local if this node owns it, or else the
+// peer that does.
 func callOwner[Req, Resp any](
 	ctx context.Context, n *Node, key shard.Key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
@@ -41,14 +44,14 @@
 		return zero, noOwnerProblem(key)
 	}
 	if owner.Owner == n.cfg.Node {
-		// Not certain now: the part itself knows why.
+		// The ownership is not certain now; local returns the reason.
 		return local(ctx, req)
 	}
 	return httpx.Call[Req, Resp](ctx, n.peerHTTP, "http://"+owner.PeerAddress+path, req)
 }
 
-// callOwnerRetrying is onOwner, but waits a short time for a shard that is between
-// two owners. Only calls that may be repeated use it.
+// callOwnerRetrying is like callOwner, but retries for up to ownerRetryTime while the
+// shard changes owners. The call must be idempotent.
 func callOwnerRetrying[Req, Resp any](
 	ctx context.Context, n *Node, key shard.Key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
@@ -63,7 +66,7 @@
 	}
 }
 
-// ownerMayChange reports whether an error may come from a shard that changes owners.
+// ownerMayChange reports whether an error may be due to a change of the shard's owner.
 func ownerMayChange(err error) bool {
 	var he *httpx.Error
 	if errors.As(err, &he) {
@@ -77,7 +80,7 @@
 		RetryAfter(retryAfter).WithOutcome(string(api.OutcomeNotRun))
 }
 
-// problem turns an error of the node's parts into a problem document.
+// problem converts an error of the node's parts into a problem document.
 func problem(err error) error {
 	if err == nil {
 		return nil
@@ -121,10 +124,10 @@
 	return err
 }
 
-// poolRouter reaches the owners of worker shards.
+// poolRouter calls the owners of worker shards.
 type poolRouter struct{ n *Node }
 
-// callPoolOwner calls the owner of a worker shard, within the time that a node gives its own calls.
+// callPoolOwner calls the owner of a worker shard, within callTimeout.
 func callPoolOwner[Req, Resp any](
 	ctx context.Context, n *Node, key, path string, req Req, local func(context.Context, Req) (Resp, error),
 ) (Resp, error) {
@@ -133,33 +136,34 @@
 	return callOwner(ctx, n, shard.Key(key), path, req, local)
 }
 
-// Reserve asks for room.
+// Reserve reserves workers' resources for tasks.
 func (r poolRouter) Reserve(ctx context.Context, req peer.ReserveRequest) (peer.ReserveReply, error) {
 	return callPoolOwner(ctx, r.n, req.Shard, peer.PathReserve, req, r.n.pools.Reserve)
 }
 
-// Confirm asks for the start of reserved tasks.
+// Confirm starts tasks that have a reservation.
 func (r poolRouter) Confirm(ctx context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error) {
 	return callPoolOwner(ctx, r.n, req.Shard, peer.PathConfirm, req, r.n.pools.Confirm)
 }
 
-// Stop asks for the end of tasks.
+// Stop stops tasks.
 func (r poolRouter) Stop(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	return callPoolOwner(ctx, r.n, req.Shard, peer.PathStop, req, r.n.pools.Stop)
 }
 
-// CancelReservations gives reservations up.
+// CancelReservations releases reservations that are not needed.
 func (r poolRouter) CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
 	return callPoolOwner(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
 }
 
-// eventSink takes events to the owners of job shards.
+// eventSink delivers task events to the owners of job shards.
 type eventSink struct{ n *Node }
 
-// Shard names the job shard of a job.
+// Shard returns the key of a job's shard.
 func (s eventSink) Shard(job string) string { return string(s.n.jobKey(job)) }
 
-// Deliver returns nil once the events are journalled.
+// Deliver sends the events of a job to the owner of its shard, and returns nil once
+// they are journalled.
 func (s eventSink) Deliver(ctx context.Context, job string, evs []peer.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -174,10 +178,10 @@
 
 func (n *Node) jobKey(id string) shard.Key { return shard.JobKey(id, n.cfg.JobShards) }
 
-// keyRouter reaches the homes of request keys.
+// keyRouter calls the owners of the job shards that hold request keys.
 type keyRouter struct{ n *Node }
 
-// Begin asks for the leave to run a request.
+// Begin asks whether a request with a key may run.
 func (r keyRouter) Begin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
@@ -185,7 +189,7 @@
 	return reply, problem(err)
 }
 
-// Finish journals how a request ended.
+// Finish journals the outcome of a request with a key.
 func (r keyRouter) Finish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -17,8 +17,9 @@
 )
 
 const (
+	// The limits on connections per host depend on the kind of server that is called.
 	peerConns = 256
-	// workerConns is one for what is due at once, and one for the poll.
+	// workerConns is one connection for orders that are due at once and one for the long poll.
 	workerConns   = 2
 	upstreamConns = 64
 	platformConns = 32
@@ -27,13 +28,13 @@
 	idleTimeout       = 90 * time.Second
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
-	// writeTimeout is above the longest time that a request may take.
+	// writeTimeout is longer than any request may take.
 	writeTimeout = 11 * time.Minute
 	idleConns    = 512
 )
 
-// newClient returns an HTTP client for a class of counterparts, with bounds on
-// everything; calls bound their own time by their context.
+// newClient returns an HTTP client for one class of servers, with limits on
+// connections and headers. It has no timeout: callers pass a context with a deadline.
 func (n *Node) newClient(class string, connsPerHost int) *http.Client {
 	c := newClient(n.cfg, n.countBytes(class), connsPerHost)
 	if n.deps.Wrap != nil {
@@ -43,7 +44,8 @@
 	return c
 }
 
-// countBytes returns the node's dial function, with the bytes of its connections countBytes.
+// countBytes returns the node's dial function, wrapped to count the bytes of its
+// connections.
 func (n *Node) countBytes(class string) dialFunc {
 	dial := n.deps.Dial
 	if dial == nil {
@@ -60,20 +62,20 @@
 	}
 }
 
-// countedConn counts the bytes that pass.
+// countedConn counts the bytes that are read and written.
 type countedConn struct {
 	net.Conn
 	in, out *metrics.Counter
 }
 
-// Read counts what comes in.
+// Read counts the bytes read.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.AddInt64(int64(n))
 	return n, err
 }
 
-// Write counts what goes out.
+// Write counts the bytes written.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.AddInt64(int64(n))
@@ -135,14 +137,14 @@
 	return nil
 }
 
-// stop finishes what is in flight, until ctx ends.
+// stop finishes the requests in flight, and closes what is left when ctx ends.
 func (s *server) stop(ctx context.Context) {
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close()
 	}
 }
 
-// limitListener closes connections beyond a number at once.
+// limitListener closes a new connection immediately while max others are open.
 type limitListener struct {
 	net.Listener
 	open      atomic.Int64
@@ -172,7 +174,7 @@
 	closed atomic.Bool
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and frees its place in the limit.
 func (c *limitConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.l.open.Add(-1)
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -18,8 +18,8 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// TestSpans follows a caller's trace through the hops of a request, and looks for
-// those of a task. It sets the process's tracer and so does not run beside others.
+// TestSpans checks that the spans of a request join the caller's trace, and that the steps
+// of starting a task have spans. It sets the global tracer, so it is not parallel.
 func TestSpans(t *testing.T) {
 	rec := tracetest.NewSpanRecorder()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(rec)))
