--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package settings reads the settings of a node on a platform: strict YAML,
-// checked as a whole, with errors that name the field.
+// Package settings reads the settings of a node that runs on a platform: a YAML file
+// in which unknown fields are errors. Every value is validated before the node starts,
+// and an error names the field at fault.
 //
 // # Usage
 //
@@ -20,25 +21,28 @@
 	"switchbank.example/switchbank/internal/yamlx"
 )
 
-// Settings are those of one node.
+// Settings are the settings of one node.
 type Settings struct {
 	Node       string `yaml:"node"`
 	DataCentre string `yaml:"data_centre"`
 	Listen     Listen `yaml:"listen"`
-	// Seeds are peers' addresses, which may be stale.
+	// Seeds are addresses of peers, through which the node finds the others. They may be
+	// out of date.
 	Seeds []string `yaml:"seeds"`
-	// Store, Advice and Machines are the addresses of the platform's services;
-	// the latter two may be missing.
+	// Store, Advice and Machines are the addresses of the platform's services. Advice
+	// and Machines are optional.
 	Store    string `yaml:"store"`
 	Advice   string `yaml:"advice"`
 	Machines string `yaml:"machines"`
 	Limits   Limits `yaml:"limits"`
 	Bounds   Bounds `yaml:"bounds"`
 	LogLevel string `yaml:"log_level"`
-	// WorkerOrders is how workers are given orders; only calls are built.
+	// WorkerOrders is how the node sends orders to workers. WorkerOrdersInvocation is the
+	// only supported value.
 	WorkerOrders string `yaml:"worker_orders"`
-	// WorkersPerShard is how many workers a shard has at most; 0: as many as the hosts can
-	// own. It counts when a service is first divided; a layout that exists stays.
+	// WorkersPerShard is the maximum number of workers of a shard; 0 derives it from the
+	// CPU of the hosts. It applies when a service is first divided into shards, and does
+	// not change an existing layout.
 	WorkersPerShard int `yaml:"workers_per_shard"`
 }
 
@@ -48,23 +52,24 @@
 	Ready   string `yaml:"ready"`
 	Peers   string `yaml:"peers"`
 	Metrics string `yaml:"metrics"`
-	// AdvertisePeers is the address under which the other nodes reach Peers, if it is
-	// another one, such as that of a relay.
+	// AdvertisePeers is the address at which other nodes reach Peers, such as that of a
+	// relay; the default is Peers.
 	AdvertisePeers string `yaml:"peers_at"`
 }
 
-// Limits are what the node may use.
+// Limits are the resources that the node may use.
 type Limits struct {
 	MemoryMB int64 `yaml:"memory_mb"`
-	// CPUShare is the share of a core that the process gets, and CoreSpeed how many
-	// times as fast as the usual one that core is.
+	// CPUShare is the number of cores that the process may use, and CoreSpeed the speed
+	// of a core relative to the usual one.
 	CPUShare  float64 `yaml:"cpu_share"`
 	CoreSpeed float64 `yaml:"core_speed"`
-	// LinkMbps is what the host's link carries each way, in Mbit/s; 0: not known.
+	// LinkMbps is the bandwidth of the host's link in each direction, in Mbit/s; 0 means
+	// unknown.
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
-// CPUMilli returns the processor that the node may use, in thousandths of a core.
+// CPUMilli returns the CPU that the node may use, in thousandths of a usual core.
 func (l Limits) CPUMilli() int64 { return int64(l.CPUShare * l.CoreSpeed * 1000) }
 
 // Bounds are the platform's time limits, in milliseconds.
@@ -79,7 +84,7 @@
 	FinishedRetentionMS int64 `yaml:"keep_state_ms"`
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
@@ -104,11 +109,11 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// WorkerOrdersInvocation is the way of giving orders to workers that is built: each order is a call
-// of the worker.
+// WorkerOrdersInvocation is the value of Settings.WorkerOrders with which each order is
+// a call of the worker.
 const WorkerOrdersInvocation = "invocation"
 
-// The values of settings that were left out.
+// The defaults of settings that are not given.
 const (
 	defaultMaxLease          = 10 * time.Second
 	defaultStopTime          = time.Second
@@ -117,16 +122,16 @@
 	defaultMemoryMB          = 128
 )
 
-// OwnerMilliCPUPerWorker is what a busy worker uses of the processor of the host that owns its shard,
-// in thousandths of a core, while other nodes make its calls: 0.17 core for 280 workers
-// with 310 starts a second, the mean of a day.
+// OwnerMilliCPUPerWorker is the CPU that the owner of a shard uses for each busy worker
+// while other nodes make the calls, in thousandths of a core: 0.17 core for 280 workers
+// with 310 starts a second, averaged over a day.
 const OwnerMilliCPUPerWorker = 0.6
 
-// MaxWorkersPerShard bounds a shard by the row in which its workers are listed for the
-// next owner: 64 KB, at some 40 bytes each.
+// MaxWorkersPerShard is how many workers fit into the row that lists them for the next
+// owner of the shard: it holds 64 KB, and a worker takes about 40 bytes.
 const MaxWorkersPerShard = 1500
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -135,7 +140,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks settings; file names them in errors.
+// Parse reads and validates settings; errors name them by file.
 func Parse(file string, data []byte) (Settings, error) {
 	var s Settings
 	if err := yamlx.Decode(file, data, &s); err != nil {
@@ -189,7 +194,7 @@
 		}
 	}
 	if s.WorkerOrders != WorkerOrdersInvocation {
-		// A node that ran would accept jobs of which it could start nothing.
+		// The node would accept jobs whose tasks it could not start.
 		return newInvalid("worker_orders", "only "+WorkerOrdersInvocation+" is built, not "+s.WorkerOrders)
 	}
 	if s.Limits.CPUShare < 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestErrorsNameTheField checks that each wrong value is told by its field.
+// TestErrorsNameTheField checks that the error for an invalid value names its field.
 func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ text, field string }{
 		{strings.Replace(validSettings, "node: n1", "", 1), "node"},
