--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// TableShards is the table with a row for each shard.
+	// TableShards is the table that has a row for each shard.
 	TableShards = "shards"
-	// TableRevision holds one row that is written with every change of a shard's
-	// owner, so that nodes read the shards only after a change.
+	// TableRevision has a single row that is written with every change of a shard's
+	// owner, so that nodes read TableShards only after a change.
 	TableRevision = "shard-revision"
 	revisionKey   = "revision"
-	// handOverPolls is how many polls a shard's preferred owner must stay the same
-	// before its owner hands it over.
+	// handOverPolls is for how many polls in a row another node must be preferred before
+	// the owner hands a shard over.
 	handOverPolls = 3
 )
 
-// Row is the row of a shard.
+// Row is the value of a shard's row in TableShards.
 type Row struct {
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
 	PeerAddress string `json:"peer_address"`
 	Epoch       int64  `json:"epoch"`
-	// Change names the write, to settle a lost reply.
+	// Change identifies the write, to tell whether it took effect if its reply is lost.
 	Change string `json:"change"`
 }
 
 // Grant is the ownership of a shard under one epoch.
 type Grant struct {
-	// Owner is the id of this node.
+	// Owner is the ID of this node.
 	Owner string
 	Key   Key
 	Epoch int64
-	// Version is the version of the shard's row, the condition of every write
-	// that only the owner may make.
+	// Version is the version of the shard's row. Every write that only the owner may make
+	// has it as a condition.
 	Version int64
 	// Held reports whether the ownership is certain now.
 	Held func() bool
-	// LapsedFor is how long the node has been without its lease.
+	// LapsedFor returns how long ago the node's lease expired; 0 while it is held.
 	LapsedFor func() time.Duration
 }
 
-// Handler is told of the shards of one kind.
+// Handler does the work of the shards of one kind.
 type Handler interface {
-	// Acquire takes up a shard; it is called again until it succeeds.
+	// Acquire loads a shard that the node has taken; it is retried until it succeeds.
 	Acquire(ctx context.Context, g Grant) error
-	// Release ends the work on a shard, waiting for what is in flight.
+	// Release ends the work on a shard that is handed over, after the calls in flight.
 	Release(ctx context.Context, key Key)
-	// Drop forgets a shard whose ownership is lost.
+	// Drop discards a shard that the node does not own any more.
 	Drop(key Key)
 }
 
@@ -69,20 +69,20 @@
 type Options struct {
 	// PollInterval is the time between reads of the shards.
 	PollInterval time.Duration
-	// ReleaseTimeout bounds the wait for what is in flight when a shard is handed over.
+	// ReleaseTimeout bounds Handler.Release.
 	ReleaseTimeout time.Duration
-	// NoEpochs switches the raising of epochs off, to show that tests see it.
+	// NoEpochs does not raise epochs. It is a fault for tests, which must detect it.
 	NoEpochs bool
 }
 
-// ErrorKind tells apart the errors of this package.
+// ErrorKind classifies the errors of this package.
 type ErrorKind string
 
 // The kinds of error.
 const (
-	// ErrorStore is a call of the table service that failed.
+	// ErrorStore means that a call of the table service failed.
 	ErrorStore ErrorKind = "store"
-	// ErrorConflict is a write that lost against another node's.
+	// ErrorConflict means that another node changed the row first.
 	ErrorConflict ErrorKind = "conflict"
 )
 
@@ -99,7 +99,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Manager takes, keeps and hands over shards for one node.
+// Manager takes the shards that one node should own, and hands them over.
 type Manager struct {
 	table    lease.Table
 	lease    *lease.Lease
@@ -110,8 +110,9 @@
 	wake     chan struct{}
 
 	mu sync.Mutex
-	// backgroundCount counts what runs in the background; idle is told of each end. A WaitGroup
-	// will not do: ReleaseAll waits while Run may begin something new.
+	// backgroundCount is the number of background functions that run; backgroundDone is
+	// signalled when one ends. A WaitGroup does not allow what happens here: that
+	// ReleaseAll waits while Run starts another one.
 	backgroundCount int
 	backgroundDone  *sync.Cond
 	revision        int64
@@ -121,11 +122,13 @@
 	onOwnerChange   func(Key)
 }
 
+// versionedRow is a shard's row and its version in the table.
 type versionedRow struct {
 	row     Row
 	version int64
 }
 
+// ownedShard is a shard whose row names this node as the owner.
 type ownedShard struct {
 	epoch   int64
 	version int64
@@ -133,11 +136,12 @@
 	confirmedGeneration int64
 	loaded              bool
 	releasing           bool
-	misplacedPolls      int
-	cancel              context.CancelFunc
+	// misplacedPolls counts the polls in a row in which another node was preferred.
+	misplacedPolls int
+	cancel         context.CancelFunc
 }
 
-// New returns a manager that owns nothing yet.
+// New returns a manager that owns no shard yet.
 func New(table lease.Table, l *lease.Lease, keys []Key, handlers map[Kind]Handler, opts Options, log *zap.Logger) *Manager {
 	m := &Manager{
 		table:         table,
@@ -155,10 +159,11 @@
 	return m
 }
 
-// OnOwnerChange sets the function that is told of a shard whose owner has changed.
+// OnOwnerChange sets the function that is called with a shard whose owner has changed,
+// or that this node has loaded.
 func (m *Manager) OnOwnerChange(fn func(Key)) { m.onOwnerChange = fn }
 
-// Run keeps the node's shards until ctx ends.
+// Run takes, checks and hands over shards until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	t := time.NewTicker(m.opts.PollInterval)
 	defer t.Stop()
@@ -182,7 +187,7 @@
 	}
 }
 
-// Owner returns the row of a shard as last read.
+// Owner returns the row of a shard as last read, and whether it has an owner.
 func (m *Manager) Owner(key Key) (Row, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,7 +195,7 @@
 	return e.row, ok && e.row.Owner != ""
 }
 
-// Owns reports whether this node certainly owns a shard and has loaded it.
+// Owns reports whether this node certainly owns a shard now and has loaded it.
 func (m *Manager) Owns(key Key) bool {
 	m.mu.Lock()
 	o, ok := m.owned[key]
@@ -216,7 +221,7 @@
 	return n
 }
 
-// Unowned returns how many shards have no loaded owner as far as this node knows.
+// Unowned returns how many shards have no owner, as far as this node knows.
 func (m *Manager) Unowned() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -251,7 +256,7 @@
 	m.waitBackground()
 }
 
-// background runs fn, and is waited for by wait.
+// background runs fn in a goroutine that waitBackground waits for.
 func (m *Manager) background(fn func()) {
 	m.mu.Lock()
 	m.backgroundCount++
@@ -267,7 +272,7 @@
 	}()
 }
 
-// waitBackground returns once nothing runs in the background.
+// waitBackground waits until no background function runs.
 func (m *Manager) waitBackground() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -276,7 +281,8 @@
 	}
 }
 
-// held reports whether the ownership of key under epoch is certain now.
+// held reports whether this node certainly owns key under epoch now: it holds its lease,
+// and has read the shard's row since it last acquired the lease.
 func (m *Manager) held(key Key, epoch int64) bool {
 	generation, held := m.lease.Generation()
 	if !held {
@@ -288,6 +294,8 @@
 	return ok && o.epoch == epoch && o.confirmedGeneration == generation
 }
 
+// poll reads the shards, drops those that were lost, and takes or hands over shards
+// according to the preferred owners.
 func (m *Manager) poll(ctx context.Context) {
 	generation, held := m.lease.Generation()
 	if err := m.refresh(ctx); err != nil {
@@ -312,7 +320,8 @@
 	}
 }
 
-// reconcileOwner takes key when this node should own it, and hands it over when another should.
+// reconcileOwner takes key if this node is its preferred owner, and hands it over if
+// another node has been preferred for handOverPolls polls.
 func (m *Manager) reconcileOwner(ctx context.Context, key Key, preferred, self lease.Node) {
 	m.mu.Lock()
 	e, o := m.rows[key], m.owned[key]
@@ -342,7 +351,8 @@
 	}
 }
 
-// canTake reports whether a shard may be taken, and under which condition.
+// canTake reports whether a shard may be taken, and the conditions of the write: the
+// shard has no owner, or the lease of its owner has expired and must not be renewed.
 func (m *Manager) canTake(e versionedRow) ([]platform.Condition, bool) {
 	if e.row.Owner == "" {
 		return nil, true
@@ -351,6 +361,8 @@
 	return guard, dead
 }
 
+// take makes this node the owner of a shard under a new epoch. It does nothing if the
+// node does not hold its lease.
 func (m *Manager) take(ctx context.Context, key Key, e versionedRow, guard []platform.Condition, self lease.Node) error {
 	row := Row{
 		Owner: self.ID, Incarnation: self.Incarnation, PeerAddress: self.PeerAddress, Epoch: e.row.Epoch + 1,
@@ -371,7 +383,7 @@
 	return nil
 }
 
-// startOwning records a shard as this node's and loads it.
+// startOwning records that this node owns a shard, and loads it in the background.
 func (m *Manager) startOwning(ctx context.Context, key Key, row Row, version, generation int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	o := &ownedShard{epoch: row.Epoch, version: version, confirmedGeneration: generation, cancel: cancel}
@@ -383,6 +395,8 @@
 	m.background(func() { m.load(ctx, key, o) })
 }
 
+// load lets the handler acquire a shard, and retries until it succeeds or the ownership
+// ends.
 func (m *Manager) load(ctx context.Context, key Key, o *ownedShard) {
 	g := Grant{
 		Owner: m.lease.Self().ID, Key: key, Epoch: o.epoch, Version: o.version,
@@ -412,6 +426,7 @@
 	m.onOwnerChange(key)
 }
 
+// release ends the work on a shard and clears the owner in its row.
 func (m *Manager) release(ctx context.Context, key Key) {
 	m.mu.Lock()
 	o, ok := m.owned[key]
@@ -441,7 +456,8 @@
 	m.log.Info("shard released", events.ShardReleased, zap.String("shard", string(key)), zap.Int64("epoch", o.epoch))
 }
 
-// write changes a shard's row under its version; a lost reply is settled by reading it back.
+// write changes a shard's row if it still has version and guard holds, and returns the
+// new version. If the reply is lost, the next poll reads whether the write took effect.
 func (m *Manager) write(ctx context.Context, key Key, row Row, version int64, guard []platform.Condition) (int64, error) {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -456,24 +472,25 @@
 	}
 	res, err := m.table.Commit(ctx, txn)
 	if err != nil {
-		// The write may have taken effect, or may yet: the next poll reads it.
+		// The write may have taken effect or may still do so; the next poll reads the rows.
 		m.invalidateRows()
 		return 0, &Error{"write", ErrorStore, err}
 	}
 	if !res.Committed {
 		m.invalidateRows()
-		return 0, &Error{"write", ErrorConflict, errors.Errorf("shard %s has moved", key)}
+		return 0, &Error{"write", ErrorConflict, errors.Errorf("another node has changed the row of shard %s", key)}
 	}
 	return res.Versions[0], nil
 }
 
+// invalidateRows makes the next poll read the shards even if their revision is unchanged.
 func (m *Manager) invalidateRows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rowsCurrent = false
 }
 
-// refresh reads the shards when their revision has changed.
+// refresh reads the shards if their revision has changed.
 func (m *Manager) refresh(ctx context.Context) error {
 	rev, err := m.table.Get(ctx, TableRevision, revisionKey)
 	if err != nil {
@@ -501,7 +518,9 @@
 	return nil
 }
 
-// updateRows replaces the rows as known by those just read, and tells of changes.
+// updateRows replaces the known rows by those just read, calls onOwnerChange for those
+// with a new owner, and releases shards whose row names this node although it has not
+// recorded their ownership.
 func (m *Manager) updateRows(ctx context.Context, revision int64, read map[Key]versionedRow) {
 	self := m.lease.Self()
 	var changed []Key
@@ -530,8 +549,8 @@
 	}
 }
 
-// releaseUnloaded gives a shard back to the table that this node's write took although
-// its reply was lost; it is then taken again under a new epoch.
+// releaseUnloaded clears the owner of a shard that this node took with a write whose
+// reply was lost. The shard is then taken again under a new epoch.
 func (m *Manager) releaseUnloaded(ctx context.Context, key Key, e versionedRow, self lease.Node) {
 	row := Row{Epoch: e.row.Epoch, Change: fmt.Sprintf("%s/%d/reclaimed", self.Incarnation, e.row.Epoch)}
 	if _, err := m.write(ctx, key, row, e.version, nil); err != nil {
@@ -540,7 +559,8 @@
 	m.invalidateRows()
 }
 
-// confirmOwned checks the owned shards against the rows read under generation.
+// confirmOwned confirms the owned shards whose row is unchanged for a lease generation,
+// and drops the others.
 func (m *Manager) confirmOwned(generation int64) {
 	m.mu.Lock()
 	var lost []Key
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -3,11 +3,11 @@
 // Package shard divides the cell's work into shards and gives each shard one
 // owner at a time.
 //
-// A shard has a row in the platform's table that names its owner and its epoch.
-// A node takes a shard by a conditional write that raises the epoch, and only
-// when the shard has no owner or its owner's lease has certainly lapsed. The
-// preferred owner is found by rendezvous hashing over the live nodes, those of
-// the shard's data centre first.
+// A shard has a row in the platform's table that holds its owner and its epoch. A node
+// takes a shard with a conditional write that raises the epoch, and only if the shard
+// has no owner or the lease of its owner has certainly expired. The preferred owner is
+// chosen by rendezvous hashing over the live nodes; nodes in the shard's data centre
+// take precedence.
 //
 // # Usage
 //
@@ -25,21 +25,22 @@
 	"switchbank.example/switchbank/internal/lease"
 )
 
-// Kind is what a shard holds.
+// Kind is the kind of a shard.
 type Kind string
 
 // The kinds of shard.
 const (
-	// KindJob is a part of the key space of jobs and request keys.
+	// KindJob shards hold jobs and request keys, divided by the hash of their names.
 	KindJob Kind = "job"
-	// KindWorker is a part of a data centre's workers, by rack.
+	// KindWorker shards hold the workers of a data centre, divided by rack.
 	KindWorker Kind = "worker"
 )
 
-// Key names a shard: its kind, its data centre for worker shards, and a number.
+// Key identifies a shard by its kind, its data centre if it is a worker shard, and a
+// number, as in "job/007" or "worker/kosice-1/000".
 type Key string
 
-// Kind returns what the shard holds.
+// Kind returns the kind of the shard.
 func (k Key) Kind() Kind {
 	kind, _, _ := strings.Cut(string(k), "/")
 	return Kind(kind)
@@ -74,12 +75,12 @@
 	return keys
 }
 
-// JobKey returns the shard that holds the job or request key named id.
+// JobKey returns the key of the shard that holds the job or request key named id.
 func JobKey(id string, jobShards int) Key {
 	return jobKey(int(xxhash.Sum64String(id) % uint64(jobShards)))
 }
 
-// WorkerKey returns the shard that holds the workers of a rack.
+// WorkerKey returns the key of the shard that holds the workers of a rack.
 func WorkerKey(dc DataCentre, rack string) Key {
 	return workerKey(dc.Name, int(xxhash.Sum64String(rack)%uint64(dc.WorkerShards)))
 }
@@ -88,8 +89,8 @@
 
 func workerKey(dc string, i int) Key { return Key(fmt.Sprintf("%s/%s/%03d", KindWorker, dc, i)) }
 
-// PreferredOwner returns the node that should own key, by rendezvous hashing over
-// the nodes that do not drain; those of the shard's data centre go first.
+// PreferredOwner returns the node that should own key, by rendezvous hashing over the
+// nodes that are not draining. Nodes in the shard's data centre take precedence.
 func PreferredOwner(key Key, nodes []lease.Node) (lease.Node, bool) {
 	var best lease.Node
 	var bestScore uint64
