--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -231,18 +231,18 @@
 }
 
 // evidence returns what all workers saw.
-func (c *cell) evidence() []worker.Sight {
+func (c *cell) evidence() []worker.Event {
 	c.t.Helper()
-	var all []worker.Sight
+	var all []worker.Event
 	for _, w := range c.workers {
 		if w.dead {
 			continue
 		}
-		reply, err := httpx.Call[httpx.None, worker.EvidenceReply](c.ctx, http.DefaultClient, "http://"+w.address+"/standin/v1/evidence", httpx.None{})
+		reply, err := httpx.Call[httpx.None, worker.EventsReply](c.ctx, http.DefaultClient, "http://"+w.address+"/standin/v1/evidence", httpx.None{})
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		all = append(all, reply.Sights...)
+		all = append(all, reply.Events...)
 	}
 	return all
 }
--- a/e2e/evidence_test.go
+++ b/e2e/evidence_test.go
@@ -28,15 +28,15 @@
 
 // judge reads the workers' evidence: starts and ends of all workers are on one
 // machine's clock. once names the jobs whose tasks must start at most once.
-func judge(sights []worker.Sight, once ...string) verdict {
-	slices.SortStableFunc(sights, func(a, b worker.Sight) int { return a.At.Compare(b.At) })
+func judge(sights []worker.Event, once ...string) verdict {
+	slices.SortStableFunc(sights, func(a, b worker.Event) int { return a.At.Compare(b.At) })
 	v := verdict{runs: make(map[string]int)}
 	running := make(map[taskName]int)
 	started := make(map[taskName]int)
 	for _, s := range sights {
 		name := taskName{s.Attempt.Job, s.Attempt.Task}
-		switch s.Saw {
-		case worker.SawStart:
+		switch s.Kind {
+		case worker.EventStart:
 			running[name]++
 			started[name]++
 			if running[name] > 1 {
@@ -45,13 +45,13 @@
 			if started[name] > 1 && slices.Contains(once, name.job) {
 				v.ranTwice++
 			}
-		case worker.SawDone, worker.SawFailed, worker.SawStopped, worker.SawLapsed:
+		case worker.EventDone, worker.EventFailed, worker.EventStopped, worker.EventLapsed:
 			running[name]--
-		case worker.SawOverload:
+		case worker.EventOverload:
 			v.overloads++
-		case worker.SawRequest:
+		case worker.EventRequest:
 			v.runs[s.Body]++
-		case worker.SawCheckpoint, worker.SawSlots, worker.SawThrottle, worker.SawOwner:
+		case worker.EventCheckpoint, worker.EventSlotsExceeded, worker.EventThrottle, worker.EventNewOwner:
 		}
 	}
 	return v
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -221,8 +221,8 @@
 		time.Sleep(time.Second)
 		starts := 0
 		for _, w := range h.fakes.workers {
-			for _, e := range w.Evidence() {
-				if e.Saw == standin.SawStart {
+			for _, e := range w.Events() {
+				if e.Kind == standin.EventStart {
 					starts++
 				}
 			}
@@ -293,14 +293,14 @@
 		if !h.fakes.hasEvent(peer.EventStarted, urgent.Attempt) {
 			t.Error("the urgent task has not started within a second")
 		}
-		var saw []standin.Saw
-		for _, e := range h.fakes.workers["w0"].Evidence() {
-			if e.Saw != standin.SawOwner {
-				saw = append(saw, e.Saw)
+		var saw []standin.EventKind
+		for _, e := range h.fakes.workers["w0"].Events() {
+			if e.Kind != standin.EventNewOwner {
+				saw = append(saw, e.Kind)
 			}
 		}
 		saw = saw[4:]
-		want := []standin.Saw{standin.SawCheckpoint, standin.SawStopped, standin.SawStart}
+		want := []standin.EventKind{standin.EventCheckpoint, standin.EventStopped, standin.EventStart}
 		if !slices.Equal(saw, want) {
 			t.Errorf("the worker saw %v, want %v", saw, want)
 		}
@@ -316,7 +316,7 @@
 		if got := h.reserve(false, newSpec("a", 1), newSpec("b", 1)); len(got) != 1 {
 			t.Errorf("%d tasks were placed beside it, want 1", len(got))
 		}
-		throttled := slices.ContainsFunc(h.fakes.workers["w0"].Evidence(), func(e standin.Sight) bool { return e.Saw == standin.SawThrottle })
+		throttled := slices.ContainsFunc(h.fakes.workers["w0"].Events(), func(e standin.Event) bool { return e.Kind == standin.EventThrottle })
 		if !throttled {
 			t.Error("the task was not throttled")
 		}
--- a/matrix/cell_test.go
+++ b/matrix/cell_test.go
@@ -71,7 +71,7 @@
 	// started are all nodes that were ever started, also those whose name was taken.
 	started []*cellNode
 	// sights of workers that were replaced.
-	past []standinworker.Sight
+	past []standinworker.Event
 }
 
 type cellNode struct {
@@ -225,7 +225,7 @@
 	c.mu.Lock()
 	if old := c.workers[id]; old != nil {
 		old.stop()
-		c.past = append(c.past, old.w.Evidence()...)
+		c.past = append(c.past, old.w.Events()...)
 	}
 	c.workers[id] = &cellWorker{host: h, w: w, stop: stop}
 	c.mu.Unlock()
@@ -255,12 +255,12 @@
 }
 
 // evidence returns what all workers saw.
-func (c *cell) evidence() []standinworker.Sight {
+func (c *cell) evidence() []standinworker.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := append([]standinworker.Sight(nil), c.past...)
+	all := append([]standinworker.Event(nil), c.past...)
 	for _, w := range c.workers {
-		all = append(all, w.w.Evidence()...)
+		all = append(all, w.w.Events()...)
 	}
 	return all
 }
--- a/matrix/verdict_test.go
+++ b/matrix/verdict_test.go
@@ -45,7 +45,7 @@
 		b = append(b, breach{promise, fmt.Sprintf(format, args...)})
 	}
 	sights := s.c.evidence()
-	slices.SortStableFunc(sights, func(x, y standinworker.Sight) int { return x.At.Compare(y.At) })
+	slices.SortStableFunc(sights, func(x, y standinworker.Event) int { return x.At.Compare(y.At) })
 	s.judgeTasks(sights, add)
 	judgeOwners(sights, add)
 	s.judgeKeys(sights, add)
@@ -62,12 +62,12 @@
 	task int
 }
 
-func (s *scenario) judgeTasks(sights []standinworker.Sight, add func(string, string, ...any)) {
+func (s *scenario) judgeTasks(sights []standinworker.Event, add func(string, string, ...any)) {
 	running, started := make(map[taskName]int), make(map[taskName]int)
 	for _, e := range sights {
 		name := taskName{e.Attempt.Job, e.Attempt.Task}
-		switch e.Saw {
-		case standinworker.SawStart:
+		switch e.Kind {
+		case standinworker.EventStart:
 			running[name]++
 			started[name]++
 			if running[name] > 1 {
@@ -80,29 +80,29 @@
 				add(promiseNotRun, "%s started %s after it was cancelled", e.Attempt, e.At.Sub(at))
 			}
 			s.judgeLeaving(e, add)
-		case standinworker.SawDone, standinworker.SawFailed, standinworker.SawStopped, standinworker.SawLapsed:
+		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLapsed:
 			running[name]--
-		case standinworker.SawOverload:
+		case standinworker.EventOverload:
 			add(promiseRoom, "worker %s was given %s beyond its room", e.Worker, e.Attempt)
-		case standinworker.SawRequest:
+		case standinworker.EventRequest:
 			s.judgeLeaving(e, add)
-		case standinworker.SawSlots:
+		case standinworker.EventSlotsExceeded:
 			add(promiseRoom, "instance %s was given a request beyond its slots", e.Attempt)
-		case standinworker.SawCheckpoint, standinworker.SawThrottle, standinworker.SawOwner:
+		case standinworker.EventCheckpoint, standinworker.EventThrottle, standinworker.EventNewOwner:
 		}
 	}
 }
 
 // judgeOwners holds what the workers saw against a model of ownership: each epoch
 // of a shard has one owner, and at one worker epochs only rise.
-func judgeOwners(sights []standinworker.Sight, add func(string, string, ...any)) {
+func judgeOwners(sights []standinworker.Event, add func(string, string, ...any)) {
 	type shardEpoch struct {
 		shard string
 		epoch int64
 	}
 	owners, highest := make(map[shardEpoch]string), make(map[string]int64)
 	for _, e := range sights {
-		if e.Saw != standinworker.SawOwner {
+		if e.Kind != standinworker.EventNewOwner {
 			continue
 		}
 		k := shardEpoch{e.Shard, e.Epoch}
@@ -119,10 +119,10 @@
 
 // judgeKeys holds the arrivals of each key against a model of it: it runs at most
 // once, and who was told that it is done was told so of a run.
-func (s *scenario) judgeKeys(sights []standinworker.Sight, add func(string, string, ...any)) {
+func (s *scenario) judgeKeys(sights []standinworker.Event, add func(string, string, ...any)) {
 	runs := make(map[string]int)
 	for _, e := range sights {
-		if e.Saw == standinworker.SawRequest {
+		if e.Kind == standinworker.EventRequest {
 			runs[e.Body]++
 		}
 	}
@@ -139,16 +139,16 @@
 	}
 }
 
-func (s *scenario) judgeLeaving(e standinworker.Sight, add func(string, string, ...any)) {
+func (s *scenario) judgeLeaving(e standinworker.Event, add func(string, string, ...any)) {
 	if at, ok := s.leaving[e.Worker]; ok && e.At.Sub(at) > leavingWithin {
-		add(promiseLeaving, "worker %s got a %s %s after it began to leave", e.Worker, e.Saw, e.At.Sub(at))
+		add(promiseLeaving, "worker %s got a %s %s after it began to leave", e.Worker, e.Kind, e.At.Sub(at))
 	}
 }
 
-func (s *scenario) judgeCalls(sights []standinworker.Sight, cutsAnswers bool, add func(string, string, ...any)) {
+func (s *scenario) judgeCalls(sights []standinworker.Event, cutsAnswers bool, add func(string, string, ...any)) {
 	runs := make(map[string]int)
 	for _, e := range sights {
-		if e.Saw == standinworker.SawRequest {
+		if e.Kind == standinworker.EventRequest {
 			runs[e.Body]++
 		}
 	}
--- a/standin/worker/instance.go
+++ b/standin/worker/instance.go
@@ -63,7 +63,7 @@
 	w.Header().Set(HeaderRequestID, id)
 	if i.busy.Add(1) > int64(i.spec.Slots) {
 		i.busy.Add(-1)
-		i.w.evidence.add(i.w.cfg.ID, SawSlots, i.spec.Attempt)
+		i.w.events.add(i.w.cfg.ID, EventSlotsExceeded, i.spec.Attempt)
 		w.Header().Set(HeaderNotRun, "slots")
 		http.Error(w, "no slot is free", http.StatusServiceUnavailable)
 		return
@@ -79,7 +79,7 @@
 		http.Error(w, "the task's lease has lapsed", http.StatusServiceUnavailable)
 		return
 	}
-	i.w.evidence.append(Sight{Worker: i.w.cfg.ID, Saw: SawRequest, Attempt: i.spec.Attempt, Request: id, Body: string(body), At: time.Now()})
+	i.w.events.append(Event{Worker: i.w.cfg.ID, Kind: EventRequest, Attempt: i.spec.Attempt, Request: id, Body: string(body), At: time.Now()})
 	if d, ok := sleepOf(string(body)); ok {
 		select {
 		case <-time.After(d):
@@ -110,9 +110,9 @@
 	Leaving bool `json:"leaving"`
 }
 
-// EvidenceReply is the answer to a read of the evidence.
-type EvidenceReply struct {
-	Sights []Sight `json:"sights"`
+// EventsReply is the answer to a read of the evidence.
+type EventsReply struct {
+	Events []Event `json:"sights"`
 }
 
 // Handler returns the HTTP side of the stand-in.
@@ -120,7 +120,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("POST /worker/v1/contact", httpx.Handle(maxRequestBytes, w.Contact))
 	mux.HandleFunc("GET /standin/v1/evidence", func(rw http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(rw).Encode(EvidenceReply{Sights: w.Evidence()})
+		_ = json.NewEncoder(rw).Encode(EventsReply{Events: w.Events()})
 	})
 	mux.Handle("POST /standin/v1/switches", httpx.Handle(maxRequestBytes, func(_ context.Context, s Switches) (httpx.None, error) {
 		w.SetLeaving(s.Leaving)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -47,7 +47,7 @@
 	cfg         Config
 	incarnation string
 	born        time.Time
-	evidence    Evidence
+	events      EventLog
 
 	mu      sync.Mutex
 	epoch   int64
@@ -154,7 +154,7 @@
 		return worker.Report{Worker: w.cfg.ID, Incarnation: w.incarnation, Epoch: w.epoch, Refused: worker.RefusedStaleEpoch}
 	}
 	if c.Owner != "" && (c.Epoch != w.epoch || c.Owner != w.owner) {
-		w.evidence.append(Sight{Worker: w.cfg.ID, Saw: SawOwner, Shard: c.Shard, Owner: c.Owner, Epoch: c.Epoch, At: time.Now()})
+		w.events.append(Event{Worker: w.cfg.ID, Kind: EventNewOwner, Shard: c.Shard, Owner: c.Owner, Epoch: c.Epoch, At: time.Now()})
 		w.owner = c.Owner
 	}
 	w.epoch = max(w.epoch, c.Epoch)
@@ -162,10 +162,10 @@
 		delete(w.ended, a)
 	}
 	for _, a := range c.Checkpoint {
-		w.evidence.add(w.cfg.ID, SawCheckpoint, a)
+		w.events.add(w.cfg.ID, EventCheckpoint, a)
 	}
 	for _, a := range c.Throttle {
-		w.evidence.add(w.cfg.ID, SawThrottle, a)
+		w.events.add(w.cfg.ID, EventThrottle, a)
 	}
 	for _, a := range c.Stop {
 		w.stopLocked(a)
@@ -244,7 +244,7 @@
 	}
 	w.tasks[a] = t
 	w.dead[a] = true
-	w.evidence.add(w.cfg.ID, SawStart, a)
+	w.events.add(w.cfg.ID, EventStart, a)
 	t.lease = time.AfterFunc(time.Until(t.expires), func() { w.lapse(a) })
 	w.runLocked(t)
 	return worker.Started{Attempt: a, Address: t.address}
@@ -265,7 +265,7 @@
 		used = used.Add(t.spec.Size)
 	}
 	if !w.cfg.Capacity.Fits(used) {
-		w.evidence.add(w.cfg.ID, SawOverload, spec.Attempt)
+		w.events.add(w.cfg.ID, EventOverload, spec.Attempt)
 		return worker.RefusedNoRoom
 	}
 	return ""
@@ -345,7 +345,7 @@
 	w.seq++
 	close(w.changed)
 	w.changed = make(chan struct{})
-	w.evidence.append(Sight{Worker: w.cfg.ID, Saw: sawEnd(result), Attempt: a, At: at})
+	w.events.append(Event{Worker: w.cfg.ID, Kind: sawEnd(result), Attempt: a, At: at})
 }
 
 // leased reports whether a task runs and its lease has not lapsed, which is
@@ -364,8 +364,8 @@
 	return len(w.tasks)
 }
 
-// Evidence returns what the worker saw so far.
-func (w *Worker) Evidence() []Sight { return w.evidence.all() }
+// Events returns what the worker saw so far.
+func (w *Worker) Events() []Event { return w.events.all() }
 
 // Serve answers contacts on l until ctx ends.
 func (w *Worker) Serve(ctx context.Context, l net.Listener) error {
