--- a/standin/local/example.go
+++ b/standin/local/example.go
@@ -107,13 +107,13 @@
 			return err
 		}
 		clients[i] = c
-		say(out, "submitted %s: %s, %d tasks, team %s", name, st.Workload.Kind, st.Workload.Tasks, st.Workload.Team)
+		writeLine(out, "submitted %s: %s, %d tasks, team %s", name, st.Workload.Kind, st.Workload.Tasks, st.Workload.Team)
 	}
 	st, err := clients[0].Wait(ctx, names[0], func(s api.Status) bool { return s.Counts.Running == s.Workload.Tasks })
 	if err != nil {
 		return err
 	}
-	if err := show(ctx, clients, names, out); err != nil {
+	if err := writeStatus(ctx, clients, names, out); err != nil {
 		return err
 	}
 	if err := sendRequests(ctx, clients[0], st.Workload.Service, out); err != nil {
@@ -124,24 +124,24 @@
 			return err
 		}
 	}
-	return show(ctx, clients, names, out)
+	return writeStatus(ctx, clients, names, out)
 }
 
 // show writes where the tasks are and why others wait.
-func show(ctx context.Context, clients []*client.Client, names []string, out io.Writer) error {
+func writeStatus(ctx context.Context, clients []*client.Client, names []string, out io.Writer) error {
 	for i, name := range names {
 		st, err := clients[i].Get(ctx, name, 0, true)
 		if err != nil {
 			return err
 		}
 		c := st.Counts
-		say(out, "%-14s %-8s waiting %d, placed %d, running %d, done %d", name, st.State, c.Waiting, c.Placed, c.Running, c.Done)
+		writeLine(out, "%-14s %-8s waiting %d, placed %d, running %d, done %d", name, st.State, c.Waiting, c.Placed, c.Running, c.Done)
 		if st.Waits != "" {
-			say(out, "    waits: %s", st.Waits)
+			writeLine(out, "    waits: %s", st.Waits)
 		}
 		for _, t := range st.Tasks {
 			if t.State.Active() {
-				say(out, "    task %d attempt %d %s on %s", t.Task, t.Attempt, t.State, t.Worker)
+				writeLine(out, "    task %d attempt %d %s on %s", t.Task, t.Attempt, t.State, t.Worker)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	say(out, "%d requests answered; the last: %s", n, answers[n-1].Body)
+	writeLine(out, "%d requests answered; the last: %s", n, answers[n-1].Body)
 	keyed := client.Request{
 		Service: service, Body: []byte("bill household 7"), Timeout: 5 * time.Second, Key: "bill-7-2026-12", KeyCreated: time.Now(),
 	}
@@ -175,10 +175,10 @@
 	if err != nil {
 		return err
 	}
-	say(out, "a request with a key, sent twice, ran once: %t", string(first.Body) == string(second.Body))
+	writeLine(out, "a request with a key, sent twice, ran once: %t", string(first.Body) == string(second.Body))
 	return nil
 }
 
-func say(out io.Writer, format string, args ...any) {
+func writeLine(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", args...)
 }
--- a/standin/local/run.go
+++ b/standin/local/run.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	loopback       = "127.0.0.1:0"
-	cellWorkers    = 8
-	workersPerRack = 4
-	readHeader     = 5 * time.Second
-	exampleTimeout = 2 * time.Minute
-	readyPoll      = 50 * time.Millisecond
+	loopback          = "127.0.0.1:0"
+	workerCount       = 8
+	workersPerRack    = 4
+	readHeaderTimeout = 5 * time.Second
+	exampleTimeout    = 2 * time.Minute
+	pollInterval      = 50 * time.Millisecond
 )
 
 // Listening is the line that a stand-in prints once it listens.
@@ -43,7 +43,7 @@
 
 // RunPlatform serves a stand-in platform until ctx ends.
 func RunPlatform(ctx context.Context, address string, out io.Writer) error {
-	l, err := listen(ctx, address, out)
+	l, err := listenAndAnnounce(ctx, address, out)
 	if err != nil {
 		return err
 	}
@@ -66,17 +66,17 @@
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	for i := range count {
-		one := opts
-		one.Host.ID = fmt.Sprintf("%s-%d", opts.Host.ID, i)
-		one.Host.Rack = fmt.Sprintf("%s-%d", opts.Host.Rack, i/perRack)
-		g.Go(func() error { return RunWorker(ctx, address, one, io.Discard) })
+		workerOpts := opts
+		workerOpts.Host.ID = fmt.Sprintf("%s-%d", opts.Host.ID, i)
+		workerOpts.Host.Rack = fmt.Sprintf("%s-%d", opts.Host.Rack, i/perRack)
+		g.Go(func() error { return RunWorker(ctx, address, workerOpts, io.Discard) })
 	}
 	return g.Wait()
 }
 
 // RunWorker serves a stand-in worker until ctx ends.
 func RunWorker(ctx context.Context, address string, opts WorkerOptions, out io.Writer) error {
-	l, err := listen(ctx, address, out)
+	l, err := listenAndAnnounce(ctx, address, out)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	c := &http.Client{Timeout: readHeader}
+	c := &http.Client{Timeout: readHeaderTimeout}
 	resp, err := c.Do(req)
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	return resp.Body.Close()
 }
 
-func listen(ctx context.Context, address string, out io.Writer) (net.Listener, error) {
+func listenAndAnnounce(ctx context.Context, address string, out io.Writer) (net.Listener, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -122,7 +122,7 @@
 }
 
 func serveUntil(ctx context.Context, l net.Listener, h http.Handler) error {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeader}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); err != http.ErrServerClosed {
@@ -144,11 +144,11 @@
 		return err
 	}
 	p := standin.New()
-	cell, stop := context.WithCancel(ctx)
+	cellCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var g errgroup.Group
-	for i := range cellWorkers {
-		if err := startWorker(cell, &g, p, i); err != nil {
+	for i := range workerCount {
+		if err := startWorker(cellCtx, &g, p, i); err != nil {
 			return err
 		}
 	}
@@ -156,14 +156,14 @@
 	if err != nil {
 		return err
 	}
-	g.Go(func() error { return n.Run(cell) })
+	g.Go(func() error { return n.Run(cellCtx) })
 	connect := func(team string) *client.Client {
 		return client.New(client.Config{Callers: callers, Operators: operators, Team: team})
 	}
-	err = runOn(ctx, reviewer, connect, out)
+	err = acceptAndRun(ctx, reviewer, connect, out)
 	stop()
-	if werr := g.Wait(); err == nil {
-		err = werr
+	if runErr := g.Wait(); err == nil {
+		err = runErr
 	}
 	return err
 }
@@ -215,7 +215,7 @@
 }
 
 // runOn waits for the node, puts the bundle in force and runs the example.
-func runOn(ctx context.Context, r Reviewer, connect func(team string) *client.Client, out io.Writer) error {
+func acceptAndRun(ctx context.Context, r Reviewer, connect func(team string) *client.Client, out io.Writer) error {
 	op := connect("")
 	if err := WaitReady(ctx, op); err != nil {
 		return err
@@ -224,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	say(out, "bundle version %d is accepted: %s", head.Version, head.Digest)
+	writeLine(out, "bundle version %d is accepted: %s", head.Version, head.Digest)
 	if err := WaitInForce(ctx, op, head.Version); err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 }
 
 func poll(ctx context.Context, fn func() bool) error {
-	t := time.NewTicker(readyPoll)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for !fn() {
 		select {
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -13,37 +13,37 @@
 	"switchbank.example/switchbank/internal/platform"
 )
 
-const maxBody = 64 << 20
+const maxBodyBytes = 64 << 20
 
 // Handler returns the HTTP side of the stand-in, with its fault switches under /standin/.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/table/commit", httpx.Handle(maxBody, p.Commit))
+	mux.Handle("POST /v1/table/commit", httpx.Handle(maxBodyBytes, p.Commit))
 	mux.HandleFunc("GET /v1/table/row", p.serveGet)
 	mux.HandleFunc("GET /v1/table/rows", p.serveList)
 	mux.HandleFunc("GET /v1/hosts", p.serveHosts)
 	mux.HandleFunc("GET /v1/objects/{key}", p.serveGetObject)
 	mux.HandleFunc("PUT /v1/objects/{key}", p.servePutObject)
 	mux.HandleFunc("DELETE /v1/objects/{key}", p.serveDeleteObject)
-	mux.Handle("POST /standin/v1/faults", httpx.Handle(maxBody, p.serveFaults))
-	mux.Handle("POST /standin/v1/hosts", httpx.Handle(maxBody, p.serveSetHost))
-	mux.Handle("GET /standin/v1/counts", httpx.Handle(maxBody, p.serveCounts))
+	mux.Handle("POST /standin/v1/faults", httpx.Handle(maxBodyBytes, p.serveFaults))
+	mux.Handle("POST /standin/v1/hosts", httpx.Handle(maxBodyBytes, p.serveSetHost))
+	mux.Handle("GET /standin/v1/counts", httpx.Handle(maxBodyBytes, p.serveCounts))
 	return mux
 }
 
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	row, err := p.Get(r.Context(), r.FormValue("table"), r.FormValue("key"))
-	reply(w, row, err)
+	writeReply(w, row, err)
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	rows, err := p.List(r.Context(), r.FormValue("table"), r.FormValue("prefix"))
-	reply(w, platform.Rows{Rows: rows}, err)
+	writeReply(w, platform.Rows{Rows: rows}, err)
 }
 
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
 	hosts, err := p.Hosts(r.Context(), r.FormValue("data_centre"))
-	reply(w, platform.Hosts{Hosts: hosts}, err)
+	writeReply(w, platform.Hosts{Hosts: hosts}, err)
 }
 
 func (p *Platform) serveGetObject(w http.ResponseWriter, r *http.Request) {
@@ -61,15 +61,15 @@
 }
 
 func (p *Platform) servePutObject(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = p.PutObject(r.Context(), r.PathValue("key"), data)
 	}
-	reply(w, httpx.None{}, err)
+	writeReply(w, httpx.None{}, err)
 }
 
 func (p *Platform) serveDeleteObject(w http.ResponseWriter, r *http.Request) {
-	reply(w, httpx.None{}, p.DeleteObject(r.Context(), r.PathValue("key")))
+	writeReply(w, httpx.None{}, p.DeleteObject(r.Context(), r.PathValue("key")))
 }
 
 func (p *Platform) serveFaults(_ context.Context, f Faults) (httpx.None, error) {
@@ -86,7 +86,7 @@
 	return p.Counts(), nil
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeReply(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		httpx.WriteError(w, err)
 		return
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -101,7 +101,7 @@
 
 // Commit carries out a transaction.
 func (p *Platform) Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error) {
-	if err := p.wait(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return platform.TxnResult{}, err
 	}
 	p.mu.Lock()
@@ -154,7 +154,7 @@
 
 // Get returns a row; one that is not there has version 0.
 func (p *Platform) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	if err := p.wait(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return platform.Row{}, err
 	}
 	p.mu.Lock()
@@ -165,7 +165,7 @@
 
 // List returns the rows of a table whose key starts with prefix, in key order.
 func (p *Platform) List(ctx context.Context, table, prefix string) ([]platform.Row, error) {
-	if err := p.wait(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -183,7 +183,7 @@
 
 // Hosts returns the hosts of a data centre.
 func (p *Platform) Hosts(ctx context.Context, dataCentre string) ([]platform.Host, error) {
-	if err := p.wait(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -201,7 +201,7 @@
 
 // PutObject stores an object.
 func (p *Platform) PutObject(ctx context.Context, key string, data []byte) error {
-	if err := p.waitObject(ctx); err != nil {
+	if err := p.applyObjectFaults(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
@@ -212,7 +212,7 @@
 
 // GetObject returns an object.
 func (p *Platform) GetObject(ctx context.Context, key string) ([]byte, error) {
-	if err := p.waitObject(ctx); err != nil {
+	if err := p.applyObjectFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -226,7 +226,7 @@
 
 // DeleteObject removes an object.
 func (p *Platform) DeleteObject(ctx context.Context, key string) error {
-	if err := p.waitObject(ctx); err != nil {
+	if err := p.applyObjectFaults(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (p *Platform) wait(ctx context.Context) error {
+func (p *Platform) applyFaults(ctx context.Context) error {
 	p.mu.Lock()
 	f := p.faults
 	p.mu.Unlock()
@@ -252,8 +252,8 @@
 	return ctx.Err()
 }
 
-func (p *Platform) waitObject(ctx context.Context) error {
-	if err := p.wait(ctx); err != nil {
+func (p *Platform) applyObjectFaults(ctx context.Context) error {
+	if err := p.applyFaults(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
--- a/standin/worker/events.go
+++ b/standin/worker/events.go
@@ -52,8 +52,8 @@
 	events []Event
 }
 
-func (e *EventLog) add(id string, saw EventKind, a worker.Attempt) {
-	e.append(Event{Worker: id, Kind: saw, Attempt: a, At: time.Now()})
+func (e *EventLog) record(id string, kind EventKind, a worker.Attempt) {
+	e.append(Event{Worker: id, Kind: kind, Attempt: a, At: time.Now()})
 }
 
 func (e *EventLog) append(s Event) {
@@ -68,7 +68,7 @@
 	return slices.Clone(e.events)
 }
 
-func sawEnd(r worker.Result) EventKind {
+func endEventKind(r worker.Result) EventKind {
 	switch r {
 	case worker.ResultDone:
 		return EventDone
--- a/standin/worker/instance.go
+++ b/standin/worker/instance.go
@@ -34,12 +34,12 @@
 
 // instance answers the requests of one service task.
 type instance struct {
-	w    *Worker
-	spec worker.Spec
-	l    net.Listener
-	srv  *http.Server
-	busy atomic.Int64
-	last atomic.Pointer[Answer]
+	parent   *Worker
+	spec     worker.Spec
+	listener net.Listener
+	srv      *http.Server
+	busy     atomic.Int64
+	previous atomic.Pointer[Answer]
 }
 
 func newInstance(w *Worker, spec worker.Spec) (*instance, error) {
@@ -47,13 +47,13 @@
 	if err != nil {
 		return nil, err
 	}
-	i := &instance{w: w, spec: spec, l: l}
+	i := &instance{parent: w, spec: spec, listener: l}
 	i.srv = &http.Server{Handler: i, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = i.srv.Serve(l) }()
 	return i, nil
 }
 
-func (i *instance) address() string { return i.l.Addr().String() }
+func (i *instance) address() string { return i.listener.Addr().String() }
 
 func (i *instance) close() { _ = i.srv.Close() }
 
@@ -63,7 +63,7 @@
 	w.Header().Set(HeaderRequestID, id)
 	if i.busy.Add(1) > int64(i.spec.Slots) {
 		i.busy.Add(-1)
-		i.w.events.add(i.w.cfg.ID, EventSlotsExceeded, i.spec.Attempt)
+		i.parent.events.record(i.parent.cfg.ID, EventSlotsExceeded, i.spec.Attempt)
 		w.Header().Set(HeaderNotRun, "slots")
 		http.Error(w, "no slot is free", http.StatusServiceUnavailable)
 		return
@@ -74,13 +74,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !i.w.leased(i.spec.Attempt) {
+	if !i.parent.leaseValid(i.spec.Attempt) {
 		w.Header().Set(HeaderNotRun, "lease")
 		http.Error(w, "the task's lease has lapsed", http.StatusServiceUnavailable)
 		return
 	}
-	i.w.events.append(Event{Worker: i.w.cfg.ID, Kind: EventRequest, Attempt: i.spec.Attempt, Request: id, Body: string(body), At: time.Now()})
-	if d, ok := sleepOf(string(body)); ok {
+	i.parent.events.append(Event{Worker: i.parent.cfg.ID, Kind: EventRequest, Attempt: i.spec.Attempt, Request: id, Body: string(body), At: time.Now()})
+	if d, ok := parseSleep(string(body)); ok {
 		select {
 		case <-time.After(d):
 		case <-r.Context().Done():
@@ -88,15 +88,15 @@
 		}
 	}
 	ans := Answer{Instance: i.spec.Attempt.String(), RequestID: id, Echo: string(body)}
-	if last := i.last.Swap(&ans); last != nil && i.w.swapsAnswers() {
-		w.Header().Set(HeaderRequestID, last.RequestID)
-		ans = *last
+	if previous := i.previous.Swap(&ans); previous != nil && i.parent.swapAnswers() {
+		w.Header().Set(HeaderRequestID, previous.RequestID)
+		ans = *previous
 	}
 	httpx.WriteJSON(w, http.StatusOK, ans)
 }
 
 // sleepOf reads how long a request takes: "sleep 50ms", and anything behind it.
-func sleepOf(body string) (time.Duration, bool) {
+func parseSleep(body string) (time.Duration, bool) {
 	words := strings.Fields(body)
 	if len(words) < 2 || words[0] != "sleep" {
 		return 0, false
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -46,41 +46,41 @@
 type Worker struct {
 	cfg         Config
 	incarnation string
-	born        time.Time
+	clockStart  time.Time
 	events      EventLog
 
-	mu      sync.Mutex
-	epoch   int64
-	owner   string
-	leaving bool
-	tasks   map[worker.Attempt]*task
-	ended   map[worker.Attempt]worker.Ended
-	dead    map[worker.Attempt]bool
+	mu           sync.Mutex
+	epoch        int64
+	owner        string
+	leaving      bool
+	tasks        map[worker.Attempt]*task
+	ended        map[worker.Attempt]worker.Ended
+	usedAttempts map[worker.Attempt]bool
 	// seq counts the tasks that have ended; changed is closed and replaced with it.
 	seq     int64
 	changed chan struct{}
 }
 
 type task struct {
-	spec     worker.Spec
-	address  string
-	expires  time.Time
-	started  time.Time
-	lease    *time.Timer
-	done     *time.Timer
-	instance *instance
+	spec       worker.Spec
+	address    string
+	expires    time.Time
+	started    time.Time
+	leaseTimer *time.Timer
+	finish     *time.Timer
+	instance   *instance
 }
 
 // New returns a worker that runs nothing.
 func New(cfg Config) *Worker {
 	return &Worker{
-		cfg:         cfg,
-		incarnation: rand.Text(),
-		born:        time.Now().Add(-time.Second),
-		tasks:       make(map[worker.Attempt]*task),
-		ended:       make(map[worker.Attempt]worker.Ended),
-		dead:        make(map[worker.Attempt]bool),
-		changed:     make(chan struct{}),
+		cfg:          cfg,
+		incarnation:  rand.Text(),
+		clockStart:   time.Now().Add(-time.Second),
+		tasks:        make(map[worker.Attempt]*task),
+		ended:        make(map[worker.Attempt]worker.Ended),
+		usedAttempts: make(map[worker.Attempt]bool),
+		changed:      make(chan struct{}),
 	}
 }
 
@@ -105,7 +105,7 @@
 	w.cfg.SwapAnswers = swap
 }
 
-func (w *Worker) swapsAnswers() bool {
+func (w *Worker) swapAnswers() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cfg.SwapAnswers
@@ -122,7 +122,7 @@
 
 // Contact carries out what a node sent.
 func (w *Worker) Contact(ctx context.Context, c worker.Contact) (worker.Report, error) {
-	rep := w.contact(c)
+	rep := w.handleContact(c)
 	if c.WaitMS == 0 || rep.Refused != "" {
 		return rep, nil
 	}
@@ -130,9 +130,9 @@
 	defer t.Stop()
 	for {
 		w.mu.Lock()
-		due, changed := w.seq > c.Seen, w.changed
+		ready, changed := w.seq > c.Seen, w.changed
 		w.mu.Unlock()
-		if due {
+		if ready {
 			break
 		}
 		select {
@@ -143,11 +143,11 @@
 		}
 		break
 	}
-	return w.contact(worker.Contact{Epoch: c.Epoch}), nil
+	return w.handleContact(worker.Contact{Epoch: c.Epoch}), nil
 }
 
 // contact carries out what a node sent, and reports at once.
-func (w *Worker) contact(c worker.Contact) worker.Report {
+func (w *Worker) handleContact(c worker.Contact) worker.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if c.Epoch < w.epoch && !w.cfg.IgnoreEpochs {
@@ -162,10 +162,10 @@
 		delete(w.ended, a)
 	}
 	for _, a := range c.Checkpoint {
-		w.events.add(w.cfg.ID, EventCheckpoint, a)
+		w.events.record(w.cfg.ID, EventCheckpoint, a)
 	}
 	for _, a := range c.Throttle {
-		w.events.add(w.cfg.ID, EventThrottle, a)
+		w.events.record(w.cfg.ID, EventThrottle, a)
 	}
 	for _, a := range c.Stop {
 		w.stopLocked(a)
@@ -194,12 +194,12 @@
 }
 
 // usageLag is how long it takes until usage is reported.
-const usageLag = 2 * time.Second
+const usageDelay = 2 * time.Second
 
 // usage is what a task "sleep 1h use 3000" uses: so many thousandths of a core.
 func (t *task) usage() (resource.Amount, bool) {
 	const words = 4
-	if len(t.spec.Command) != words || time.Since(t.started) < usageLag {
+	if len(t.spec.Command) != words || time.Since(t.started) < usageDelay {
 		return resource.Amount{}, false
 	}
 	milli, err := strconv.ParseInt(t.spec.Command[words-1], 10, 64)
@@ -207,13 +207,13 @@
 }
 
 // clock is the worker's own clock, in nanoseconds; it is never 0.
-func (w *Worker) clock() int64 { return int64(time.Since(w.born)) }
+func (w *Worker) clock() int64 { return int64(time.Since(w.clockStart)) }
 
 func (w *Worker) expiry(c worker.Contact) time.Time {
 	if w.cfg.IgnoreTickets {
 		return time.Now().Add(time.Duration(c.LeaseMS) * time.Millisecond)
 	}
-	return w.born.Add(time.Duration(c.Ticket) + time.Duration(c.LeaseMS)*time.Millisecond)
+	return w.clockStart.Add(time.Duration(c.Ticket) + time.Duration(c.LeaseMS)*time.Millisecond)
 }
 
 func (w *Worker) renewLocked(c worker.Contact) {
@@ -221,7 +221,7 @@
 	for a, t := range w.tasks {
 		if expires.After(t.expires) && !slices.Contains(c.Except, a) {
 			t.expires = expires
-			t.lease.Reset(time.Until(expires))
+			t.leaseTimer.Reset(time.Until(expires))
 		}
 	}
 }
@@ -243,9 +243,9 @@
 		t.instance, t.address = inst, inst.address()
 	}
 	w.tasks[a] = t
-	w.dead[a] = true
-	w.events.add(w.cfg.ID, EventStart, a)
-	t.lease = time.AfterFunc(time.Until(t.expires), func() { w.lapse(a) })
+	w.usedAttempts[a] = true
+	w.events.record(w.cfg.ID, EventStart, a)
+	t.leaseTimer = time.AfterFunc(time.Until(t.expires), func() { w.expireLease(a) })
 	w.runLocked(t)
 	return worker.Started{Attempt: a, Address: t.address}
 }
@@ -254,7 +254,7 @@
 	if !w.cfg.IgnoreTickets && (c.Ticket == 0 || !time.Now().Before(w.expiry(c))) {
 		return worker.RefusedStaleTicket
 	}
-	if w.dead[spec.Attempt] {
+	if w.usedAttempts[spec.Attempt] {
 		return worker.RefusedStopped
 	}
 	if w.leaving {
@@ -265,44 +265,44 @@
 		used = used.Add(t.spec.Size)
 	}
 	if !w.cfg.Capacity.Fits(used) {
-		w.events.add(w.cfg.ID, EventOverload, spec.Attempt)
+		w.events.record(w.cfg.ID, EventOverload, spec.Attempt)
 		return worker.RefusedNoRoom
 	}
 	return ""
 }
 
 func (w *Worker) runLocked(t *task) {
-	a, verb, arg := t.spec.Attempt, "sleep", "0s"
+	a, action, arg := t.spec.Attempt, "sleep", "0s"
 	if len(t.spec.Command) > 0 {
-		verb = t.spec.Command[0]
+		action = t.spec.Command[0]
 	}
 	if len(t.spec.Command) > 1 {
 		arg = t.spec.Command[1]
 	}
 	if w.cfg.FailAll {
-		verb = "fail"
+		action = "fail"
 	}
-	switch verb {
+	switch action {
 	case "serve":
 	case "fail":
-		t.done = time.AfterFunc(0, func() { w.end(a, worker.ResultFailed, "the command failed") })
+		t.finish = time.AfterFunc(0, func() { w.endTask(a, worker.ResultFailed, "the command failed") })
 	default:
 		d, err := time.ParseDuration(arg)
 		if err != nil {
-			t.done = time.AfterFunc(0, func() { w.end(a, worker.ResultFailed, "the command is not known") })
+			t.finish = time.AfterFunc(0, func() { w.endTask(a, worker.ResultFailed, "the command is not known") })
 			return
 		}
-		t.done = time.AfterFunc(d, func() { w.end(a, worker.ResultDone, "") })
+		t.finish = time.AfterFunc(d, func() { w.endTask(a, worker.ResultDone, "") })
 	}
 }
 
-func (w *Worker) end(a worker.Attempt, result worker.Result, reason string) {
+func (w *Worker) endTask(a worker.Attempt, result worker.Result, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endLocked(a, result, reason)
 }
 
-func (w *Worker) lapse(a worker.Attempt) {
+func (w *Worker) expireLease(a worker.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t, ok := w.tasks[a]
@@ -310,14 +310,14 @@
 		return
 	}
 	if left := time.Until(t.expires); left > 0 {
-		t.lease.Reset(left)
+		t.leaseTimer.Reset(left)
 		return
 	}
 	w.endLocked(a, worker.ResultLapsed, "the lease lapsed")
 }
 
 func (w *Worker) stopLocked(a worker.Attempt) {
-	w.dead[a] = true
+	w.usedAttempts[a] = true
 	if _, ok := w.tasks[a]; ok {
 		w.endLocked(a, worker.ResultStopped, "stopped by its owner")
 	}
@@ -334,9 +334,9 @@
 		result, reason, at = worker.ResultLapsed, "the lease lapsed", t.expires
 	}
 	delete(w.tasks, a)
-	t.lease.Stop()
-	if t.done != nil {
-		t.done.Stop()
+	t.leaseTimer.Stop()
+	if t.finish != nil {
+		t.finish.Stop()
 	}
 	if t.instance != nil {
 		t.instance.close()
@@ -345,12 +345,12 @@
 	w.seq++
 	close(w.changed)
 	w.changed = make(chan struct{})
-	w.events.append(Event{Worker: w.cfg.ID, Kind: sawEnd(result), Attempt: a, At: at})
+	w.events.append(Event{Worker: w.cfg.ID, Kind: endEventKind(result), Attempt: a, At: at})
 }
 
 // leased reports whether a task runs and its lease has not lapsed, which is
 // checked before each effect: a worker that was paused may find it over.
-func (w *Worker) leased(a worker.Attempt) bool {
+func (w *Worker) leaseValid(a worker.Attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t, ok := w.tasks[a]
