--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -99,12 +99,12 @@
 	}
 	state, answer, rec := decideKey(k, req, now, sh.opts)
 	err := sh.writeLocked(rec...)
-	last := sh.lastAppend
+	pending := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return peer.KeyReply{}, nil, err
 	}
-	if err := waitDurable(ctx, last); err != nil {
+	if err := waitDurable(ctx, pending); err != nil {
 		return peer.KeyReply{}, nil, err
 	}
 	return peer.KeyReply{State: state, Answer: answer}, nil, nil
@@ -148,10 +148,10 @@
 	}}
 	sh.mu.Lock()
 	err = sh.writeLocked(rec)
-	last := sh.lastAppend
+	pending := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return peer.KeyReply{}, err
 	}
-	return peer.KeyReply{State: peer.KeyDone}, waitDurable(ctx, last)
+	return peer.KeyReply{State: peer.KeyDone}, waitDurable(ctx, pending)
 }
--- a/internal/jobs/reconcile.go
+++ b/internal/jobs/reconcile.go
@@ -24,8 +24,8 @@
 	s.verify, s.scanNeeded, s.lastScan = make(map[string]bool), false, now
 	s.mu.Unlock()
 	for _, sh := range s.ownedShards() {
-		ask, stop, last := sh.tasksToReconcile(now, verify)
-		if len(ask)+len(stop) == 0 || !becomesDurable(ctx, last) {
+		ask, stop, pending := sh.tasksToReconcile(now, verify)
+		if len(ask)+len(stop) == 0 || !becomesDurable(ctx, pending) {
 			continue
 		}
 		s.stopTasks(ctx, sh, stop)
@@ -34,26 +34,26 @@
 }
 
 // stopTasks stops tasks, and learns what became of those that are not there.
-func (s *Set) stopTasks(ctx context.Context, sh *Shard, places []peer.Placement) {
-	sh.recordAsked(places, time.Now())
-	eachPool(places, func(shard string, places []peer.Placement) {
-		reply, err := s.deps.Pools.Stop(ctx, peer.StopRequest{Shard: shard, Placements: places})
+func (s *Set) stopTasks(ctx context.Context, sh *Shard, placements []peer.Placement) {
+	sh.recordAsked(placements, time.Now())
+	eachPool(placements, func(shard string, placements []peer.Placement) {
+		reply, err := s.deps.Pools.Stop(ctx, peer.StopRequest{Shard: shard, Placements: placements})
 		if err == nil {
-			s.applyConfirmReply(ctx, sh, places, reply)
+			s.applyConfirmReply(ctx, sh, placements, reply)
 		}
 	})
 }
 
 // becomesDurable reports whether what was read is kept, waiting for it a short time;
 // a start must not be asked for before its place is kept.
-func becomesDurable(ctx context.Context, last *journal.Pending) bool {
+func becomesDurable(ctx context.Context, pending *journal.Pending) bool {
 	ctx, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
-	return waitDurable(ctx, last) == nil
+	return waitDurable(ctx, pending) == nil
 }
 
 // tasksToReconcile returns the tasks to be asked about and those to be stopped.
-func (sh *Shard) tasksToReconcile(now time.Time, verify map[string]bool) (ask, stop []peer.Placement, last *journal.Pending) {
+func (sh *Shard) tasksToReconcile(now time.Time, verify map[string]bool) (ask, stop []peer.Placement, pending *journal.Pending) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, j := range sh.state.Jobs {
@@ -88,10 +88,10 @@
 }
 
 // recordAsked records when the owners were asked about tasks.
-func (sh *Shard) recordAsked(places []peer.Placement, at time.Time) {
+func (sh *Shard) recordAsked(placements []peer.Placement, at time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	for _, p := range places {
+	for _, p := range placements {
 		if _, t := sh.state.task(p.Attempt); t != nil && t.Attempt == p.Attempt.N {
 			t.lastAsked = at
 		}
@@ -110,20 +110,20 @@
 	}
 }
 
-// stopActive returns the places of a job's tasks that a worker may be running.
-func (sh *Shard) stopActive(job string) []peer.Placement {
+// markStopSent returns the places of a job's tasks that a worker may be running.
+func (sh *Shard) markStopSent(job string) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	j, ok := sh.state.Jobs[job]
 	if !ok {
 		return nil
 	}
-	var places []peer.Placement
+	var placements []peer.Placement
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State.Active() {
 			t.stopSent = true
-			places = append(places, t.Placement)
+			placements = append(placements, t.Placement)
 		}
 	}
-	return places
+	return placements
 }
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -88,25 +88,25 @@
 
 // pendingStart are places whose record is on its way to the journal.
 type pendingStart struct {
-	shard   *Shard
-	places  []peer.Placement
-	pending *journal.Pending
+	shard      *Shard
+	placements []peer.Placement
+	pending    *journal.Pending
 }
 
 // startDurable starts tasks as their places are kept; what is not kept in time
 // is left to reconcile.
 func (s *Set) startDurable(ctx context.Context, batch []pendingStart) {
-	wait, cancel := context.WithTimeout(ctx, journalTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentPools)
 	for _, b := range batch {
 		g.Go(func() error {
-			_, span := tracer().Start(wait, "journal")
-			durable := s.opts.StartBeforeJournal || b.pending.Wait(wait) == nil
+			_, span := tracer().Start(waitCtx, "journal")
+			durable := s.opts.StartBeforeJournal || b.pending.Wait(waitCtx) == nil
 			span.End()
 			if durable {
-				s.confirm(ctx, b.shard, b.places)
+				s.confirm(ctx, b.shard, b.placements)
 			}
 			return nil
 		})
@@ -238,22 +238,22 @@
 	if reason := r.overLimit(w); reason != "" {
 		return reason, nil
 	}
-	places, err := s.reserve(ctx, r, w)
-	unplaced := len(w.specs) - len(places)
-	if unplaced > 0 && (w.allAtOnce || len(places) == 0) {
-		s.cancelReservations(ctx, places)
-		return fmt.Sprintf("no room: %d of %d tasks fit now", len(places), len(w.specs)), err
+	placements, err := s.reserve(ctx, r, w)
+	unplaced := len(w.specs) - len(placements)
+	if unplaced > 0 && (w.allAtOnce || len(placements) == 0) {
+		s.cancelReservations(ctx, placements)
+		return fmt.Sprintf("no room: %d of %d tasks fit now", len(placements), len(w.specs)), err
 	}
-	places = w.shard.stillWaiting(places)
-	if len(places) == 0 {
+	placements = w.shard.stillWaiting(placements)
+	if len(placements) == 0 {
 		return "", nil
 	}
-	pending, err := w.shard.appendRecords(Record{Place: &Place{Placements: places}})
+	pending, err := w.shard.appendRecords(Record{Place: &Place{Placements: placements}})
 	if err != nil {
-		s.cancelReservations(ctx, places)
+		s.cancelReservations(ctx, placements)
 		return "the store does not take writes", err
 	}
-	r.pendingStarts = append(r.pendingStarts, pendingStart{w.shard, places, pending})
+	r.pendingStarts = append(r.pendingStarts, pendingStart{w.shard, placements, pending})
 	if unplaced > 0 {
 		return fmt.Sprintf("no room: %d tasks still wait", unplaced), nil
 	}
@@ -303,12 +303,12 @@
 
 // reserve asks worker shards for room until the job's tasks have it or no shard is left.
 func (s *Set) reserve(ctx context.Context, r *round, w *waitingJob) ([]peer.Placement, error) {
-	places, rest, err := s.reserveFrom(ctx, r, w, r.poolOrder(w), w.specs, false)
-	if len(rest) == 0 || w.allAtOnce || !r.mayPreempt(w) {
-		return places, err
+	placements, remaining, err := s.reserveFrom(ctx, r, w, r.poolOrder(w), w.specs, false)
+	if len(remaining) == 0 || w.allAtOnce || !r.mayPreempt(w) {
+		return placements, err
 	}
-	preempted, _, preemptErr := s.reserveFrom(ctx, r, w, r.allPools(), rest, true)
-	return append(places, preempted...), cmp.Or(err, preemptErr)
+	preempted, _, preemptErr := s.reserveFrom(ctx, r, w, r.allPools(), remaining, true)
+	return append(placements, preempted...), cmp.Or(err, preemptErr)
 }
 
 // mayPreempt reports whether a job's class may take room from preemptible ones.
@@ -334,7 +334,7 @@
 func (s *Set) reserveFrom(
 	ctx context.Context, r *round, w *waitingJob, order []int, specs []worker.Spec, preempt bool,
 ) ([]peer.Placement, []worker.Spec, error) {
-	var places []peer.Placement
+	var placements []peer.Placement
 	var firstErr error
 	for n, i := range order {
 		if len(specs) == 0 {
@@ -355,11 +355,11 @@
 			firstErr = cmp.Or(firstErr, err)
 			continue
 		}
-		places = append(places, reply.Placements...)
+		placements = append(placements, reply.Placements...)
 		specs = unplacedSpecs(specs, reply.Placements)
 		r.recordReserved(i, w, len(reply.Placements), len(batch))
 	}
-	return places, specs, firstErr
+	return placements, specs, firstErr
 }
 
 // poolOrder returns the worker shards that may have room, best first.
@@ -394,39 +394,39 @@
 	}
 }
 
-func unplacedSpecs(specs []worker.Spec, places []peer.Placement) []worker.Spec {
-	placed := make(map[worker.Attempt]bool, len(places))
-	for _, p := range places {
+func unplacedSpecs(specs []worker.Spec, placements []peer.Placement) []worker.Spec {
+	placed := make(map[worker.Attempt]bool, len(placements))
+	for _, p := range placements {
 		placed[p.Attempt] = true
 	}
-	var rest []worker.Spec
+	var unplaced []worker.Spec
 	for _, sp := range specs {
 		if !placed[sp.Attempt] {
-			rest = append(rest, sp)
+			unplaced = append(unplaced, sp)
 		}
 	}
-	return rest
+	return unplaced
 }
 
 // startable leaves out the places of tasks that must not be started any more.
-func (sh *Shard) startable(places []peer.Placement) []peer.Placement {
+func (sh *Shard) startable(placements []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	var started []peer.Placement
-	for _, p := range places {
+	var start []peer.Placement
+	for _, p := range placements {
 		if j, t := sh.state.task(p.Attempt); t != nil && t.Attempt == p.Attempt.N && t.State.Active() && !j.mustStop() {
-			started = append(started, p)
+			start = append(start, p)
 		}
 	}
-	return started
+	return start
 }
 
 // stillWaiting leaves out the places of tasks that were cancelled meanwhile.
-func (sh *Shard) stillWaiting(places []peer.Placement) []peer.Placement {
+func (sh *Shard) stillWaiting(placements []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	var waiting []peer.Placement
-	for _, p := range places {
+	for _, p := range placements {
 		if j, t := sh.state.task(p.Attempt); t != nil && t.State == api.TaskWaiting && !j.Cancelled {
 			waiting = append(waiting, p)
 		}
@@ -435,8 +435,8 @@
 }
 
 // byPool groups placements by worker shard.
-func byPool(places []peer.Placement) [][]peer.Placement {
-	sorted := slices.Clone(places)
+func byPool(placements []peer.Placement) [][]peer.Placement {
+	sorted := slices.Clone(placements)
 	slices.SortStableFunc(sorted, func(a, b peer.Placement) int { return cmp.Compare(a.Shard, b.Shard) })
 	var groups [][]peer.Placement
 	for i, p := range sorted {
@@ -449,10 +449,10 @@
 }
 
 // eachPool calls fn for the placements of each worker shard, several at once.
-func eachPool(places []peer.Placement, fn func(shard string, places []peer.Placement)) {
+func eachPool(placements []peer.Placement, fn func(shard string, placements []peer.Placement)) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentPools)
-	for _, group := range byPool(places) {
+	for _, group := range byPool(placements) {
 		g.Go(func() error {
 			fn(group[0].Shard, group)
 			return nil
@@ -462,33 +462,33 @@
 }
 
 // cancelReservations gives up reservations; what is not reached runs out by itself.
-func (s *Set) cancelReservations(ctx context.Context, places []peer.Placement) {
-	eachPool(places, func(shard string, places []peer.Placement) {
-		_, _ = s.deps.Pools.CancelReservations(ctx, peer.StopRequest{Shard: shard, Placements: places})
+func (s *Set) cancelReservations(ctx context.Context, placements []peer.Placement) {
+	eachPool(placements, func(shard string, placements []peer.Placement) {
+		_, _ = s.deps.Pools.CancelReservations(ctx, peer.StopRequest{Shard: shard, Placements: placements})
 	})
 }
 
 // confirm starts placed tasks, or learns what became of them.
-func (s *Set) confirm(ctx context.Context, sh *Shard, places []peer.Placement) {
-	places = sh.startable(places)
-	sh.recordAsked(places, time.Now())
-	eachPool(places, func(shard string, places []peer.Placement) {
+func (s *Set) confirm(ctx context.Context, sh *Shard, placements []peer.Placement) {
+	placements = sh.startable(placements)
+	sh.recordAsked(placements, time.Now())
+	eachPool(placements, func(shard string, placements []peer.Placement) {
 		ctx, span := tracer().Start(ctx, "start", trace.WithAttributes(
-			attribute.String("shard", shard), attribute.Int("tasks", len(places))))
+			attribute.String("shard", shard), attribute.Int("tasks", len(placements))))
 		defer span.End()
-		reply, err := s.deps.Pools.Confirm(ctx, peer.ConfirmRequest{Shard: shard, Placements: places})
+		reply, err := s.deps.Pools.Confirm(ctx, peer.ConfirmRequest{Shard: shard, Placements: placements})
 		if err != nil {
 			// Asked again by reconcile.
 			return
 		}
-		s.applyConfirmReply(ctx, sh, places, reply)
+		s.applyConfirmReply(ctx, sh, placements, reply)
 	})
 }
 
 // applyConfirmReply journals what the owner of a worker shard says of tasks that it does not run.
-func (s *Set) applyConfirmReply(ctx context.Context, sh *Shard, places []peer.Placement, reply peer.ConfirmReply) {
-	workers := make(map[worker.Attempt]string, len(places))
-	for _, p := range places {
+func (s *Set) applyConfirmReply(ctx context.Context, sh *Shard, placements []peer.Placement, reply peer.ConfirmReply) {
+	workers := make(map[worker.Attempt]string, len(placements))
+	for _, p := range placements {
 		workers[p.Attempt] = p.Worker
 	}
 	var evs []peer.Event
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -221,7 +221,7 @@
 	st, err := sh.cancel(ctx, id)
 	if err == nil {
 		// The answer goes out behind the stops, so that nothing starts after it.
-		s.stopTasks(ctx, sh, sh.stopActive(id))
+		s.stopTasks(ctx, sh, sh.markStopSent(id))
 	}
 	s.Wake()
 	return st, err
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -163,12 +163,12 @@
 	sh.mu.Lock()
 	if j, ok := sh.state.Jobs[w.ID]; ok {
 		same := reflect.DeepEqual(canonical(j.Spec), canonical(w))
-		st, last := j.Status(false), sh.lastAppend
+		st, pending := j.Status(false), sh.lastAppend
 		sh.mu.Unlock()
 		if !same {
 			return api.Status{}, &Error{"create", KindConflict, errors.Errorf("another workload is named %s", w.ID)}
 		}
-		return st, waitDurable(ctx, last)
+		return st, waitDurable(ctx, pending)
 	}
 	if len(sh.state.Jobs) >= sh.opts.MaxJobs {
 		sh.mu.Unlock()
@@ -179,12 +179,12 @@
 	if err == nil {
 		st = sh.state.Jobs[w.ID].Status(false)
 	}
-	last := sh.lastAppend
+	pending := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return api.Status{}, err
 	}
-	return st, waitDurable(ctx, last)
+	return st, waitDurable(ctx, pending)
 }
 
 // canonical returns w in the form in which two spellings of it compare equal.
@@ -198,7 +198,7 @@
 	for {
 		sh.mu.Lock()
 		j, ok := sh.state.Jobs[id]
-		changed, last := sh.changed, sh.lastAppend
+		changed, pending := sh.changed, sh.lastAppend
 		if !ok {
 			sh.mu.Unlock()
 			return api.Status{}, &Error{"get", KindNotFound, errors.New(id)}
@@ -207,7 +207,7 @@
 		st.Waits, st.Ahead = sh.waitStatuses[id].reason, sh.waitStatuses[id].ahead
 		sh.mu.Unlock()
 		if st.Revision > since || ctx.Err() != nil {
-			return st, waitDurableBriefly(ctx, last)
+			return st, waitDurableBriefly(ctx, pending)
 		}
 		select {
 		case <-changed:
@@ -255,12 +255,12 @@
 	if !j.Cancelled && !j.State.Final() {
 		err = sh.writeLocked(Record{Cancel: &Cancel{Job: id, At: time.Now().UTC()}})
 	}
-	st, last := j.Status(false), sh.lastAppend
+	st, pending := j.Status(false), sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return api.Status{}, err
 	}
-	return st, waitDurable(ctx, last)
+	return st, waitDurable(ctx, pending)
 }
 
 // applyEvents journals what happened to tasks; nil means that all of it is kept.
@@ -277,12 +277,12 @@
 		}
 		sh.logEvent(ev)
 	}
-	last := sh.lastAppend
+	pending := sh.lastAppend
 	sh.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return waitDurable(ctx, last)
+	return waitDurable(ctx, pending)
 }
 
 // logEvent logs what an operator should know of an event.
@@ -311,10 +311,10 @@
 	}
 	sh.snapshotting = true
 	data, err := json.Marshal(sh.state)
-	last := sh.lastAppend
+	pending := sh.lastAppend
 	sh.mu.Unlock()
 	if err == nil {
-		err = sh.journal.Snapshot(ctx, sh.stream, data, last)
+		err = sh.journal.Snapshot(ctx, sh.stream, data, pending)
 	}
 	if err != nil {
 		sh.log.Warn("snapshot not stored", events.SnapshotNotStored, zap.Error(err))
