--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package examples holds a bundle, workloads and settings to start from; the
-// local run and the tests use them too.
+// Package examples embeds a bundle, workloads and settings to start from. The local run
+// and the tests use them as well.
 //
 // # Usage
 //
@@ -11,17 +11,17 @@
 
 import "embed"
 
-// Bundle is a directory "bundle" of YAML files.
+// Bundle holds the directory "bundle" of YAML files.
 //
 //go:embed bundle/*.yaml
 var Bundle embed.FS
 
-// Workloads is a directory "workloads" of JSON files.
+// Workloads holds the directory "workloads" of JSON files, one for each workload.
 //
 //go:embed workloads/*.json
 var Workloads embed.FS
 
-// Node is a node's settings.
+// Node is the content of a node's settings file.
 //
 //go:embed node.yaml
 var Node []byte
--- a/standin/local/example.go
+++ b/standin/local/example.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package local runs the example on stand-ins: a whole cell in one process, or
-// one part of it as a process of its own.
+// Package local runs the example on stand-ins for the platform and the workers: a whole
+// cell in one process, or one stand-in as a process of its own.
 //
 // # Usage
 //
@@ -30,13 +30,14 @@
 
 const exampleReviewer = "reviewer"
 
-// Reviewer is a reviewer of the example's bundle, with its private key.
+// Reviewer signs the example's bundle. Review is the setting that names its public key.
 type Reviewer struct {
 	Review bundle.Review
 	key    ed25519.PrivateKey
 }
 
-// NewReviewer returns a reviewer with a new key, whose signature the first bundle needs.
+// NewReviewer returns a reviewer with a new key. Nodes that run with its Review accept a
+// bundle only with its signature.
 func NewReviewer() (Reviewer, error) {
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}, nil
 }
 
-// Accept signs the example's bundle off and puts it in force by way of c.
+// Accept signs the example's bundle, proposes it through c and accepts it.
 func (r Reviewer) Accept(ctx context.Context, c *client.Client, change string) (bundle.Head, error) {
 	sub, err := fs.Sub(examples.Bundle, "bundle")
 	if err != nil {
@@ -85,7 +86,8 @@
 	return w, json.Unmarshal(data, &w)
 }
 
-// submit declares one of the example's workloads as its team.
+// submit creates one of the example's workloads on behalf of its team, and returns the
+// team's client.
 func submit(ctx context.Context, connect func(team string) *client.Client, name string) (api.Status, *client.Client, error) {
 	w, err := Workload(name)
 	if err != nil {
@@ -96,8 +98,8 @@
 	return st, c, err
 }
 
-// RunExample submits a service, a batch and an all-at-once job, sends requests
-// to the service, and writes what was placed where, what waited and why.
+// RunExample submits a service, a batch and an all-at-once job and sends requests to the
+// service. It writes where each task was placed, and why others waited.
 func RunExample(ctx context.Context, connect func(team string) *client.Client, out io.Writer) error {
 	names := []string{"balance-check", "reminders", "manifest"}
 	clients := make([]*client.Client, len(names))
@@ -127,7 +129,8 @@
 	return writeStatus(ctx, clients, names, out)
 }
 
-// show writes where the tasks are and why others wait.
+// writeStatus writes the counts of each workload, why its tasks wait, and where its active
+// tasks are.
 func writeStatus(ctx context.Context, clients []*client.Client, names []string, out io.Writer) error {
 	for i, name := range names {
 		st, err := clients[i].Get(ctx, name, 0, true)
@@ -148,7 +151,8 @@
 	return nil
 }
 
-// sendRequests sends plain requests, and one with a key twice.
+// sendRequests sends requests without a key, and then one request with a key twice, to
+// show that it runs once.
 func sendRequests(ctx context.Context, c *client.Client, service string, out io.Writer) error {
 	const n = 20
 	answers := make([]client.Answer, n)
--- a/standin/local/run.go
+++ b/standin/local/run.go
@@ -36,7 +36,8 @@
 	pollInterval      = 50 * time.Millisecond
 )
 
-// Listening is the line that a stand-in prints once it listens.
+// Listening is the line of JSON that a stand-in prints once it listens, so that whoever
+// started it on port 0 learns its address.
 type Listening struct {
 	Listening string `json:"listening"`
 }
@@ -50,15 +51,16 @@
 	return serveUntil(ctx, l, standin.New().Handler())
 }
 
-// WorkerOptions say what a stand-in worker is.
+// WorkerOptions configure a stand-in worker.
 type WorkerOptions struct {
 	Host platform.Host
-	// Platform is the URL of a stand-in platform, to whose host list the worker is added.
+	// Platform is the URL of the stand-in platform to whose host list the worker is added.
 	Platform string
-	FailAll  bool
+	// FailAll makes every task fail.
+	FailAll bool
 }
 
-// RunWorkers serves a number of stand-in workers until ctx ends, eight to a rack.
+// RunWorkers serves count stand-in workers, eight to a rack, until ctx ends.
 func RunWorkers(ctx context.Context, address string, count int, opts WorkerOptions, out io.Writer) error {
 	const perRack = 8
 	if count <= 1 {
@@ -107,6 +109,7 @@
 	return resp.Body.Close()
 }
 
+// listenAndAnnounce listens on address and writes the line Listening to out.
 func listenAndAnnounce(ctx context.Context, address string, out io.Writer) (net.Listener, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", address)
@@ -131,7 +134,8 @@
 	return nil
 }
 
-// RunCell runs one node on in-memory stand-ins and the example on it.
+// RunCell runs a cell of one node, a stand-in platform and stand-in workers in this
+// process, and the example on it.
 func RunCell(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, exampleTimeout)
 	defer cancel()
@@ -214,7 +218,8 @@
 	return node.New(cfg, deps), deps.Callers.Addr().String(), deps.Operators.Addr().String(), nil
 }
 
-// runOn waits for the node, puts the bundle in force and runs the example.
+// acceptAndRun waits until the node is ready, brings the bundle into force and runs the
+// example.
 func acceptAndRun(ctx context.Context, r Reviewer, connect func(team string) *client.Client, out io.Writer) error {
 	op := connect("")
 	if err := WaitReady(ctx, op); err != nil {
@@ -231,12 +236,12 @@
 	return RunExample(ctx, connect, out)
 }
 
-// WaitReady waits until a node serves.
+// WaitReady waits until the node of c reports that it is ready.
 func WaitReady(ctx context.Context, c *client.Client) error {
 	return poll(ctx, func() bool { return c.Ready(ctx) })
 }
 
-// WaitInForce waits until every live node applies a bundle version.
+// WaitInForce waits until every live node applies the given bundle version or a later one.
 func WaitInForce(ctx context.Context, c *client.Client, version int64) error {
 	return poll(ctx, func() bool {
 		st, err := c.Bundle(ctx)
@@ -252,6 +257,7 @@
 	})
 }
 
+// poll calls fn until it returns true or ctx ends.
 func poll(ctx context.Context, fn func() bool) error {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -15,7 +15,7 @@
 
 const maxBodyBytes = 64 << 20
 
-// Handler returns the HTTP side of the stand-in, with its fault switches under /standin/.
+// Handler returns the platform's HTTP API, and the endpoints for tests under /standin/.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/table/commit", httpx.Handle(maxBodyBytes, p.Commit))
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -3,8 +3,8 @@
 // Package platform is a small stand-in for the platform's table service, object
 // store and host list, for tests and for the local run.
 //
-// It keeps everything in memory and can be told to fail: to be down, to be
-// slow, and to lose a reply before or after the write took effect.
+// It keeps everything in memory. Faults can be injected: an outage, slow calls, and
+// commits whose reply is lost, with or without the write having taken effect.
 //
 // # Usage
 //
@@ -26,28 +26,29 @@
 	"switchbank.example/switchbank/internal/platform"
 )
 
-// Faults are the ways in which the stand-in can fail.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	// Down makes every call fail without effect.
 	Down bool `json:"down"`
 	// DelayMS is added before each call, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseReplies is how many of the next commits take effect but lose their reply.
+	// LoseReplies is the number of next commits that take effect but return an error.
 	LoseReplies int `json:"lose_replies"`
-	// DropCommits is how many of the next commits fail without effect.
+	// DropCommits is the number of next commits that fail without effect.
 	DropCommits int `json:"drop_commits"`
 	// ObjectsDown makes every call of the object store fail.
 	ObjectsDown bool `json:"objects_down"`
 }
 
-// Counts tells how often the stand-in was used.
+// Counts are the numbers of calls so far. Conflicts are commits refused because a row had
+// changed.
 type Counts struct {
 	Commits   int64 `json:"commits"`
 	Conflicts int64 `json:"conflicts"`
 	Reads     int64 `json:"reads"`
 }
 
-// Platform is the stand-in; its calls match those of the real client.
+// Platform is the stand-in; its methods match those of the platform's client.
 type Platform struct {
 	mu      sync.Mutex
 	rows    map[rowKey]platform.Row
@@ -71,35 +72,35 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Counts returns how often the stand-in was used.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// SetHost adds or changes a host of the host list.
+// SetHost adds a host to the host list, or replaces the host with the same id.
 func (p *Platform) SetHost(h platform.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts[h.ID] = h
 }
 
-// RemoveHost takes a host off the host list.
+// RemoveHost removes a host from the host list.
 func (p *Platform) RemoveHost(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.hosts, id)
 }
 
-// Commit carries out a transaction.
+// Commit applies a transaction if all rows named in its If have the versions given there.
 func (p *Platform) Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error) {
 	if err := p.applyFaults(ctx); err != nil {
 		return platform.TxnResult{}, err
@@ -152,7 +153,7 @@
 	return row
 }
 
-// Get returns a row; one that is not there has version 0.
+// Get returns a row; a row that does not exist has version 0.
 func (p *Platform) Get(ctx context.Context, table, key string) (platform.Row, error) {
 	if err := p.applyFaults(ctx); err != nil {
 		return platform.Row{}, err
@@ -235,6 +236,7 @@
 	return nil
 }
 
+// applyFaults delays a call and returns the error that the injected faults call for.
 func (p *Platform) applyFaults(ctx context.Context) error {
 	p.mu.Lock()
 	f := p.faults
@@ -252,6 +254,7 @@
 	return ctx.Err()
 }
 
+// applyObjectFaults does the same as applyFaults for a call of the object store.
 func (p *Platform) applyObjectFaults(ctx context.Context) error {
 	if err := p.applyFaults(ctx); err != nil {
 		return err
--- a/standin/worker/events.go
+++ b/standin/worker/events.go
@@ -10,18 +10,19 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// EventKind is what a sight tells of.
+// EventKind says what happened on a worker.
 type EventKind string
 
-// The sights that are recorded.
+// The kinds of events. EventStart to EventLapsed follow a task from its start to the
+// way in which it ended.
 const (
 	EventStart   EventKind = "start"
 	EventDone    EventKind = "done"
 	EventFailed  EventKind = "failed"
 	EventStopped EventKind = "stopped"
 	EventLapsed  EventKind = "lapsed"
-	// EventOverload is a start beyond the worker's capacity, and SawSlots a request
-	// beyond the instance's slots; both were refused.
+	// EventOverload is a refused start that would have exceeded the worker's capacity, and
+	// EventSlotsExceeded a refused request that found no free slot in the instance.
 	EventOverload      EventKind = "overload"
 	EventSlotsExceeded EventKind = "slots"
 	EventCheckpoint    EventKind = "checkpoint"
@@ -31,22 +32,23 @@
 	EventNewOwner EventKind = "owner"
 )
 
-// Event is one thing that a worker saw, at a time of this machine's clock.
+// Event is something that happened on a worker. At is a time of the machine's clock, so
+// that events of all workers on the machine can be put in one order.
 type Event struct {
 	Worker  string         `json:"worker"`
 	Kind    EventKind      `json:"saw"`
 	Attempt worker.Attempt `json:"attempt"`
-	// Request is the id of the request, and Body its body, for SawRequest.
+	// Request and Body are the request's id and body; set for EventRequest only.
 	Request string `json:"request,omitempty"`
 	Body    string `json:"body,omitempty"`
-	// Shard, Owner and Epoch are those of a contact, for SawOwner.
+	// Shard, Owner and Epoch come from the contact; set for EventNewOwner only.
 	Shard string    `json:"shard,omitempty"`
 	Owner string    `json:"owner,omitempty"`
 	Epoch int64     `json:"epoch,omitempty"`
 	At    time.Time `json:"at"`
 }
 
-// EventLog is an append-only list of sights.
+// EventLog is an append-only list of events, safe for concurrent use.
 type EventLog struct {
 	mu     sync.Mutex
 	events []Event
@@ -68,6 +70,7 @@
 	return slices.Clone(e.events)
 }
 
+// endEventKind returns the kind of the event that records how a task ended.
 func endEventKind(r worker.Result) EventKind {
 	switch r {
 	case worker.ResultDone:
--- a/standin/worker/instance.go
+++ b/standin/worker/instance.go
@@ -21,24 +21,28 @@
 	maxRequestBytes   = 4 << 20
 	// HeaderRequestID carries the id of a request to and from an instance.
 	HeaderRequestID = "Switchbank-Request-Id"
-	// HeaderNotRun is set by an instance on an answer to a request that it did not run.
+	// HeaderNotRun tells the node that the instance did not run the request, whose outcome
+	// is then known. Its value is the reason.
 	HeaderNotRun = "Switchbank-Not-Run"
 )
 
-// Answer is what a stand-in instance answers to a request.
+// Answer is the body of an instance's answer. It names the instance and the request, so
+// that a test notices an answer that belongs to another request.
 type Answer struct {
 	Instance  string `json:"instance"`
 	RequestID string `json:"request_id"`
 	Echo      string `json:"echo"`
 }
 
-// instance answers the requests of one service task.
+// instance serves the requests of one service task.
 type instance struct {
 	parent   *Worker
 	spec     worker.Spec
 	listener net.Listener
 	srv      *http.Server
-	busy     atomic.Int64
+	// busy counts the requests being worked on, which must not exceed the spec's slots.
+	busy atomic.Int64
+	// previous is the last answer, which Config.SwapAnswers sends once more.
 	previous atomic.Pointer[Answer]
 }
 
@@ -57,7 +61,8 @@
 
 func (i *instance) close() { _ = i.srv.Close() }
 
-// ServeHTTP answers a request with its own body; a body "sleep 50ms" takes that long.
+// ServeHTTP echoes the request's body. A body that starts with "sleep 50ms" is answered
+// after that time.
 func (i *instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderRequestID)
 	w.Header().Set(HeaderRequestID, id)
@@ -95,7 +100,8 @@
 	httpx.WriteJSON(w, http.StatusOK, ans)
 }
 
-// sleepOf reads how long a request takes: "sleep 50ms", and anything behind it.
+// parseSleep returns the duration in a body such as "sleep 50ms #7"; words after the
+// duration are ignored.
 func parseSleep(body string) (time.Duration, bool) {
 	words := strings.Fields(body)
 	if len(words) < 2 || words[0] != "sleep" {
@@ -105,17 +111,18 @@
 	return d, err == nil
 }
 
-// Switches are the faults of a stand-in worker that can be set from outside.
+// Switches are the faults of a stand-in worker that can be set over HTTP.
 type Switches struct {
 	Leaving bool `json:"leaving"`
 }
 
-// EventsReply is the answer to a read of the evidence.
+// EventsReply is the body of GET /standin/v1/evidence.
 type EventsReply struct {
 	Events []Event `json:"sights"`
 }
 
-// Handler returns the HTTP side of the stand-in.
+// Handler returns the worker's HTTP API: contacts from nodes, and the endpoints for tests
+// under /standin/.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /worker/v1/contact", httpx.Handle(maxRequestBytes, w.Contact))
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package worker is a small stand-in for a worker, for tests and for the local
-// run: it keeps the worker's side of the contract and records what it saw.
+// Package worker is a small stand-in for a worker, for tests and for the local run. It
+// keeps the worker's side of the protocol with the nodes and records an event for each
+// start, end, request and refusal, from which tests check the scheduler's guarantees.
 //
-// A task's command says what it does: "sleep 200ms" ends well after that
-// time, "fail" ends badly at once, "serve" answers requests until stopped.
+// A task's command says what the task does: "sleep 200ms" succeeds after that time,
+// "fail" fails at once, and "serve" answers requests until the task is stopped.
 //
 // # Usage
 //
@@ -26,37 +27,42 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// Config says what the stand-in is.
+// Config describes a stand-in worker and its faults.
 type Config struct {
 	ID       string
 	Capacity resource.Amount
-	// Listen opens a listener for an instance.
+	// Listen opens the listener of an instance.
 	Listen func() (net.Listener, error)
 	// FailAll makes every task fail.
 	FailAll bool
-	// SwapAnswers gives every other request the answer to the one before it.
+	// SwapAnswers answers a request with the answer to the previous one.
 	SwapAnswers bool
-	// IgnoreTickets switches a guard off, to show that tests see it.
+	// IgnoreTickets accepts starts and renewals without checking the ticket, to prove that
+	// the tests detect the missing check.
 	IgnoreTickets bool
-	// IgnoreEpochs switches a guard off, to show that tests see it.
+	// IgnoreEpochs accepts contacts of a stale epoch, to prove that the tests detect the
+	// missing check.
 	IgnoreEpochs bool
 }
 
-// Worker is the stand-in.
+// Worker is a stand-in worker.
 type Worker struct {
 	cfg         Config
 	incarnation string
-	clockStart  time.Time
-	events      EventLog
+	// clockStart is the zero of clock. It lies a second before the worker's start, so that
+	// clock is never 0, which stands for a missing ticket.
+	clockStart time.Time
+	events     EventLog
 
-	mu           sync.Mutex
-	epoch        int64
-	owner        string
-	leaving      bool
-	tasks        map[worker.Attempt]*task
-	ended        map[worker.Attempt]worker.Ended
+	mu      sync.Mutex
+	epoch   int64
+	owner   string
+	leaving bool
+	tasks   map[worker.Attempt]*task
+	ended   map[worker.Attempt]worker.Ended
+	// usedAttempts are the attempts that were started or stopped and may not start again.
 	usedAttempts map[worker.Attempt]bool
-	// seq counts the tasks that have ended; changed is closed and replaced with it.
+	// seq counts the tasks that have ended; changed is closed and replaced whenever seq rises.
 	seq     int64
 	changed chan struct{}
 }
@@ -67,11 +73,13 @@
 	expires    time.Time
 	started    time.Time
 	leaseTimer *time.Timer
-	finish     *time.Timer
-	instance   *instance
+	// finish ends the task after the time that its command asks for; nil for "serve".
+	finish *time.Timer
+	// instance serves the requests of a service's task; nil for others.
+	instance *instance
 }
 
-// New returns a worker that runs nothing.
+// New returns a worker that runs no tasks.
 func New(cfg Config) *Worker {
 	return &Worker{
 		cfg:          cfg,
@@ -84,21 +92,21 @@
 	}
 }
 
-// SetLeaving makes the worker say that it is leaving.
+// SetLeaving sets whether the worker reports that it is leaving and refuses new tasks.
 func (w *Worker) SetLeaving(leaving bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = leaving
 }
 
-// SetFailAll makes every task that starts from now on fail.
+// SetFailAll sets whether every task that starts from now on fails.
 func (w *Worker) SetFailAll(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cfg.FailAll = fail
 }
 
-// SetSwapAnswers makes instances give every other request the answer to the one before it.
+// SetSwapAnswers sets whether instances answer a request with the answer to the previous one.
 func (w *Worker) SetSwapAnswers(swap bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +119,7 @@
 	return w.cfg.SwapAnswers
 }
 
-// Close stops every task, as a worker that dies does.
+// Close stops every task, as the end of the worker's process would.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,7 +128,8 @@
 	}
 }
 
-// Contact carries out what a node sent.
+// Contact carries out a node's orders and reports. A contact with a wait is held until a
+// task that the node has not seen yet ends, or until the wait is over.
 func (w *Worker) Contact(ctx context.Context, c worker.Contact) (worker.Report, error) {
 	rep := w.handleContact(c)
 	if c.WaitMS == 0 || rep.Refused != "" {
@@ -146,7 +155,7 @@
 	return w.handleContact(worker.Contact{Epoch: c.Epoch}), nil
 }
 
-// contact carries out what a node sent, and reports at once.
+// handleContact carries out a node's orders and reports without waiting.
 func (w *Worker) handleContact(c worker.Contact) worker.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -193,10 +202,11 @@
 	return rep
 }
 
-// usageLag is how long it takes until usage is reported.
+// usageDelay is the time after a task's start from which its usage is reported.
 const usageDelay = 2 * time.Second
 
-// usage is what a task "sleep 1h use 3000" uses: so many thousandths of a core.
+// usage returns what a task with the command "sleep 1h use 3000" uses: 3000 thousandths of
+// a core, and the rest of its size in full.
 func (t *task) usage() (resource.Amount, bool) {
 	const words = 4
 	if len(t.spec.Command) != words || time.Since(t.started) < usageDelay {
@@ -206,9 +216,12 @@
 	return resource.Amount{CPUMilli: milli, MemoryMB: t.spec.Size.MemoryMB, Accelerators: t.spec.Size.Accelerators}, err == nil
 }
 
-// clock is the worker's own clock, in nanoseconds; it is never 0.
+// clock returns the time of the worker's own clock in nanoseconds, which the worker hands
+// out as a ticket; it is never 0.
 func (w *Worker) clock() int64 { return int64(time.Since(w.clockStart)) }
 
+// expiry returns when a lease that c grants ends. It counts from the ticket's time, so
+// that a contact delayed on the way does not extend the lease.
 func (w *Worker) expiry(c worker.Contact) time.Time {
 	if w.cfg.IgnoreTickets {
 		return time.Now().Add(time.Duration(c.LeaseMS) * time.Millisecond)
@@ -250,6 +263,7 @@
 	return worker.Started{Attempt: a, Address: t.address}
 }
 
+// refuseLocked returns why a task must not start, or "" if it may.
 func (w *Worker) refuseLocked(spec worker.Spec, c worker.Contact) worker.Refusal {
 	if !w.cfg.IgnoreTickets && (c.Ticket == 0 || !time.Now().Before(w.expiry(c))) {
 		return worker.RefusedStaleTicket
@@ -271,6 +285,7 @@
 	return ""
 }
 
+// runLocked carries out a task's command: it schedules the end of the task.
 func (w *Worker) runLocked(t *task) {
 	a, action, arg := t.spec.Attempt, "sleep", "0s"
 	if len(t.spec.Command) > 0 {
@@ -302,6 +317,8 @@
 	w.endLocked(a, result, reason)
 }
 
+// expireLease ends a task whose lease has lapsed. The lease may have been renewed after
+// its timer fired; then the timer is set again.
 func (w *Worker) expireLease(a worker.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -316,6 +333,8 @@
 	w.endLocked(a, worker.ResultLapsed, "the lease lapsed")
 }
 
+// stopLocked stops an attempt. One that has not started yet may not start later: its start
+// may still be under way.
 func (w *Worker) stopLocked(a worker.Attempt) {
 	w.usedAttempts[a] = true
 	if _, ok := w.tasks[a]; ok {
@@ -330,7 +349,7 @@
 	}
 	at := time.Now()
 	if at.After(t.expires) {
-		// The worker was paused: what ends now was not allowed to run any more.
+		// The worker was paused past the lease: the task counts as lapsed at the lease's end.
 		result, reason, at = worker.ResultLapsed, "the lease lapsed", t.expires
 	}
 	delete(w.tasks, a)
@@ -348,8 +367,8 @@
 	w.events.append(Event{Worker: w.cfg.ID, Kind: endEventKind(result), Attempt: a, At: at})
 }
 
-// leased reports whether a task runs and its lease has not lapsed, which is
-// checked before each effect: a worker that was paused may find it over.
+// leaseValid reports whether a task runs under a valid lease. It is checked before each
+// request runs, since the timer of the lease may fire late after a pause of the worker.
 func (w *Worker) leaseValid(a worker.Attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -357,17 +376,17 @@
 	return ok && time.Now().Before(t.expires)
 }
 
-// Running returns how many tasks run now.
+// Running returns the number of running tasks.
 func (w *Worker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.tasks)
 }
 
-// Events returns what the worker saw so far.
+// Events returns the events recorded so far.
 func (w *Worker) Events() []Event { return w.events.all() }
 
-// Serve answers contacts on l until ctx ends.
+// Serve serves the worker's HTTP API on l until ctx ends, and then closes the worker.
 func (w *Worker) Serve(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{Handler: w.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close(); w.Close() })
