--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -13,17 +13,18 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// advice is what the advice service has said of a step. Which workers are good
-// never changes; only their tickets run out.
+// advice is what the advice service has said about a step. Which workers it approves
+// never changes; only their tickets expire.
 type advice struct {
 	answers map[string]answer
-	// pending are the workers that open calls name, but for those that have started again
-	// since, and calls how many are open.
+	// pending are the workers in open calls, without those that have restarted since, and
+	// openCalls is how many calls are open.
 	pending   map[string]bool
 	openCalls int
 	retryAt   time.Time
 }
 
+// answer is what the advice service has said about one worker.
 type answer struct {
 	approved bool
 	ticket   string
@@ -31,29 +32,31 @@
 }
 
 const (
-	// ticketMargin is taken off a ticket's validity: the answer's way here, and
-	// the order's way to the worker behind others.
+	// ticketMargin is subtracted from a ticket's validity, for the time that the answer
+	// takes to get here and the order to get to the worker.
 	ticketMargin = 250 * time.Millisecond
-	// maxWorkersPerCall is the most workers that one call may name (the service's limit).
+	// maxWorkersPerCall is the advice service's limit of workers in one call.
 	maxWorkersPerCall = 100
-	// minWorkersPerCall spreads the base cost of a call, which far outweighs that of a
-	// worker, over enough workers to find a few good ones.
+	// minWorkersPerCall spreads the base cost of a call, which far outweighs the cost of
+	// each worker, over enough workers to find a few that are approved.
 	minWorkersPerCall = 10
-	// initialApprovalRate is assumed of a queue until its first answers are in;
-	// sites have from 0.35 to 0.7.
+	// initialApprovalRate is assumed for a queue until its first answers arrive; real
+	// rates range from 0.35 to 0.7.
 	initialApprovalRate = 0.4
-	// maxCallsLongRunning is how many calls a step of tasks that last may have open, so that workers
-	// which come into use one after the other need not wait for the answer about the first.
+	// maxCallsLongRunning is how many calls a long-running step may have open, so that
+	// workers which become usable one after the other need not wait for the answer about
+	// the first.
 	maxCallsLongRunning = 3
-	// adviceRetryDelay is the pause after a call that failed.
+	// adviceRetryDelay is the delay after a failed call.
 	adviceRetryDelay = 60 * time.Millisecond
-	// prefetchSlack is how much earlier than needed the next step's advice is asked for.
+	// prefetchSlack is how much earlier than needed the next step's advice is requested.
 	prefetchSlack = 250 * time.Millisecond
-	// prefetchLead is how long before a repeat is due its steps are looked at, so
-	// that the advice for its first ones is there in time.
+	// prefetchLead is how long before a repeat is due its steps are considered, so that
+	// the advice for its first steps arrives in time.
 	prefetchLead = time.Second
 )
 
+// discardTicket drops a ticket that its worker has rejected.
 func (a *advice) discardTicket(worker string) {
 	if ans, ok := a.answers[worker]; ok {
 		ans.ticket, ans.expires = "", time.Time{}
@@ -61,7 +64,7 @@
 	}
 }
 
-// needsTicket reports whether starts of the step must bring a ticket.
+// needsTicket reports whether starts of the step need a ticket.
 func (st *step) needsTicket() bool { return st.job.spec.Policy.Advice != nil }
 
 // ticket returns the valid ticket for a worker, if any.
@@ -70,8 +73,8 @@
 	return ans.ticket, ans.approved && now.Before(ans.expires)
 }
 
-// requestAdvice asks for advice on workers for n tasks of a step, unless a call is open.
-// With mustFit, only workers that have room for a task are named.
+// requestAdvice requests advice on workers for n tasks of a step, and reports whether it
+// did. With mustFit, only workers that have room for a task now are named.
 func (s *Shard) requestAdvice(now time.Time, st *step, n int, mustFit bool) bool {
 	if !st.mayRequestAdvice(now) {
 		return false
@@ -79,7 +82,7 @@
 	return s.requestAdviceOn(now, st, s.adviceCandidates(now, st, n, mustFit, func(candidate) bool { return true }))
 }
 
-// mayRequestAdvice reports whether the step may have another call open now.
+// mayRequestAdvice reports whether the step may open another call now.
 func (st *step) mayRequestAdvice(now time.Time) bool {
 	limit := 1
 	if st.spec.LongRunning {
@@ -88,7 +91,8 @@
 	return st.advice.openCalls < limit && !now.Before(st.advice.retryAt)
 }
 
-// requestAdviceOn asks for advice on workers, if there are any and no call is open.
+// requestAdviceOn requests advice on the given workers if there are any and another call
+// may be opened, and reports whether it did.
 func (s *Shard) requestAdviceOn(now time.Time, st *step, names []string) bool {
 	if len(names) == 0 || !st.mayRequestAdvice(now) {
 		return false
@@ -105,8 +109,8 @@
 	return true
 }
 
-// requestAdviceOnUnknown asks for advice on workers of which nothing is known, until those for n more
-// tasks of a gang should be found, whether they have room now or not.
+// requestAdviceOnUnknown requests advice on enough workers not asked about before to
+// place n more tasks of a gang, whether they have room now or not.
 func (s *Shard) requestAdviceOnUnknown(now time.Time, st *step, n int) bool {
 	unknown := func(c candidate) bool { return !c.approved }
 	return s.requestAdviceOn(now, st, s.adviceCandidates(now, st, n, false, unknown))
@@ -115,14 +119,14 @@
 // candidate is a worker that a call of the advice service may name.
 type candidate struct {
 	w *worker
-	// approved workers are good for the step, but their ticket has run out.
+	// approved workers only need a new ticket, since theirs has expired.
 	approved bool
-	// fits is how many tasks of the step have room there.
+	// fits is how many tasks of the step have room there now.
 	fits int64
 }
 
-// adviceCandidates picks the workers to ask about, until they are expected to
-// have room for n tasks, of those that are wanted.
+// adviceCandidates picks the workers to ask about, among those that are wanted, until
+// they are expected to have room for n tasks.
 func (s *Shard) adviceCandidates(now time.Time, st *step, n int, mustFit bool, wanted func(candidate) bool) []string {
 	rate := s.approvalRates[st.job.spec.Queue]
 	if rate == 0 {
@@ -151,8 +155,8 @@
 	return names
 }
 
-// candidates returns the workers that may be asked about: good ones whose ticket
-// has run out first, then unknown ones, those with the most room first.
+// candidates returns the workers that may be asked about: approved ones whose ticket has
+// expired first, then unknown ones, and of each those with the most room first.
 func (s *Shard) candidates(now time.Time, st *step, mustFit bool) []candidate {
 	var list []candidate
 	for _, w := range s.workerList {
@@ -178,19 +182,19 @@
 	return list
 }
 
-// gangOversampling is for how many times its members a gang asks: all must find room at once,
-// and a call that finds too little of it costs half a second more. Of 238 gangs of two
-// calm days on 98 workers 15 were late with it, and 25 without.
+// gangOversampling is for how many times its members a gang asks. All must find room at
+// once, and a call that finds too little costs another half second: of 238 gangs on 98
+// workers 15 were late with it, and 25 without.
 const gangOversampling = 2.0
 
-// unknownRoomFactor discounts the expected room of unknown workers: room that is
-// there when the call is made is partly taken by others when it returns.
+// unknownRoomFactor discounts the expected room of unknown workers: some of the room that
+// is there when the call is made is taken by others when it returns.
 const unknownRoomFactor = 0.6
 
-// tasksThatFit returns how many tasks of a step the room that is free on a worker holds.
+// tasksThatFit returns how many tasks of a step fit in a worker's free room.
 func tasksThatFit(w *worker, now time.Time, st *step) int64 { return fitsIn(w.freeFor(now, st), st) }
 
-// fitsIn returns how many tasks of a step some room on one worker holds.
+// fitsIn returns how many tasks of a step fit in some room on one worker.
 func fitsIn(free resource.Amount, st *step) int64 {
 	need := st.spec.Allocation()
 	n := int64(st.spec.Count)
@@ -205,7 +209,8 @@
 	return max(n, 0)
 }
 
-// AdviceReplied takes the answer that the advice service gave at a time, or nil tickets and an error.
+// AdviceReplied takes the reply that the advice service gave at a time: tickets for the
+// approved workers among those asked about, or an error.
 func (s *Shard) AdviceReplied(at time.Time, id StepID, asked []string, tickets []cluster.Ticket, validFor time.Duration, err error) {
 	j := s.jobs[id.Job]
 	if j == nil || id.Repeat >= len(j.repeats) {
@@ -216,7 +221,7 @@
 	asked, tickets = st.advice.finishCall(asked, tickets)
 	if err != nil {
 		st.advice.retryAt = at.Add(adviceRetryDelay)
-		s.log.Info("advice not given", events.AdviceFailed, zap.String("job", id.Job), zap.Int("step", id.Step), zap.Error(err))
+		s.log.Info("call for advice failed", events.AdviceFailed, zap.String("job", id.Job), zap.Int("step", id.Step), zap.Error(err))
 		return
 	}
 	if validFor <= 0 {
@@ -225,40 +230,40 @@
 	if st.advice.answers == nil {
 		st.advice.answers = make(map[string]answer)
 	}
-	fresh := 0
+	newAnswers := 0
 	for _, w := range asked {
 		if _, known := st.advice.answers[w]; !known {
-			fresh++
+			newAnswers++
 			st.advice.answers[w] = answer{}
 		}
 	}
-	good := 0
+	newApprovals := 0
 	for _, t := range tickets {
 		if !st.advice.answers[t.Worker].approved {
-			good++
+			newApprovals++
 		}
 		st.advice.answers[t.Worker] = answer{approved: true, ticket: t.Value, expires: at.Add(validFor - ticketMargin)}
 	}
-	if fresh >= minWorkersPerCall {
-		s.updateApprovalRate(j.spec.Queue, float64(good)/float64(fresh))
+	if newAnswers >= minWorkersPerCall {
+		s.updateApprovalRate(j.spec.Queue, float64(newApprovals)/float64(newAnswers))
 	}
-	s.log.Info("advice given", events.AdviceGiven, zap.String("job", id.Job), zap.Int("step", id.Step),
+	s.log.Info("advice received", events.AdviceGiven, zap.String("job", id.Job), zap.Int("step", id.Step),
 		zap.Int("asked", len(asked)), zap.Int("good", len(tickets)))
 }
 
-// finishCall returns what an answer says of workers that have not started again since they were
-// asked about, and notes that its call is no longer open.
+// finishCall records that a call has returned, and returns its arguments without the
+// workers that have restarted since, for which the answer does not hold.
 func (a *advice) finishCall(asked []string, tickets []cluster.Ticket) ([]string, []cluster.Ticket) {
-	gone := func(id string) bool { return !a.pending[id] }
-	asked = slices.DeleteFunc(slices.Clone(asked), gone)
-	tickets = slices.DeleteFunc(slices.Clone(tickets), func(t cluster.Ticket) bool { return gone(t.Worker) })
+	replaced := func(id string) bool { return !a.pending[id] }
+	asked = slices.DeleteFunc(slices.Clone(asked), replaced)
+	tickets = slices.DeleteFunc(slices.Clone(tickets), func(t cluster.Ticket) bool { return replaced(t.Worker) })
 	for _, id := range asked {
 		delete(a.pending, id)
 	}
 	return asked, tickets
 }
 
-// updateApprovalRate takes the share of one answer into the queue's running mean.
+// updateApprovalRate adds the rate of one answer to the queue's running mean.
 func (s *Shard) updateApprovalRate(queue string, rate float64) {
 	if old := s.approvalRates[queue]; old > 0 {
 		rate = old + approvalRateWeight*(rate-old)
@@ -269,11 +274,12 @@
 const (
 	// approvalRateWeight is the weight of one answer in the running mean.
 	approvalRateWeight = 0.1
-	// minApprovalRate keeps an unlucky run of answers from asking about everything.
+	// minApprovalRate keeps a series of rejections from making every call name all
+	// workers.
 	minApprovalRate = 0.1
 )
 
-// prefetch asks for the next step's advice shortly before its predecessors end.
+// prefetch requests advice for a step shortly before the steps that it depends on end.
 func (s *Shard) prefetch(now time.Time, st *step) {
 	if !st.needsTicket() || len(st.advice.answers) > 0 || st.advice.openCalls > 0 || now.Before(st.repeat.due.Add(-prefetchLead)) {
 		return
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -15,42 +15,43 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// Record is a job's progress as it is to be written.
+// Record is a job's progress row as it is to be written.
 type Record struct {
 	Job   string
 	Queue string
-	// Version is that of the row which it replaces; 0: there is none.
+	// Version is that of the row that it replaces; 0: there is none.
 	Version int64
 	Value   []byte
-	// Final records end the job; its specification need not be kept.
+	// Final is set on the last record of a job, whose specification need not be kept any
+	// more.
 	Final bool
-	// Change is how many changes of the job the record covers.
+	// Change is the number of the job's last change that the record includes.
 	Change int64
 }
 
-// Batch is a set of records, and the ends that they cover.
+// Batch is a set of records, and the ends that can be confirmed to the workers once they
+// are persisted.
 type Batch struct {
 	Records []Record
-	// confirmedEnds are the highest ends by the workers' lives that are covered once the batch is
-	// persisted.
+	// confirmedEnds are the highest ends that can be confirmed, by worker.
 	confirmedEnds map[*worker]int64
 }
 
-// maxSkippedBatches is how many batches may leave a job's changes out before these come first:
-// while the store is slow there may always be more urgent ones, and a worker's ends are
-// confirmed only up to the first whose job has changes that are left out.
+// maxSkippedBatches is how many batches may leave out a job's changes before these come
+// first. While the store is slow there may always be more urgent changes, and a worker's
+// ends are confirmed only up to the first one whose job has changes that were left out.
 const maxSkippedBatches = 20
 
-// NextBatch returns what has to be persisted, for at most maxJobs jobs and of about maxBytes at
-// most: what was left out of many batches first, then finished ones, since callers wait for
-// that, and of these the most urgent.
-// Ends of a worker are covered up to the first whose job has changes that are left out.
+// NextBatch returns the changes to persist next, of at most maxJobs jobs and about
+// maxBytes: first those that many batches have left out, then those of finished jobs,
+// since callers wait for them, then the most urgent. The batch covers a worker's ends up
+// to the first one whose job has changes that are left out.
 func (s *Shard) NextBatch(maxJobs, maxBytes int) Batch {
 	var b Batch
-	// What a moving job's progress is, its mark says until the move is settled.
+	// A moving job's row holds the mark of the move until that is completed or cancelled.
 	open := slices.SortedFunc(maps.Values(s.dirty), compareDirty)
 	open = slices.DeleteFunc(open, func(j *job) bool { return j.moving })
-	bytes, taken := 0, make(map[string]bool)
+	bytes, included := 0, make(map[string]bool)
 	for _, j := range open[:min(len(open), maxJobs)] {
 		r := Record{
 			Job: j.spec.ID, Queue: j.spec.Queue, Version: j.version, Value: s.encodeProgress(j, j.progress()), Final: j.state.Finished(), Change: j.changeCount,
@@ -59,28 +60,28 @@
 			break
 		}
 		b.Records = append(b.Records, r)
-		taken[r.Job] = true
+		included[r.Job] = true
 	}
 	for _, j := range open[len(b.Records):] {
 		j.skippedBatches++
 	}
 	b.confirmedEnds = make(map[*worker]int64)
 	for _, w := range s.workerList {
-		if n := s.confirmableEnd(w, taken); n > w.confirmedEnd {
+		if n := s.confirmableEnd(w, included); n > w.confirmedEnd {
 			b.confirmedEnds[w] = n
 		}
 	}
 	return b
 }
 
-// confirmableEnd returns up to which number a worker's ends are persisted once the changes of
-// some jobs are. While a store is slow changes are left out of many batches in a row, and
-// ends that waited for a batch with all of them were confirmed by none.
+// confirmableEnd returns up to which number a worker's ends are persisted once the
+// changes of the given jobs are. A slow store leaves changes out of many batches in a
+// row, so that ends which waited for a batch with all changes would never be confirmed.
 func (s *Shard) confirmableEnd(w *worker, jobs map[string]bool) int64 {
 	n := w.lastReadEnd()
 	for _, e := range w.unconfirmedEnds {
 		if s.dirty[e.job] != nil && !jobs[e.job] {
-			n = min(n, e.n-1)
+			n = min(n, e.number-1)
 		}
 	}
 	return n
@@ -116,8 +117,8 @@
 // Empty reports whether there is nothing to persist and nothing to confirm.
 func (b *Batch) Empty() bool { return len(b.Records) == 0 && len(b.confirmedEnds) == 0 }
 
-// Persisted notes that the batch is in the store, in the rows that are the jobs' own,
-// under the version.
+// Persisted records that the batch is in the store, in the jobs' own rows, under the
+// version.
 func (s *Shard) Persisted(now time.Time, b Batch, version int64) {
 	for _, r := range b.Records {
 		if j := s.jobs[r.Job]; j != nil {
@@ -127,11 +128,12 @@
 	s.batchDurable(now, b)
 }
 
-// PersistedElsewhere notes that the batch is in the store, but not in the rows that are the
-// jobs' own: it is durable, and is to be written there once MarkDirty asks for it.
+// PersistedElsewhere records that the batch is durable in the store, but not in the jobs'
+// own rows. MarkDirty asks for it to be written there later.
 func (s *Shard) PersistedElsewhere(now time.Time, b Batch) { s.batchDurable(now, b) }
 
-// MarkDirty lets the progress of a job be written again; false: there is no such job.
+// MarkDirty makes the next batches write the progress of a job again; false: there is no
+// such job.
 func (s *Shard) MarkDirty(id string) bool {
 	j := s.jobs[id]
 	if j != nil {
@@ -140,7 +142,7 @@
 	return j != nil
 }
 
-// batchDurable notes that the changes and ends of a batch are durable.
+// batchDurable records that the changes and ends of a batch are durable.
 func (s *Shard) batchDurable(now time.Time, b Batch) {
 	for _, r := range b.Records {
 		if j := s.jobs[r.Job]; j != nil {
@@ -149,11 +151,12 @@
 	}
 	for w, n := range b.confirmedEnds {
 		w.confirmedEnd = max(w.confirmedEnd, n)
-		w.unconfirmedEnds = slices.DeleteFunc(w.unconfirmedEnds, func(e unconfirmedEnd) bool { return e.n <= w.confirmedEnd })
+		w.unconfirmedEnds = slices.DeleteFunc(w.unconfirmedEnds, func(e unconfirmedEnd) bool { return e.number <= w.confirmedEnd })
 	}
 }
 
-// recordDurable notes that a record is durable.
+// recordDurable records that the progress of a job is durable up to a change. What only
+// running tasks need is dropped once the job's end is.
 func (s *Shard) recordDurable(now time.Time, j *job, r Record) {
 	j.skippedBatches = 0
 	if r.Change == j.changeCount {
--- a/internal/scheduler/ended.go
+++ b/internal/scheduler/ended.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// earlyFailureWindow is until when after its start a long-lived task's failure counts
-	// as one right after the start.
+	// earlyFailureWindow is how long after its start the failure of a long-running task
+	// counts as one right after the start.
 	earlyFailureWindow = time.Second
-	// earlyFailureDelay keeps a long-lived task that fails right after its start from
-	// taking a start for each round trip.
+	// earlyFailureDelay keeps a long-running task that fails right after its start from
+	// being restarted with each round trip.
 	earlyFailureDelay = 300 * time.Millisecond
 )
 
-// handleEnd takes one end of a run, which may not be known here, such as one of an
-// earlier owner.
+// handleEnd processes a reported end of a run. The run may be unknown, for example one
+// that an earlier owner started.
 func (s *Shard) handleEnd(now time.Time, w *worker, e cluster.RunEnd) {
 	r := s.runs[runKey{e.Task, e.Run}]
 	t := s.task(e.Task)
@@ -37,7 +37,7 @@
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
 	}
-	// An earlier owner may have begun it without persisting that.
+	// An earlier owner may have started it without persisting that.
 	t.step.job.begun = true
 	s.markChanged(t.step.job)
 	w.unconfirmedEnds = append(w.unconfirmedEnds, unconfirmedEnd{e.N, e.Task.Job})
@@ -52,10 +52,10 @@
 	}
 }
 
-// taskStopped takes an end that is neither a success nor a failure.
+// taskStopped handles an end that is neither a success nor a failure.
 func (s *Shard) taskStopped(now time.Time, w *worker, t *task, e cluster.RunEnd) {
 	if t.avoidWorker == w.info.ID {
-		// The run was stopped because it crawled or stood still, or the task failed here
+		// The run was stopped because it was slow or stalled, or the task failed here
 		// before: the time for which it avoids the worker counts from this end.
 		t.avoidSince = now
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// logRunEnd writes the line of an end; the run may be nil.
+// logRunEnd logs an end; the run may be nil.
 func (s *Shard) logRunEnd(now time.Time, w *worker, r *run, e cluster.RunEnd) {
 	fields := []zap.Field{events.RunEnded, zap.Stringer("task", e.Task), zap.Int64("run", e.Run),
 		zap.String("worker", w.info.ID), zap.String("outcome", string(e.Outcome))}
@@ -74,7 +74,7 @@
 	s.log.Info("run ended", fields...)
 }
 
-// taskSucceeded takes a success; the run may be nil.
+// taskSucceeded handles a success; the run may be nil.
 func (s *Shard) taskSucceeded(now time.Time, w *worker, r *run, t *task) {
 	s.workerSucceeded(now, w, r)
 	if r != nil && !r.resumed {
@@ -94,12 +94,12 @@
 	}
 }
 
-// taskFailed counts the failure of a run by its number, and ends the job once the
-// task has no attempt left; the run itself may be nil.
+// taskFailed counts the failure of a run by its number, and fails the job once the task
+// has no attempt left; the run itself may be nil.
 func (s *Shard) taskFailed(now time.Time, w *worker, r *run, t *task, n int64) {
 	st := t.step
 	if st.spec.Gang {
-		// A gang's run fails once, however many members say so.
+		// The failure of a gang's run counts once, however many members report it.
 		t = st.tasks[0]
 		st.noteFailedOn(now, w)
 	}
@@ -124,7 +124,8 @@
 	}
 }
 
-// failJobIfOutOfAttempts ends the job of a task that has no attempt left, and reports whether it did.
+// failJobIfOutOfAttempts fails the job of a task that has no attempt left, and reports
+// whether it did.
 func (s *Shard) failJobIfOutOfAttempts(now time.Time, t *task) bool {
 	j := t.step.job
 	if len(t.failed) < max(1, j.spec.Policy.MaxAttempts) || t.done || t.step.spec.LongRunning || j.isParticipant() {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// stopGangRun stops what else runs of one run of a gang.
+// stopGangRun stops all members of one run of a gang.
 func (s *Shard) stopGangRun(now time.Time, st *step, n int64, cause string) {
 	for _, t := range st.tasks {
 		for _, o := range t.runs {
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -5,14 +5,16 @@
 import "time"
 
 const (
-	// evacuateMargin is how long before a draining worker leaves its checkpointing
-	// tasks are stopped, beside the time that a stop takes.
+	// evacuateMargin is how long before a draining worker exits its checkpointing tasks
+	// are stopped, in addition to the time that a stop takes.
 	evacuateMargin = 700 * time.Millisecond
-	// defaultNotice is assumed where the worker doesn't say when it leaves.
+	// defaultNotice is the remaining time that is assumed if the worker does not say when
+	// it exits.
 	defaultNotice = 2 * time.Second
 )
 
-// evacuateWorkers moves what would die with draining workers.
+// evacuateWorkers stops the runs on draining workers that would not end before the worker
+// exits, so that they start again elsewhere.
 func (s *Shard) evacuateWorkers(now time.Time) {
 	for _, w := range s.workerList {
 		if (!w.info.Draining && !w.leaving) || w.silent || !w.answered {
@@ -30,7 +32,7 @@
 	}
 }
 
-// mustStopNow reports whether a run on a worker that leaves in left has to be stopped now.
+// mustStopNow reports whether a run on a worker that exits in left has to be stopped now.
 func (s *Shard) mustStopNow(now time.Time, r *run, left time.Duration) bool {
 	spec := r.task.step.spec
 	if spec.LongRunning {
@@ -45,7 +47,7 @@
 	return true
 }
 
-// unavailableTasks returns how many tasks of a step are not at work.
+// unavailableTasks returns how many tasks of a step are not fully running.
 func (s *Shard) unavailableTasks(st *step) int {
 	n := 0
 	for _, t := range st.tasks {
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// quarantineFailures sets a worker aside: with one job in fifty having a task that
-	// fails by its own fault, failures of two jobs without a success between them
-	// are a matter of one in two thousand.
+	// quarantineFailures is from how many failures without a success between them, of at
+	// least two jobs, a worker is quarantined: if one job in fifty has a task that fails
+	// by its own fault, this happens on a healthy worker once in two thousand times.
 	quarantineFailures = 2
-	// quarantineNewFailures sets it aside too, whatever succeeds meanwhile that began before: one
-	// that fails all its new tasks, each after some milliseconds, still ends its old
-	// ones for a second, and has room for more and more.
+	// quarantineNewFailures is the same without a success of a run that started after the
+	// failed ones. A worker that fails all new tasks within milliseconds still completes
+	// its old ones for a second, and so gets room for more and more.
 	quarantineNewFailures = 3
-	// minQuarantine and asideMost bound how long a worker is set aside: troubles of
-	// workers last some seconds, and each probe costs one failed run.
+	// minQuarantine and maxQuarantine bound how long a worker is quarantined: most faults
+	// of workers last some seconds, and each probe costs a failed run.
 	minQuarantine = 2 * time.Second
 	maxQuarantine = 8 * time.Second
-	// provenAfter is from when after its start a task that lasts and is at work speaks
-	// for its worker, and fails by its own fault: workers fail what they start at once,
-	// while such tasks may fail at any time, some every few seconds on each worker.
+	// provenAfter is how long after its start a long-running task at 100 percent proves
+	// its worker healthy. Its later failures don't count against the worker: faulty
+	// workers fail tasks right at the start, while such tasks may fail at any time, some
+	// every few seconds on each worker.
 	provenAfter = time.Second
-	// maxProbeWait is how long one run holds up the next task of a worker that was set
-	// aside: a run that lasts may never end, and the worker has room for others.
+	// maxProbeWait is how long one run delays the next task of a worker after its
+	// quarantine: a long-running run may never end, and the worker has room for others.
 	maxProbeWait = 4 * time.Second
-	// quarantineOverrideWait is how long a task that lasts waits for another worker before it
-	// takes one that is set aside: it has no attempts to lose, and its callers wait.
+	// quarantineOverrideWait is how long a long-running task waits before it takes a
+	// quarantined worker: it has no attempts to lose, and its callers wait.
 	quarantineOverrideWait = time.Second
 )
 
-// quarantineCause is why a worker was set aside.
+// quarantineCause is why a worker was quarantined.
 type quarantineCause string
 
 const (
@@ -44,30 +45,32 @@
 	causeTasksSlow    quarantineCause = "its tasks crawl"
 )
 
-// health is the evidence for and against a worker. A job that fails on
-// different workers is hopeless; a worker that fails different jobs is set
-// aside, and tried again with one task at a time.
+// health is what the outcomes of its runs say about a worker. Failures of one job on
+// several workers are the job's fault. A worker on which different jobs fail is
+// quarantined, and then probed with one task at a time.
 type health struct {
-	// sinceSuccess are the failures since the sinceSuccess success, and sinceNewSuccess those since the sinceSuccess
-	// success of a run that began after all that failed; both since it was set aside.
+	// sinceSuccess are the failures since the last success, and sinceNewSuccess those
+	// since the last success of a run that started after all that failed; both restart at
+	// a quarantine.
 	sinceSuccess, sinceNewSuccess failureStreak
 	// lastFailedStart is the latest start of a run that has failed here.
 	lastFailedStart time.Time
-	// quarantinedAt is when the worker was set aside last, quarantinedUntil until when it gets
-	// nothing, and restrictedSince since when it has not been used in full.
+	// quarantinedAt is when the last quarantine began, quarantinedUntil when it ends, and
+	// restrictedSince since when the worker has not been used without restriction.
 	quarantinedAt, quarantinedUntil, restrictedSince time.Time
 	quarantineTime                                   time.Duration
 	cause                                            quarantineCause
-	// probing is set from when the worker is set aside until a run speaks for it that
-	// began since.
+	// probing is set from the quarantine until the first success of a run that started
+	// after it.
 	probing bool
-	// proven is set while a run that began after all that failed has succeeded.
+	// proven is set by the success of a run that started after all failed ones, until the
+	// next failure.
 	proven bool
-	// slowSteps is when a step was last seen to crawl here, by step.
+	// slowSteps is when tasks of a step were last seen to be slow here, by step.
 	slowSteps map[*step]time.Time
 }
 
-// failureStreak are failures without a success between them.
+// failureStreak counts failures without a success between them.
 type failureStreak struct {
 	failures int
 	// jobs are those whose runs failed.
@@ -75,23 +78,24 @@
 }
 
 // add counts the failure of a run of a job.
-func (k *failureStreak) add(job string) {
-	if k.jobs == nil {
-		k.jobs = make(map[string]bool)
+func (f *failureStreak) add(job string) {
+	if f.jobs == nil {
+		f.jobs = make(map[string]bool)
 	}
-	k.jobs[job] = true
-	k.failures++
+	f.jobs[job] = true
+	f.failures++
 }
 
-// blamesWorker reports whether so many failures, of more than one job, are the worker's.
-func (k *failureStreak) blamesWorker(failures int) bool {
-	return k.failures >= failures && len(k.jobs) > 1
+// blamesWorker reports whether there are at least so many failures, of more than one job,
+// so that the worker is the likely cause.
+func (f *failureStreak) blamesWorker(failures int) bool {
+	return f.failures >= failures && len(f.jobs) > 1
 }
 
-// recordSuccess clears the worker of what spoke against it. A run that began before one
-// that failed says little of what has befallen the worker since, and one whose start
-// isn't known is taken for such. It reports whether the worker is used in full again.
-func (h *health) recordSuccess(r *run) (cleared bool) {
+// recordSuccess resets the failures that a success refutes, and reports whether the
+// probation of the worker is over. A run that started before one that failed does not
+// show that the worker is healthy now, and neither does one whose start is unknown.
+func (h *health) recordSuccess(r *run) (probationOver bool) {
 	h.sinceSuccess = failureStreak{}
 	if h.probing && h.cause == causeTasksFail && !h.startedSinceQuarantine(r) {
 		return false
@@ -99,23 +103,23 @@
 	if h.sinceNewSuccess.failures > 0 && (r == nil || !r.startedAt.After(h.lastFailedStart)) {
 		return false
 	}
-	cleared = h.probing
+	probationOver = h.probing
 	h.sinceNewSuccess, h.probing, h.quarantineTime, h.proven = failureStreak{}, false, 0, true
-	return cleared
+	return probationOver
 }
 
-// startedSinceQuarantine reports whether a run tells whether what the worker was set aside for is over:
-// it began since.
+// startedSinceQuarantine reports whether a run can show that the cause of the last
+// quarantine is gone: it started after the quarantine began.
 func (h *health) startedSinceQuarantine(r *run) bool {
 	return r != nil && r.startedAt.After(h.quarantinedAt)
 }
 
-// provesWorker reports whether a run that lasts has shown that its worker is sound.
+// provesWorker reports whether a long-running run has shown that its worker is healthy.
 func (r *run) provesWorker(now time.Time) bool {
 	return r.task.step.spec.LongRunning && r.percent == 100 && now.Sub(r.startedAt) >= provenAfter
 }
 
-// noteSlowStep notes that a step's tasks crawl here.
+// noteSlowStep records that tasks of a step are slow here.
 func (h *health) noteSlowStep(now time.Time, st *step) {
 	if h.slowSteps == nil {
 		h.slowSteps = make(map[*step]time.Time)
@@ -123,7 +127,8 @@
 	h.slowSteps[st] = now
 }
 
-// countSlowSteps returns how many steps have crawled here lately, and forgets the others.
+// countSlowSteps returns how many steps were slow here within slowStepTTL, and forgets
+// older ones.
 func (h *health) countSlowSteps(now time.Time) int {
 	for st, at := range h.slowSteps {
 		if now.Sub(at) > slowStepTTL {
@@ -133,7 +138,8 @@
 	return len(h.slowSteps)
 }
 
-// clearSlowSteps forgets that steps crawled here if a task's time was usual for its step.
+// clearSlowSteps forgets that steps were slow here if a task took no longer than is usual
+// for its step.
 func (h *health) clearSlowSteps(t *task) {
 	if len(h.slowSteps) == 0 {
 		return
@@ -143,10 +149,10 @@
 	}
 }
 
-// acceptsTask reports whether the worker may be given another task. Nothing shortens the time
-// for which it is set aside: where the successes of old runs on slow workers did, the mean
-// worth of eight days with such workers was 0.04 lower on two sites. While the worker is
-// probed, each task has to end, to settle or to go on for a while before the next.
+// acceptsTask reports whether the worker may be given another task. Successes of older
+// runs don't shorten a quarantine: where they did, the mean score of eight days with slow
+// workers was 0.04 lower at two sites. While the worker is probed, each task has to end,
+// prove the worker healthy or run for maxProbeWait before the next one starts.
 func (h *health) acceptsTask(now time.Time, w *worker) bool {
 	if now.Before(h.quarantinedUntil) {
 		return false
@@ -162,16 +168,16 @@
 	return true
 }
 
-// workerSucceeded takes a run that speaks for its worker; the run may be nil.
+// workerSucceeded counts a run as a success of its worker; the run may be nil.
 func (s *Shard) workerSucceeded(now time.Time, w *worker, r *run) {
 	if w.health.recordSuccess(r) {
-		s.log.Info("worker in use again", events.WorkerReinstated, zap.String("worker", w.info.ID),
+		s.log.Info("worker's probation is over", events.WorkerReinstated, zap.String("worker", w.info.ID),
 			zap.Duration("after", now.Sub(w.health.restrictedSince)))
 	}
 }
 
-// creditLongRunning takes a run that lasts as a success of its worker once it has settled:
-// it may never end so. It says nothing of the worker's speed.
+// creditLongRunning counts a long-running run as a success of its worker once it has run
+// for long enough, since it may never end. It says nothing about the worker's speed.
 func (s *Shard) creditLongRunning(now time.Time, w *worker, r *run) {
 	if r.credited || !r.provesWorker(now) {
 		return
@@ -182,8 +188,8 @@
 	}
 }
 
-// workerFailed counts the failure of a run of a job, which may be the worker's; the
-// run may be nil.
+// workerFailed counts the failure of a run of a job against the worker; the run may be
+// nil.
 func (s *Shard) workerFailed(now time.Time, w *worker, r *run, job string) {
 	if r != nil && r.provesWorker(now) {
 		return
@@ -200,9 +206,8 @@
 	}
 }
 
-// quarantine gives a worker no more tasks for a while, longer each time until one
-// succeeds there. Failures are then counted anew; what crawls there still speaks
-// against it.
+// quarantine gives a worker no new tasks for a while, longer each time until one succeeds
+// there. Failures are then counted anew; slow steps still count.
 func (s *Shard) quarantine(now time.Time, w *worker, cause quarantineCause) {
 	h := &w.health
 	if now.Before(h.quarantinedUntil) {
@@ -214,7 +219,7 @@
 	h.quarantineTime = min(max(2*h.quarantineTime, minQuarantine), maxQuarantine)
 	h.quarantinedAt, h.quarantinedUntil, h.probing, h.cause = now, now.Add(h.quarantineTime), true, cause
 	s.counts.Quarantines++
-	s.log.Warn("worker set aside", events.WorkerQuarantined, zap.String("worker", w.info.ID), zap.String("cause", string(cause)),
+	s.log.Warn("worker quarantined", events.WorkerQuarantined, zap.String("worker", w.info.ID), zap.String("cause", string(cause)),
 		zap.Int("failures", h.sinceNewSuccess.failures), zap.Int("jobs", len(h.sinceNewSuccess.jobs)), zap.Duration("for", h.quarantineTime))
 	h.sinceSuccess, h.sinceNewSuccess = failureStreak{}, failureStreak{}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -20,26 +20,27 @@
 	rank    Rank
 	repeats []*repeat
 	state   cluster.State
-	// begun is set once a run of the job was ordered or found.
+	// begun is set once a run of the job was ordered, or found on a worker.
 	begun bool
-	// inherited is set for jobs that an earlier owner may have begun.
+	// inherited is set for jobs that an earlier owner may have started.
 	inherited bool
 	// moving is set while the job may be on its way to another shard.
 	moving bool
-	// offeredAt is when the job was last offeredAt to other shards, or taken if it wasn't.
+	// offeredAt is when the job was last offered to other shards, or when it was added if
+	// it never was.
 	offeredAt time.Time
 	// finalPersisted is set once the final state is in the store.
 	finalPersisted bool
 	finishedAt     time.Time
 	version        int64 // of the progress row
 	changeCount    int64 // rises with each change that has to be persisted
-	// skippedBatches is how many batches have left its changes out.
+	// skippedBatches is how many batches in a row have not included the job's changes.
 	skippedBatches int
 	// tasksLeft is how many tasks have not succeeded.
 	tasksLeft int
 }
 
-// repeat is one run of a job's steps.
+// repeat is one execution of all steps of a job.
 type repeat struct {
 	due   time.Time
 	steps []*step
@@ -53,17 +54,18 @@
 	spec   *cluster.Step
 	tasks  []*task
 	done   int
-	// lastGangRun is the number of the gang's last run.
+	// lastGangRun is the highest run number that the gang has used.
 	lastGangRun int64
 	advice      advice
 	joint       jointState
-	// reservedOn are the workers on which room is set aside for the step, or was.
+	// reservedOn are the workers that hold a reservation for the step, or held one that
+	// has expired since.
 	reservedOn []*worker
-	// failedOn is when a member of a gang last failed, by worker.
+	// failedOn is when a member of the gang last failed, by worker ID.
 	failedOn map[string]time.Time
-	// waitingSince is when the step last began to wait for room; zero: it doesn't.
+	// waitingSince is when the step last began to wait for room; zero: it does not wait.
 	waitingSince time.Time
-	// noRoomAt is when no room was found last that could be set aside for the step.
+	// noRoomAt is when the step last found no room to reserve.
 	noRoomAt time.Time
 }
 
@@ -72,32 +74,35 @@
 	id   cluster.TaskID
 	step *step
 	done bool
-	// failed are the numbers of the runs that ended by a fault, which the budget
-	// counts; a worker lists an end again until it is confirmed, also to the next owner.
+	// failed are the numbers of the runs that failed, which count as attempts. A worker
+	// reports an end, also to the next owner, until it is confirmed, so that numbers and
+	// not reports are counted.
 	failed  []int64
 	lastRun int64
-	// runs are those that may take room: one, or two of a speculative task.
+	// runs are those that may occupy resources: one, or two of a speculative task.
 	runs       []*run
 	checkpoint string
-	// uncertain tasks may run on a worker that has not answered since the takeover.
+	// uncertain tasks may be running on a worker that has not answered since the
+	// takeover.
 	uncertain bool
 	notBefore time.Time
-	// avoidWorker is the worker on which the task failed last, or was stopped because it
-	// crawled or stood still there, and leftAt when: it may be the worker's fault, so
-	// that another one comes first.
+	// avoidWorker is the ID of the worker on which the task last failed, or was stopped
+	// because it was slow or stalled, and avoidSince when. The worker may be the cause,
+	// so others are tried first.
 	avoidWorker string
 	avoidSince  time.Time
-	// waitingSince is since when the task could start but has no worker, and noteAgainAt
-	// after which wait the log tells of it again.
+	// waitingSince is since when the task could start but has no worker, and nextWaitLog
+	// the waiting time after which the log reports it next.
 	waitingSince time.Time
 	nextWaitLog  time.Duration
-	// restarts is how often the task was stopped because it stood still or crawled.
+	// restarts is how often the task was stopped because it was slow or stalled.
 	restarts int
-	// runTime is how long the run runTime that succeeded, if it began from the start.
+	// runTime is how long the successful run took, if it started without a checkpoint.
 	runTime time.Duration
 }
 
-// newRank returns the rank of a job: urgent queues first, and within one the earliest due.
+// newRank returns the rank of a job: by the queue's priority, then by the time at which
+// the job is due.
 func newRank(j *cluster.Job, now time.Time) Rank {
 	age := time.Duration(0)
 	if ms := now.UnixMilli() - j.AcceptedMS; ms > 0 {
@@ -112,14 +117,16 @@
 	return Rank{Priority: priority, Due: now.Add(allowed - age)}
 }
 
-// maxCountedAge is the most age that counts; the time of acceptance comes from the clock
-// of the node that accepted the job, which may be another one.
+// maxCountedAge bounds the time since acceptance that is taken into account: the
+// accepting node may be another one, whose clock may be wrong.
 const maxCountedAge = time.Hour
 
-// longRunningPriority puts long-lived tasks first: they must be at work again
-// within seconds however full the shard is.
+// longRunningPriority places long-running tasks before all others: they must be running
+// again within seconds, however full the shard is.
 const longRunningPriority = -1
 
+// criticalPathMS returns the longest chain of dependent steps by their estimates, in
+// milliseconds.
 func criticalPathMS(steps []cluster.Step) int64 {
 	ends := make([]int64, len(steps))
 	latest := int64(0)
@@ -134,8 +141,8 @@
 	return latest
 }
 
-// AddJob takes an accepted job. Progress is what an earlier owner persisted, or
-// nil; tasks of an uncertain job may already run somewhere. So may, until the takeover is
+// AddJob adds an accepted job. progress is what an earlier owner persisted, or nil. Tasks
+// of an uncertain job may already be running somewhere. So may, until the takeover is
 // complete, those of a job that was accepted for an earlier owner, which may not have
 // known yet that it had been replaced.
 func (s *Shard) AddJob(now time.Time, spec cluster.Job, progress *Progress, uncertain bool) {
@@ -168,26 +175,27 @@
 		return 1
 	})
 	s.active = slices.Insert(s.active, at, j)
-	s.log.Info("job taken", events.JobAdded, zap.String("job", spec.ID), zap.String("queue", spec.Queue),
+	s.log.Info("job added", events.JobAdded, zap.String("job", spec.ID), zap.String("queue", spec.Queue),
 		zap.Int("tasks", j.tasksLeft), zap.Int("priority", j.rank.Priority), zap.Duration("due_in", j.rank.Due.Sub(now)),
 		zap.Bool("uncertain", uncertain))
 	s.finishIfDone(now, j)
 }
 
-// carriedProgress returns the progress with which a job came from another shard, or nil.
+// carriedProgress returns the progress that a job brought from another shard, or nil.
 func (s *Shard) carriedProgress(spec *cluster.Job) *Progress {
 	if len(spec.CarriedProgress) == 0 {
 		return nil
 	}
 	p, err := ParseProgress(spec.CarriedProgress, 0)
 	if err != nil {
-		s.log.Warn("carried progress skipped", events.RowSkipped, zap.String("job", spec.ID), zap.Error(err))
+		s.log.Warn("progress of a moved job not readable, job starts anew", events.RowSkipped, zap.String("job", spec.ID), zap.Error(err))
 		return nil
 	}
 	p.Moving = false
 	return p
 }
 
+// buildSteps creates the steps and tasks of all repeats of a job.
 func (s *Shard) buildSteps(j *job, now time.Time, uncertain bool) {
 	for k := range max(1, j.spec.Repeats) {
 		rep := &repeat{due: now}
@@ -204,7 +212,8 @@
 	}
 }
 
-// buildTasks makes the tasks of a step, also those that another shard runs.
+// buildTasks creates all tasks of a step. Those that another shard runs count as done
+// here.
 func (s *Shard) buildTasks(st *step, uncertain bool) {
 	for x := range st.spec.Count {
 		t := &task{
@@ -212,7 +221,6 @@
 			lastRun: s.params.Epoch * runsPerEpoch, uncertain: uncertain,
 		}
 		if !st.job.spec.MayRun(st.spec, x) {
-			// Another shard runs it; here there is nothing left to do for it.
 			t.done, t.uncertain = true, false
 			st.done++
 		}
@@ -246,7 +254,8 @@
 	}
 }
 
-// ready reports whether the step's tasks may start at now.
+// ready reports whether the step is due and all steps that it depends on are done. The
+// tasks of a participant start only while the lead keeps asking about them.
 func (st *step) ready(now time.Time) bool {
 	if now.Before(st.repeat.due) {
 		return false
@@ -262,7 +271,7 @@
 	return true
 }
 
-// CancelJob cancels a job: nothing of it starts any more, and what runs is stopped.
+// CancelJob cancels a job: none of its tasks start any more, and its runs are stopped.
 func (s *Shard) CancelJob(now time.Time, id string) {
 	j := s.jobs[id]
 	if j == nil || j.state.Finished() {
@@ -272,7 +281,7 @@
 	s.finishJob(now, j, cluster.StateCancelled)
 }
 
-// finishJob gives a job its final state and stops what still runs of it.
+// finishJob sets a job's final state and stops its remaining runs.
 func (s *Shard) finishJob(now time.Time, j *job, state cluster.State) {
 	j.state, j.finishedAt = state, now
 	s.markChanged(j)
@@ -286,6 +295,7 @@
 	}
 }
 
+// finishIfDone ends a job as succeeded once all its tasks have.
 func (s *Shard) finishIfDone(now time.Time, j *job) {
 	if j.tasksLeft > 0 || j.state.Finished() || j.isParticipant() {
 		return
@@ -295,7 +305,7 @@
 	s.finishJob(now, j, cluster.StateSucceeded)
 }
 
-// markTaskDone marks a task as done.
+// markTaskDone records that a task has succeeded, and stops its other copies.
 func (s *Shard) markTaskDone(now time.Time, t *task) {
 	if t.done {
 		return
@@ -308,25 +318,25 @@
 	s.markChanged(st.job)
 	for _, r := range t.runs {
 		if !st.spec.Gang {
-			s.stop(now, r, "a copy was faster")
+			s.stop(now, r, "another copy has succeeded")
 		}
 	}
 	s.finishIfDone(now, st.job)
 }
 
-// markChanged notes that the job's progress has to be persisted.
+// markChanged records that the job's progress has to be persisted.
 func (s *Shard) markChanged(j *job) {
 	j.changeCount++
 	s.dirty[j.spec.ID] = j
 }
 
-// endPersisted notes that a job's end is in the store.
+// endPersisted records that a job's final state is in the store.
 func (s *Shard) endPersisted(now time.Time, j *job) {
 	j.finalPersisted, j.finishedAt = true, now
 	s.finished = append(s.finished, j)
 }
 
-// forgetFinished drops jobs whose state callers no longer ask for.
+// forgetFinished drops jobs whose final state has been kept for long enough.
 func (s *Shard) forgetFinished(now time.Time) {
 	for len(s.finished) > 0 && now.Sub(s.finished[0].finishedAt) > s.params.FinishedRetention {
 		id := s.finished[0].spec.ID
@@ -342,15 +352,16 @@
 	}
 }
 
-// TakeForgottenJobs returns the jobs that were dropped since it was called last; nothing in
-// the store is needed of them any more.
+// TakeForgottenJobs returns the jobs that were dropped since the last call; their rows in
+// the store are not needed any more.
 func (s *Shard) TakeForgottenJobs() []string {
 	ids := s.forgotten
 	s.forgotten = nil
 	return ids
 }
 
-// workersByID returns the workers in the order of their IDs; maps are ranged in no order, and decisions must repeat.
+// workersByID returns the workers sorted by ID. The order of a map would make decisions
+// random.
 func workersByID(m map[string]*worker) []*worker {
 	list := make([]*worker, 0, len(m))
 	for _, w := range m {
--- a/internal/scheduler/joint.go
+++ b/internal/scheduler/joint.go
@@ -9,119 +9,126 @@
 	"switchbank.example/switchbank/internal/cluster"
 )
 
-// A gang that no shard can hold, or that fits one only while nearly nothing else runs
-// there, is run by all shards of its service together. Each owner calls its own workers
-// only, under its own epoch, and persists what ends there. The owner that speaks for the
-// job, the lead, asks the others again and again how the gang stands with them, and lets
-// all start their members once there is room for all and nothing of it runs anywhere.
+// A joint gang is one that no single shard can hold, or that fits a shard only while
+// nearly nothing else runs there. All shards of its service run it together. Each owner
+// calls only its own workers, under its own epoch, and persists the ends of its own runs.
+// The owner that is in charge of the job, the lead, repeatedly queries the others, the
+// participants, about the state of the gang, and lets all start their members once there
+// is room for all of them and nothing of the gang runs anywhere.
 //
-// A member runs once at a time, since the lead starts only if every owner has said, knowing
-// all of its workers, that nothing of the gang may run there, and since each owner takes a
-// start only under the epoch with which it said so, from no older lead, and with a number
-// above all that it has heard of. Where the owners' views of a run differ, all stop it.
+// Each member runs at most once at a time. The lead starts the gang only after every
+// owner has said, knowing all of its workers, that nothing of the gang may run there. A
+// participant accepts a start only for the epoch with which it said so, from a lead that
+// has not been replaced, and with a run number above all that it knows. If the owners
+// disagree about a run, all stop it.
 
-// GangQuery asks another shard's owner how a gang stands there.
+// GangQuery asks a participant for the state of a gang in its shard.
 type GangQuery struct {
 	Step StepID `json:"step"`
-	// Epoch is that of the lead; an owner that has heard a higher one refuses.
+	// Epoch is that of the lead; an owner that has seen a higher one refuses.
 	Epoch int64 `json:"epoch"`
-	// Run is the highest number that a run of the gang has had; none up to it begins any
-	// more, and with Stop what is there is stopped.
+	// Run is the highest run number that the gang has used; no run up to it starts any
+	// more. Stop asks the participant to stop all of the gang's runs.
 	Run  int64 `json:"run"`
 	Stop bool  `json:"stop,omitempty"`
-	// Members is for how many members room is to be kept, and StartsInMS in what time they
+	// Members is for how many members to reserve room, and StartsInMS in what time they
 	// are expected to start.
 	Members    int   `json:"members,omitempty"`
 	StartsInMS int64 `json:"starts_in_ms,omitempty"`
 }
 
-// GangState is how a gang stands with one shard.
+// GangState is the state of a gang in one shard.
 type GangState struct {
 	// Epoch is that of the shard's owner.
 	Epoch int64 `json:"epoch"`
-	// AllKnown is set if the owner knows all that may run of the gang on its workers.
+	// AllKnown is set if the owner knows all runs of the gang that may be on its workers.
 	AllKnown bool `json:"settled,omitempty"`
-	// Busy is set if anything of the gang may run there; Run is the highest number known
-	// there, and Running how many of that run are not being stopped.
+	// Busy is set if any run of the gang may be there. Run is the highest run number
+	// known there, and Running how many members of that run are not being stopped.
 	Busy    bool  `json:"busy,omitempty"`
 	Run     int64 `json:"run"`
 	Running int   `json:"running,omitempty"`
-	// Done is set once a member has succeeded, and Failed are the runs that failed.
+	// Done is set once a member has succeeded, and Failed are the numbers of the runs
+	// that failed.
 	Done       bool    `json:"done,omitempty"`
 	Failed     []int64 `json:"failed,omitempty"`
 	Checkpoint string  `json:"checkpoint,omitempty"`
-	// Ready is how many members could start at once, Soon for how many room comes free in
-	// time, and InMS when there is room for those that were asked for.
+	// Ready is how many members could start now, ReadySoon for how many room comes free
+	// in time, and ReadyInMS in what time there is room for those that were asked for.
 	Ready     int   `json:"ready,omitempty"`
 	ReadySoon int   `json:"soon,omitempty"`
 	ReadyInMS int64 `json:"in_ms,omitempty"`
 }
 
-// GangStart orders another shard's owner to start members of a gang at once.
+// GangStart orders a participant to start members of a gang at once.
 type GangStart struct {
 	Step StepID `json:"step"`
-	// Epoch is that of the lead, and OwnerEpoch the one with which the owner answered.
+	// Epoch is that of the lead, and OwnerEpoch the one with which the participant
+	// answered.
 	Epoch      int64 `json:"epoch"`
 	OwnerEpoch int64 `json:"owner_epoch"`
 	Run        int64 `json:"run"`
-	// From and To are the first member and the one behind the last.
+	// From is the first member, and To the one after the last.
 	From       int    `json:"from"`
 	To         int    `json:"to"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// GangPoll is one question to all other shards of a gang.
+// GangPoll is a round of queries to all participants of a gang.
 type GangPoll struct {
 	Step    StepID
 	Queries []ShardMessage[GangQuery]
 }
 
-// ShardMessage is something for, or of, another shard of a gang.
+// ShardMessage is a message to or from a shard.
 type ShardMessage[T any] struct {
 	Shard cluster.ShardID
 	Body  T
 }
 
-// jointState is what is known of a gang that several shards run together.
+// jointState is what a shard knows about a joint gang.
 type jointState struct {
-	// leadEpoch is the highest epoch of a lead that was heard, and heardAt when.
+	// leadEpoch is the highest epoch of a lead that sent a query, and queriedAt when the
+	// last one came.
 	leadEpoch int64
 	queriedAt time.Time
 	// members and startsAt are as in the last GangQuery.
 	members  int
 	startsAt time.Time
-	// memberPlan are for how many members each shard is to keep room, as the lead would have it.
+	// memberPlan is for how many members the lead wants each shard to reserve room.
 	memberPlan []int
-	// startsIn is in what time the lead expects the start, and stop is set while it wants
-	// what runs of the gang to be stopped.
+	// startsIn is in what time the lead expects the start, and stopRuns is set while it
+	// wants the gang's runs to be stopped.
 	startsIn time.Duration
 	stopRuns bool
-	// loggedAt is when the log last told that the gang waits.
+	// loggedAt is when the wait of the gang was last logged.
 	loggedAt time.Time
 }
 
 const (
-	// gangQueryTTL is for how long a lead's question counts: a shard whose lead has gone keeps
-	// no room and asks for no advice.
+	// gangQueryTTL is how long a lead's query counts: without a lead a participant
+	// reserves no room and requests no advice.
 	gangQueryTTL = 800 * time.Millisecond
-	// gangReservationTTL is for how long room is kept from one question to the next.
+	// gangReservationTTL is how long a reservation lasts from one query to the next.
 	gangReservationTTL = 500 * time.Millisecond
-	// ticketRenewBefore is how long before its end a ticket is renewed: all shards need theirs at
-	// the same time.
+	// ticketRenewBefore is how long before its expiry a ticket is renewed: all shards
+	// need theirs at the same time.
 	ticketRenewBefore = time.Second
 )
 
-// isJoint reports whether several shards run the job's gangs together, and isGuest whether
-// another one speaks for it.
-func (j *job) isJoint() bool       { return j.spec.Share.Joint }
+// isJoint reports whether several shards run the job's gangs together.
+func (j *job) isJoint() bool { return j.spec.Share.Joint }
+
+// isParticipant reports whether another shard leads the job.
 func (j *job) isParticipant() bool { return j.isJoint() && !j.spec.Share.Leads() }
 
-// recentlyQueried reports whether a gang's lead, which may be this owner, has asked lately.
+// recentlyQueried reports whether a gang's lead, which may be this owner, has sent a
+// query within gangQueryTTL.
 func (st *step) recentlyQueried(now time.Time) bool {
 	return now.Sub(st.joint.queriedAt) < gangQueryTTL
 }
 
-// jointGang returns a gang that several shards run together, or nil.
+// jointGang returns the joint gang with this ID, or nil.
 func (s *Shard) jointGang(id StepID) *step {
 	j := s.jobs[id.Job]
 	if j == nil || j.state.Finished() || !j.isJoint() || id.Repeat >= len(j.repeats) || id.Step >= len(j.repeats[id.Repeat].steps) {
@@ -133,8 +140,8 @@
 	return nil
 }
 
-// AnswerGangQuery answers a lead; ok is false if the job isn't known here, or the lead has been
-// replaced.
+// AnswerGangQuery answers a lead's query; ok is false if the job is not known here, or
+// the lead has been replaced.
 func (s *Shard) AnswerGangQuery(now time.Time, q GangQuery) (state GangState, ok bool) {
 	st := s.jointGang(q.Step)
 	if st == nil || q.Epoch < st.joint.leadEpoch {
@@ -144,7 +151,7 @@
 	return s.gangState(now, st), true
 }
 
-// applyGangQuery notes what a lead asks for, and stops what it wants stopped.
+// applyGangQuery records what a lead asks for, and stops the gang's runs if it says so.
 func (s *Shard) applyGangQuery(now time.Time, st *step, q GangQuery) {
 	st.joint.leadEpoch, st.joint.queriedAt = q.Epoch, now
 	st.joint.members, st.joint.startsAt = q.Members, now.Add(time.Duration(q.StartsInMS)*time.Millisecond)
@@ -154,12 +161,13 @@
 	}
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
-			s.stop(now, r, "gang: not whole")
+			s.stop(now, r, "gang: not all members run")
 		}
 	}
 }
 
-// gangState returns how a gang stands here, and keeps room for it if that is asked for.
+// gangState returns the state of a gang in this shard, and reserves room for it if its
+// lead asks for that.
 func (s *Shard) gangState(now time.Time, st *step) GangState {
 	g := s.gangRunState(st)
 	if g.Busy || g.Done {
@@ -172,7 +180,7 @@
 	return g
 }
 
-// gangRunState returns what of a gang may run here, and what has ended.
+// gangRunState returns the part of a gang's state that concerns its runs.
 func (s *Shard) gangRunState(st *step) GangState {
 	g := GangState{
 		Epoch: s.params.Epoch, AllKnown: !st.job.inherited || s.takeover.complete, Run: st.lastGangRun,
@@ -191,10 +199,10 @@
 	return g
 }
 
-// reserveForJointGang looks for room for all members of a gang, and sets it aside for as many as
-// the lead asks for. Of several such gangs the first in an order that is the same in all
-// shards has room set aside: two that each had a part of what both need would wait for
-// each other.
+// reserveForJointGang looks for room for all members of a gang, and reserves it for as
+// many as the lead asks for. Of several joint gangs only the first gets a reservation, in
+// an order that is the same in all shards: two gangs that each held a part of the room
+// would deadlock.
 func (s *Shard) reserveForJointGang(now time.Time, st *step, g *GangState) {
 	s.releaseReservations(st)
 	places := s.soonestPlacements(now, st, len(st.tasks), maxGangReserveWait)
@@ -208,16 +216,16 @@
 	if s.firstJointGang(now) != st {
 		return
 	}
-	at := now.Add(longest)
-	if at.Before(st.joint.startsAt) {
-		at = st.joint.startsAt
+	startsAt := now.Add(longest)
+	if startsAt.Before(st.joint.startsAt) {
+		startsAt = st.joint.startsAt
 	}
 	for _, p := range places {
-		p.w.reserve(st, now.Add(gangReservationTTL), at)
+		p.w.reserve(st, now.Add(gangReservationTTL), startsAt)
 	}
 }
 
-// firstJointGang returns the gang that comes first of those for which a lead wants room kept.
+// firstJointGang returns the first of the gangs for which a lead asks for reservations.
 func (s *Shard) firstJointGang(now time.Time) (first *step) {
 	for _, j := range s.active {
 		if !j.isJoint() {
@@ -232,14 +240,15 @@
 	return first
 }
 
-// compareGangs orders gangs by what all shards know alike.
+// compareGangs orders gangs only by what is the same in all shards.
 func compareGangs(a, b *step) int {
 	x, y := a.job.spec, b.job.spec
 	return cmp.Or(cmp.Compare(x.Policy.Priority, y.Policy.Priority), cmp.Compare(x.AcceptedMS, y.AcceptedMS),
 		cmp.Compare(x.ID, y.ID), cmp.Compare(a.id.Repeat, b.id.Repeat), cmp.Compare(a.id.Step, b.id.Step))
 }
 
-// startMembersHere starts some members of a gang here, or none if there is no room for all of them.
+// startMembersHere starts some members of a gang in this shard, or none if there is no
+// room for all of them.
 func (s *Shard) startMembersHere(now time.Time, st *step, from, to int, run int64, checkpoint string) bool {
 	places := s.placeMembers(now, st, to-from, anyWorker)
 	if places == nil {
@@ -251,7 +260,8 @@
 	return true
 }
 
-// StartGangMembers starts members of a gang for its lead; false: none was started.
+// StartGangMembers starts members of a gang by order of its lead; false: none was
+// started.
 func (s *Shard) StartGangMembers(now time.Time, g GangStart) bool {
 	st := s.jointGang(g.Step)
 	if st == nil || g.OwnerEpoch != s.params.Epoch || g.Epoch < st.joint.leadEpoch || g.Run <= st.lastGangRun ||
@@ -264,9 +274,9 @@
 	return s.startMembersHere(now, st, g.From, g.To, g.Run, g.Checkpoint)
 }
 
-// requestJointAdvice asks for advice on this shard's workers for a gang that its lead asks about:
-// on all of them that could hold a member, since the lead needs to know for how many of the
-// gang there is room, and again before tickets run out.
+// requestJointAdvice requests advice on all workers of this shard that could hold a
+// member of a gang, since its lead needs to know for how many there is room, and again
+// before tickets expire.
 func (s *Shard) requestJointAdvice(now time.Time, st *step) {
 	if !st.recentlyQueried(now) || !st.needsTicket() {
 		return
@@ -278,10 +288,10 @@
 	s.renewTickets(now, st)
 }
 
-// renewTickets asks about all workers that are known to be good once a ticket of one of
-// them ends soon. Room comes and goes within tenths of a second on busy workers, and has to
-// be there in all shards at once: tickets that were asked for where there was room came too
-// late for it.
+// renewTickets requests new tickets for all approved workers once one of their tickets is
+// about to expire. On busy workers room comes and goes within tenths of a second, and it
+// has to be there in all shards at once: tickets requested only where there was room
+// arrived too late for it.
 func (s *Shard) renewTickets(now time.Time, st *step) {
 	if !st.mayRequestAdvice(now) {
 		return
@@ -301,7 +311,7 @@
 	}
 }
 
-// ParticipantJobs returns the jobs of which this shard runs members of gangs for another one.
+// ParticipantJobs returns the jobs whose gangs this shard runs as a participant.
 func (s *Shard) ParticipantJobs() (ids []string) {
 	for _, j := range s.active {
 		if j.isParticipant() {
@@ -311,7 +321,7 @@
 	return ids
 }
 
-// ParticipantJobEnded ends a job of which the shard that speaks for it says that it has ended.
+// ParticipantJobEnded ends a job in this shard after its lead has said that it has ended.
 func (s *Shard) ParticipantJobEnded(now time.Time, id string, state cluster.State) {
 	if j := s.jobs[id]; j != nil && j.isParticipant() && !j.state.Finished() {
 		s.finishJob(now, j, state)
--- a/internal/scheduler/jointlead.go
+++ b/internal/scheduler/jointlead.go
@@ -13,9 +13,10 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// What the lead of a gang that several shards run together decides.
+// This file holds the decisions of the lead of a joint gang.
 
-// GangPolls returns what the lead of gangs should ask now.
+// GangPolls returns the queries that this shard should send now for the joint gangs that
+// it leads.
 func (s *Shard) GangPolls(now time.Time) (polls []GangPoll) {
 	for _, j := range s.active {
 		if !j.isJoint() || j.isParticipant() || j.moving {
@@ -30,7 +31,7 @@
 	return polls
 }
 
-// gangPoll returns the questions about one gang, and takes the one to its own shard.
+// gangPoll returns the queries about one gang, and applies the one to its own shard.
 func (s *Shard) gangPoll(now time.Time, st *step) GangPoll {
 	poll, share := GangPoll{Step: st.id}, st.job.spec.Share
 	for i := range share.Of {
@@ -47,14 +48,15 @@
 	return poll
 }
 
-// participantShard returns the shard that has the i-th part of a job that this one speaks for.
+// participantShard returns the shard that has the i-th part of a job that this shard
+// leads.
 func (j *job) participantShard(i int) cluster.ShardID {
 	return cluster.ShardID{Service: j.spec.Service, Index: (j.spec.Shard + i) % j.spec.Share.Of}
 }
 
-// GangStatesReceived takes the answers of all other shards to a round; nil is one without an
-// answer. It returns the starts that are to be ordered elsewhere; those of this shard are
-// ordered already.
+// GangStatesReceived processes the answers of all participants to a poll; nil is one
+// without an answer. It returns the starts to send to them; the members of this shard
+// have been started then.
 func (s *Shard) GangStatesReceived(now time.Time, id StepID, answers []*GangState) []ShardMessage[GangStart] {
 	st := s.jointGang(id)
 	if st == nil || st.done == len(st.tasks) {
@@ -67,7 +69,7 @@
 	sum := sumGangStates(all)
 	st.lastGangRun = max(st.lastGangRun, sum.run)
 	st.joint.stopRuns = sum.busy && sum.running != len(st.tasks)
-	if sum.busy || !sum.settled {
+	if sum.busy || !sum.allKnown {
 		return nil
 	}
 	if sum.ready >= len(st.tasks) {
@@ -78,10 +80,10 @@
 	return nil
 }
 
-// gangWaitLogInterval is how often the log tells what a gang waits for.
+// gangWaitLogInterval is how often the wait of a gang is logged.
 const gangWaitLogInterval = 2 * time.Second
 
-// logGangWaiting tells for how many members there is room now, and soon.
+// logGangWaiting logs for how many members each shard has room now, and soon.
 func (s *Shard) logGangWaiting(now time.Time, st *step, all []GangState) {
 	if now.Sub(st.joint.loggedAt) < gangWaitLogInterval {
 		return
@@ -96,7 +98,7 @@
 		zap.Duration("starts_in", st.joint.startsIn))
 }
 
-// receivedStates returns the answers that are there.
+// receivedStates returns the answers that have arrived.
 func receivedStates(answers []*GangState) (list []GangState) {
 	for _, a := range answers {
 		if a != nil {
@@ -106,8 +108,9 @@
 	return list
 }
 
-// applyGangEnds takes what others have seen end: a member that succeeded stands for all, and a
-// run that failed counts wherever it did. It reports whether the gang has ended.
+// applyGangEnds processes the ends that the shards report: the success of one member
+// counts for all, and a run that failed counts wherever it did. It reports whether the
+// gang has ended.
 func (s *Shard) applyGangEnds(now time.Time, st *step, all []GangState) bool {
 	for _, g := range all {
 		if g.Done {
@@ -127,19 +130,20 @@
 	return s.failJobIfOutOfAttempts(now, st.tasks[0])
 }
 
-// gangTotals is what the states of all shards come to.
+// gangTotals is the state of a gang over all shards.
 type gangTotals struct {
 	run            int64
 	running, ready int
-	busy, settled  bool
+	busy, allKnown bool
 }
 
+// sumGangStates combines the states of a gang in all shards.
 func sumGangStates(all []GangState) gangTotals {
-	sum := gangTotals{settled: true}
+	sum := gangTotals{allKnown: true}
 	for _, g := range all {
 		sum.run = max(sum.run, g.Run)
 		sum.busy = sum.busy || g.Busy
-		sum.settled = sum.settled && g.AllKnown
+		sum.allKnown = sum.allKnown && g.AllKnown
 		sum.ready += g.Ready
 	}
 	for _, g := range all {
@@ -150,8 +154,9 @@
 	return sum
 }
 
-// planMembers divides a gang among the shards by the room that comes free there in time. Without
-// room for all of it none is kept: work beside it would wait for nothing.
+// planMembers divides a gang among the shards in proportion to the room that comes free
+// there in time. Unless there is room for all members, none is reserved: other work would
+// wait for nothing.
 func (jt *jointState) planMembers(members int, all []GangState) {
 	total, longestMS := 0, int64(0)
 	for _, g := range all {
@@ -175,8 +180,8 @@
 	}
 }
 
-// startGang divides a gang among the shards that are ready, those that can take the most
-// first, starts the members of this one and returns the starts of the others.
+// startGang divides a gang among the shards that have room, those with the most first,
+// starts the members of this one and returns the starts of the others.
 func (s *Shard) startGang(now time.Time, st *step, all []GangState) (starts []ShardMessage[GangStart]) {
 	run, checkpoint := st.lastGangRun+1, ""
 	order := make([]int, len(all))
@@ -209,7 +214,8 @@
 	return starts
 }
 
-// GangNotStarted notes that another shard has not started its members of a run, or may not have.
+// GangNotStarted records that a participant has not started its members of a run, or may
+// not have.
 func (s *Shard) GangNotStarted(now time.Time, id StepID, run int64) {
 	st := s.jointGang(id)
 	if st == nil || st.lastGangRun != run {
@@ -220,7 +226,8 @@
 	s.stopGangRun(now, st, run, "not started by all shards")
 }
 
-// SetJoint notes that all shards run the job's gangs together from now on; this one speaks for it.
+// SetJoint records that all shards run the job's gangs together from now on, and that
+// this shard leads the job.
 func (s *Shard) SetJoint(spec cluster.Job) {
 	j := s.jobs[spec.ID]
 	if j == nil || !j.moving {
--- a/internal/scheduler/leaving.go
+++ b/internal/scheduler/leaving.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// directoryGap is from when the directory counts as not read. Each worker announces
-	// itself every 1.5 s, and all may do so together; entries lapse after three times that
-	// only, so that an outage which is shorter than this takes none with it.
+	// directoryGap is the time without a read after which the directory counts as not
+	// read. All workers announce themselves every 1.5 s, maybe at the same moment, and
+	// entries expire after three times that, so that a shorter outage makes no entry
+	// expire.
 	directoryGap = 2 * time.Second
-	// entryReturnTime is how long after an outage of the store entries that lapsed
-	// meanwhile may take to come back (about two seconds), with some slack.
+	// entryReturnTime is how long after an outage of the store expired entries may take
+	// to come back (about two seconds), with some slack.
 	entryReturnTime = 2500 * time.Millisecond
-	// maxLeavingShare is the share of workers that may leave at once without a word; if
-	// more are unlisted, it is the directory that fails.
+	// maxLeavingShare is the share of workers that may leave at once without notice; if
+	// more are unlisted, the directory is taken to have failed.
 	maxLeavingShare = 0.1
-	// minLeavingLimit is how many may, where the share would be less than that.
+	// minLeavingLimit is how many workers may always leave at once, also in a small
+	// shard.
 	minLeavingLimit = 2
 )
 
-// DirectoryRead notes that the directory was read now.
+// DirectoryRead records that the directory was read now.
 func (s *Shard) DirectoryRead(now time.Time) {
 	if now.Sub(s.directoryReadAt) > directoryGap {
 		s.directoryReadSince = now
@@ -33,9 +35,9 @@
 	s.directoryReadAt = now
 }
 
-// detectLeavingWorkers finds workers that still answer but that the directory has dropped:
-// some leave without saying so. While the store is away, and shortly after, entries
-// go for no such reason.
+// detectLeavingWorkers finds workers that still answer but that the directory has
+// dropped: some leave without notice. It ignores entries that expire during or shortly
+// after an outage of the store, or a large share of entries at once.
 func (s *Shard) detectLeavingWorkers(now time.Time) {
 	if now.Sub(s.directoryReadAt) > directoryGap {
 		return
@@ -53,12 +55,12 @@
 			continue
 		}
 		w.leaving, w.leavesAt = true, now.Add(defaultNotice)
-		s.log.Info("worker leaves without notice", events.WorkerLeaving, zap.String("worker", w.info.ID),
+		s.log.Info("worker is leaving without notice", events.WorkerLeaving, zap.String("worker", w.info.ID),
 			zap.Duration("unlisted", now.Sub(w.unlistedAt)), zap.Duration("directory_read_for", now.Sub(s.directoryReadSince)), zap.Int("runs", len(w.runs)))
 	}
 }
 
-// countUnlistedResponsive returns how many workers answer though the directory has
+// countUnlistedResponsive returns how many workers answer although the directory has
 // dropped them.
 func (s *Shard) countUnlistedResponsive() int {
 	n := 0
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -8,25 +8,25 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// loadInterval is how often the load is measured: as often as another node asks for it.
+// loadInterval is how often the load is measured: as often as other nodes ask for it.
 const loadInterval = 100 * time.Millisecond
 
-// Load returns how much of the shard's room is in use or waited for, as it was
-// measured last: 1 is a full shard in which nothing waits.
+// Load returns the share of the shard's capacity that is in use or waited for, as last
+// measured: 1 is a full shard in which nothing waits.
 func (s *Shard) Load() float64 { return s.load }
 
-// unknownLoad is that of a shard whose workers haven't answered yet.
+// unknownLoad is the load of a shard whose workers have not answered yet.
 const unknownLoad = 1.0
 
-// updateLoad measures the load when it is time to.
+// updateLoad measures the load every loadInterval.
 func (s *Shard) updateLoad(now time.Time) {
 	if now.Sub(s.loadMeasuredAt) >= loadInterval {
 		s.load, s.loadMeasuredAt = s.measureLoad(now), now
 	}
 }
 
-// measureLoad holds the work that runs or waits against the room of the workers
-// that take work.
+// measureLoad returns the running and waiting work as a share of the capacity of the
+// workers that accept work.
 func (s *Shard) measureLoad(now time.Time) float64 {
 	var capacity, demand resource.Amount
 	for _, w := range s.workerList {
@@ -44,7 +44,7 @@
 	return demand.DominantShare(capacity)
 }
 
-// waitingDemand returns the room that the job's tasks wait for.
+// waitingDemand returns what the job's waiting tasks need.
 func (j *job) waitingDemand(now time.Time) resource.Amount {
 	var sum resource.Amount
 	for st := range j.steps() {
@@ -55,8 +55,8 @@
 	return sum
 }
 
-// waitingTasksHere is waiting for this shard's part: a gang that several shards run together
-// waits in all of them.
+// waitingTasksHere is waitingTasks for this shard's part: a joint gang waits in all its
+// shards.
 func (st *step) waitingTasksHere() int64 {
 	n := st.waitingTasks()
 	if st.job.isJoint() && st.spec.Gang {
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -9,16 +9,16 @@
 	"switchbank.example/switchbank/internal/cluster"
 )
 
-// Move is a job that would better run on another shard.
+// Move is a job that another shard may run better.
 type Move struct {
 	Job cluster.Job
 	// Version is that of the job's progress row; 0: there is none. Mark is the progress
-	// that says that the job is moving.
+	// to write first, which says that the job is moving.
 	Version int64
 	Mark    []byte
-	// Carried is the progress that goes with the job; nil: it hasn't begun.
+	// Carried is the progress that goes with the job; nil: it has not begun.
 	Carried []byte
-	// Unfit is set if the workers of this shard can never run one of its steps.
+	// Unfit is set if the workers of this shard can never run one of the job's steps.
 	Unfit bool
 	// Joint is set if all shards should run the job's gangs together.
 	Joint bool
@@ -31,24 +31,26 @@
 	// moveGangDelay is the same for a job whose gang waits: advice on all workers of
 	// another shard takes up to two seconds.
 	moveGangDelay = 4 * time.Second
-	// moveMinLoad is the load from which jobs move away for want of room.
+	// moveMinLoad is the load from which jobs move away for lack of room.
 	moveMinLoad = 1.0
 	// maxMoves is how often a job may move.
 	maxMoves = 8
-	// jointDelay is how long a gang waits that fits its shard only while little else runs
-	// there, before all shards run it together.
+	// jointDelay is how long a gang that fits its shard only while little else runs there
+	// waits before all shards run it together.
 	jointDelay = 1500 * time.Millisecond
-	// jointMaxFit is how many times a gang must fit a shard not to count as such.
+	// jointMaxFit is how many times a gang must fit into its empty shard not to become
+	// joint.
 	jointMaxFit = 2
-	// jointMinMoves is after how many moves a gang that its shard can't hold is run by all
-	// shards together: another shard may hold it alone, which takes less.
+	// jointMinMoves is after how many moves a gang that its shard can't hold becomes
+	// joint: another shard may hold it alone, which takes less time.
 	jointMinMoves = 1
 )
 
-// BeginMoves returns jobs of which nothing runs and which would better run elsewhere, at most
-// n: those that have not begun, and others if the workers here can't run their next steps.
-// Each must be answered by CompleteMove or CancelMove; until then nothing of it starts. Those that
-// stayed go behind the others: there may be no better shard for them at all.
+// BeginMoves returns at most n jobs that another shard may run better and of which
+// nothing runs: jobs that have not begun, and others if the workers here can't run their
+// next steps. Nothing of a returned job starts until CompleteMove or CancelMove is called
+// for it. Jobs whose move was cancelled are offered after the others, since there may be
+// no better shard for them.
 func (s *Shard) BeginMoves(now time.Time, n int) []Move {
 	if s.takeover.open {
 		return nil
@@ -69,14 +71,14 @@
 	return list
 }
 
-// moveCandidate is a job that may move; unfit and join are as in Move.
+// moveCandidate is a job that may move; unfit and joint are as in Move.
 type moveCandidate struct {
 	job          *job
 	unfit, joint bool
 }
 
-// moveCandidates returns the jobs that may move: those first that this shard can never run,
-// and of each kind those that were offered, or taken, the longest ago.
+// moveCandidates returns the jobs that may move: first those that this shard can never
+// run, and of each kind those first whose last offer was the longest ago.
 func (s *Shard) moveCandidates(now time.Time) []moveCandidate {
 	var list []moveCandidate
 	for _, j := range s.active {
@@ -101,8 +103,8 @@
 	return list
 }
 
-// movingMark returns the progress that says that a job is moving. It is newer than any
-// that was persisted of the job.
+// movingMark returns the progress that says that a job is moving. It is newer than all
+// progress of the job that was persisted before.
 func (s *Shard) movingMark(j *job) []byte {
 	j.changeCount++
 	p := j.progress()
@@ -110,8 +112,9 @@
 	return s.encodeProgress(j, p)
 }
 
-// mayMove reports whether the job is whole, nothing of it may run, and it has moves left.
-// While progress of it is being written it waits, since that write would replace the mark.
+// mayMove reports whether the job is not split over shards, nothing of it may be running,
+// and it has moves left. It does not move while its progress is being written, since that
+// write would replace the mark.
 func (s *Shard) mayMove(j *job) bool {
 	if j.moving || s.dirty[j.spec.ID] != nil || !j.spec.Share.Whole() || j.spec.Moves >= maxMoves || j.mayBeRunning() {
 		return false
@@ -119,7 +122,7 @@
 	return !j.inherited || s.takeover.complete
 }
 
-// mayBeRunning reports whether anything of the job may run.
+// mayBeRunning reports whether any run of the job may be on a worker.
 func (j *job) mayBeRunning() bool {
 	if !j.begun {
 		return false
@@ -132,16 +135,16 @@
 	return false
 }
 
-// movedJob is what is remembered of a job that went to another shard.
+// movedJob is what is remembered of a job that moved to another shard.
 type movedJob struct {
-	// moves is the job's count of moves when it went.
+	// moves is the job's number of moves when it left.
 	moves int
 	at    time.Time
 }
 
-// CompleteMove forgets a job that belongs to another shard now. Its row may still come by
-// the feed, and its acceptance from a slow node: neither brings it back. CompleteMove returns
-// the version of its progress row, or 0.
+// CompleteMove forgets a job that belongs to another shard now, and returns the version
+// of its progress row, or 0. Neither the job's row, which the feed may still deliver, nor
+// its acceptance by a slow node brings it back.
 func (s *Shard) CompleteMove(now time.Time, id string) (version int64) {
 	j := s.jobs[id]
 	if j == nil || !j.moving {
@@ -154,7 +157,7 @@
 	return j.version
 }
 
-// CancelMove lets a job that didn't move start here.
+// CancelMove lets a job that has not moved start here.
 func (s *Shard) CancelMove(id string) {
 	if j := s.jobs[id]; j != nil {
 		j.moving = false
@@ -176,8 +179,8 @@
 	return false
 }
 
-// needsJoint reports whether all shards should run the job's gangs together; unfit is a step of
-// it that this shard can't hold, or nil.
+// needsJoint reports whether all shards should run the job's gangs together; unfit is a
+// step of the job that this shard can't hold, or nil.
 func (s *Shard) needsJoint(now time.Time, j *job, unfit *step) bool {
 	if unfit != nil {
 		return unfit.spec.Gang && j.spec.Moves >= jointMinMoves
@@ -185,7 +188,7 @@
 	return s.waitsForTightGang(now, j)
 }
 
-// waitsForTightGang reports whether a gang of the job has waited for a while, and its
+// waitsForTightGang reports whether a gang of the job has waited for jointDelay, and its
 // shard holds it only while little else runs there.
 func (s *Shard) waitsForTightGang(now time.Time, j *job) bool {
 	for st := range j.steps() {
@@ -197,7 +200,7 @@
 	return false
 }
 
-// unfitStep returns a step of the job that is left and can never run here, or nil.
+// unfitStep returns an unfinished step of the job that can never run here, or nil.
 func (s *Shard) unfitStep(j *job) *step {
 	if len(s.workerList) == 0 {
 		return nil
@@ -210,9 +213,9 @@
 	return nil
 }
 
-// canHold reports whether the shard's workers could run a step if they were free: one task
-// at least, and all together of a gang or of tasks that last. Workers that advice rejects
-// don't count; those that it was not asked about do.
+// canHold reports whether the shard's workers could run a step if they were empty: at
+// least one task, or all tasks at once of a gang or a long-running step. Workers that the
+// advice service has rejected don't count; those that it was not asked about do.
 func (s *Shard) canHold(st *step) bool {
 	need := 1
 	if st.spec.Gang || st.spec.LongRunning {
@@ -221,9 +224,9 @@
 	return s.maxTasksHere(st, need) >= need
 }
 
-// maxTasksHere returns how many tasks of a step the shard's workers could run if they were
-// free, or so many as are enough.
-func (s *Shard) maxTasksHere(st *step, enough int) (room int) {
+// maxTasksHere returns how many tasks of a step the shard's workers could run if they
+// were empty. It stops counting at enough.
+func (s *Shard) maxTasksHere(st *step, enough int) (count int) {
 	for _, w := range s.workerList {
 		if w.info.Draining || w.leaving || w.entryInvalid || (st.spec.Label != "" && !w.info.HasLabel(st.spec.Label)) {
 			continue
@@ -231,9 +234,9 @@
 		if ans, known := st.advice.answers[w.info.ID]; known && !ans.approved {
 			continue
 		}
-		if room += int(fitsIn(w.info.Capacity, st)); room >= enough {
-			return room
+		if count += int(fitsIn(w.info.Capacity, st)); count >= enough {
+			return count
 		}
 	}
-	return room
+	return count
 }
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -11,11 +11,12 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// maxListedEnds is how many ends a worker lists at once. Behind a full list there may be more,
-// so that a run which is not in it may have ended.
+// maxListedEnds is how many ends a worker lists in one report. After a full list there
+// may be more, so that a run which is missing from it may have ended.
 const maxListedEnds = 500
 
-// Observe takes a worker's report, the answer to the hold with that number.
+// Observe processes a worker's report, the answer to the hold with that number. Reports
+// that arrive out of order are ignored.
 func (s *Shard) Observe(now time.Time, id string, seq int64, report cluster.Report) {
 	w := s.workers[id]
 	if w == nil || seq <= w.lastReportedHold || !s.resolveIncarnation(now, w, report.Started) {
@@ -57,22 +58,23 @@
 	}
 }
 
-// resolveIncarnation takes the start that a worker's answer tells, and reports whether the answer is
-// of the life known. One that is of another life is the last that the old one gets: what the
-// new one runs shows once it has taken an order of its own generation.
+// resolveIncarnation reports whether a worker's answer is from the known incarnation, by
+// the start time that it tells. An answer from another incarnation ends the known one and
+// is not processed any further: what the new one runs is known once it has accepted an
+// order of its own generation.
 func (s *Shard) resolveIncarnation(now time.Time, w *worker, started int64) bool {
 	if w.relationTo(started, true) == newerIncarnation {
 		s.replaceIncarnation(now, w, started)
 		return false
 	}
 	if w.started != started {
-		// Nothing was known of it but an entry, or what the last owner left.
+		// Only a directory entry, or the last owner's data, was known of it.
 		w.started, w.entryMissing = started, w.info.Started != started
 	}
 	return true
 }
 
-// observeRun takes one entry of what a worker runs.
+// observeRun processes one run that a worker reports as running.
 func (s *Shard) observeRun(now time.Time, w *worker, e cluster.RunStatus) {
 	r := s.runs[runKey{e.Task, e.Run}]
 	if r == nil {
@@ -84,8 +86,9 @@
 	if r.state == runStarting {
 		r.state = runRunning
 	}
-	// Answers pass each other: one to a question that was asked before this list was read
-	// may be older than the run, which then ran twice.
+	// Reports may arrive out of order: one for a hold that was sent before this report
+	// was processed may be older than the run, which would then be taken for lost and run
+	// twice.
 	r.knownSinceHold, r.accepted = w.holdsSent, true
 	t := r.task
 	t.uncertain = false
@@ -105,8 +108,8 @@
 	}
 }
 
-// adoptRun takes over a run that an earlier owner started, or that was thought
-// lost; what must not run is stopped.
+// adoptRun adds a run that an earlier owner started, or that was thought lost, and stops
+// it if it must not run.
 func (s *Shard) adoptRun(now time.Time, w *worker, e cluster.RunStatus) *run {
 	t := s.task(e.Task)
 	if t == nil {
@@ -114,7 +117,7 @@
 		if s.mayBeUnread(e.Task.Job) {
 			return nil
 		}
-		s.log.Warn("run of no known task", events.RunUnknown, zap.Stringer("task", e.Task), zap.Int64("run", e.Run), zap.String("worker", w.info.ID))
+		s.log.Warn("run of an unknown task", events.RunUnknown, zap.Stringer("task", e.Task), zap.Int64("run", e.Run), zap.String("worker", w.info.ID))
 		s.emit(Stop{Order: s.orderFor(w), Task: e.Task, Run: e.Run})
 		return nil
 	}
@@ -133,7 +136,7 @@
 	return r
 }
 
-// dropUnlisted drops runs that the report should list and doesn't.
+// dropUnlisted drops the runs that the report should list but does not.
 func (s *Shard) dropUnlisted(now time.Time, w *worker, seq int64, listed map[runKey]bool) {
 	for _, r := range sortedRuns(w.runs) {
 		if listed[r.key()] || seq <= r.knownSinceHold || r.state == runStarting {
@@ -143,7 +146,7 @@
 			s.stop(now, r, "start not answered")
 			continue
 		}
-		s.log.Info("run is not there", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
+		s.log.Info("run not on its worker", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
 			zap.String("worker", w.info.ID), zap.String("cause", "not listed"), zap.Bool("stopped", r.stopped))
 		s.dropRun(r)
 		s.stopOtherMembers(now, r, "a member is gone")
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// fullPace is the share at which a run starts; paceUnknown stands for that of a
-	// run whose last change was not answered, or which an earlier owner started.
+	// fullPace is the pace at which a run starts; paceUnknown stands for that of a run
+	// whose last change was not answered, or which an earlier owner started.
 	fullPace    = 100
 	paceUnknown = -1
-	// paceHigh and paceLow are shares of a serving task's latency target: above
-	// the first the fillers beside it are slowed, below the second they recover.
+	// paceHigh and paceLow are shares of a serving task's latency target: above the first
+	// the best-effort tasks beside it are slowed, below the second they recover.
 	paceHigh = 0.85
 	paceLow  = 0.6
-	// paceStep is how much a filler gets back after each calm period.
+	// paceStep is how much pace a best-effort task gets back after each calm period.
 	paceStep = 25
-	// paceCalmPeriod is the calm period before a filler gets more, and paceEvery the
-	// least time between two changes: a change works after 0.1 s and shows in
-	// the figure of the last half second.
+	// paceCalmPeriod is how long the latency must stay low before a best-effort task gets
+	// more, and paceMinInterval the least time between two changes: a change takes effect
+	// after 0.1 s and shows in the latency of the last half second.
 	paceCalmPeriod  = 1500 * time.Millisecond
 	paceMinInterval = 600 * time.Millisecond
-	// paceTrialDelay is how long a filler is held entirely before it is tried at minPace while
-	// the tail is under paceHigh: the serving task's own may never be under paceLow.
+	// paceTrialDelay is how long a best-effort task is paused before it is tried at
+	// minPace while the latency is under paceHigh: with the serving task alone it may
+	// never be under paceLow.
 	paceTrialDelay = 4 * time.Second
 )
 
-// paceBestEffortRuns slows tasks that fill beside serving tasks whose latency nears its target.
+// paceBestEffortRuns slows best-effort tasks beside serving tasks whose latency nears its
+// target.
 func (s *Shard) paceBestEffortRuns(now time.Time) {
 	for _, w := range s.workerList {
 		if w.silent || !w.answered {
@@ -58,6 +60,8 @@
 	}
 }
 
+// adjustPace changes the pace of a best-effort run; worst is the highest latency beside it
+// as a share of its target.
 func (s *Shard) adjustPace(now time.Time, r *run, worst float64, serving bool) {
 	if now.Sub(r.paceSetAt) < paceMinInterval {
 		return
@@ -92,5 +96,5 @@
 	s.emit(SetPace{Order: s.orderFor(r.worker), Task: r.task.id, Run: r.number, Percent: pace})
 }
 
-// minPace is the pace below which a filler is held entirely.
+// minPace is the pace below which a best-effort task is paused.
 const minPace = 15
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -14,7 +14,7 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// placeAll starts what can start, the most urgent first.
+// placeAll starts all tasks that can start now, the most urgent first.
 func (s *Shard) placeAll(now time.Time) {
 	s.round++
 	s.reservingSteps, s.gangReserved = 0, false
@@ -51,6 +51,7 @@
 	return list
 }
 
+// placeStep starts the waiting tasks of a step on the best workers, as far as there is room.
 func (s *Shard) placeStep(now time.Time, st *step) {
 	waiting := st.startable(now)
 	if len(waiting) == 0 {
@@ -67,7 +68,8 @@
 		}
 	}
 	if st.spec.LongRunning {
-		// The first ones by number would take each place, and the last ones none.
+		// By number, the first tasks would take every free place and the last ones would
+		// starve.
 		slices.SortStableFunc(waiting, func(a, b *task) int { return a.waitingSince.Compare(b.waitingSince) })
 	}
 	placed := 0
@@ -85,7 +87,8 @@
 	s.handleUnplaced(now, st, len(waiting)-placed)
 }
 
-// handleUnplaced handles tasks of a step for which there is no worker now.
+// handleUnplaced asks for advice, reserves room or preempts others for the tasks of a
+// step that found no worker.
 func (s *Shard) handleUnplaced(now time.Time, st *step, left int) {
 	if left == 0 {
 		st.waitingSince = time.Time{}
@@ -112,24 +115,28 @@
 		within = min(slack-slackMargin, maxReserveWait)
 	}
 	s.reserve(now, st, left, within)
-	// What is late already stops nobody's work, which would be late for it in turn: mean
-	// worth of six days of a full service 0.866, and 0.860 without.
+	// A step that is late already does not preempt others, which would be late in turn:
+	// the mean score over six days of a full service was 0.866 with this rule and 0.860
+	// without.
 	if slack >= 0 {
 		s.preempt(now, st, left)
 	}
 }
 
-// awaitsAdvice reports whether a step that waits has a call for advice open now.
+// awaitsAdvice reports whether a waiting step has an open call for advice, and opens one
+// if that helps.
 func (s *Shard) awaitsAdvice(now time.Time, st *step, left int) bool {
 	return s.requestAdvice(now, st, left, true) || st.advice.openCalls > 0 || (!s.hasUsefulTicket(now, st) && s.requestAdvice(now, st, left, false))
 }
 
-// makeRoomForLongRunning sets room aside for tasks that last, or stops less urgent work for them if none
-// comes free at once. While advice is asked for, others would take the room meanwhile.
+// makeRoomForLongRunning reserves room for long-running tasks, or preempts less urgent
+// work if none comes free at once. Room is reserved while a call for advice is open too,
+// since others would take it meanwhile.
 func (s *Shard) makeRoomForLongRunning(now time.Time, st *step, left int, awaiting bool) {
 	if !awaiting {
 		if st.waitTime(now) < preemptAfter {
-			// Later it isn't counted on: what is overdue seems to end at once, each time.
+			// Later the expected ends are not relied on: a run that is overdue always
+			// looks as if it ended at once.
 			s.reserve(now, st, left, preemptAfter)
 		}
 		s.preempt(now, st, left)
@@ -137,11 +144,11 @@
 	s.reserve(now, st, left, maxReserveWait)
 }
 
-// handleUnplacedGang sets room aside for a gang, and asks for advice until the workers that are
-// known to be good could hold gangChoice times as much, so that there is a choice which of
-// them become free, and again, since tickets run out, when they have the room. A gang that
-// asked only about workers with room went on with the few it had found first: one of 124
-// tasks knew 13 of some 66 good ones, and never started.
+// handleUnplacedGang reserves room for a gang, and asks for advice until the approved
+// workers could hold gangOversampling times as many members, so that there is a choice
+// which of them become free. Once they have room now it asks again, since tickets expire.
+// A gang that asked only about workers with free room kept to the few that it found
+// first: one of 124 tasks had 13 of some 66 suitable workers approved, and never started.
 func (s *Shard) handleUnplacedGang(now time.Time, st *step) {
 	s.reserveGang(now, st)
 	if !st.needsTicket() {
@@ -157,8 +164,8 @@
 	}
 }
 
-// approvedRoom returns how many tasks of a step the workers that are known to be good would
-// hold but for those that last, and how many they hold now.
+// approvedRoom returns how many tasks of a step the approved workers could hold beside
+// their long-running tasks, and for how many they have free room now.
 func (s *Shard) approvedRoom(now time.Time, st *step) (total, free int) {
 	for _, w := range s.workerList {
 		if st.advice.answers[w.info.ID].approved && s.usable(now, w, st) {
@@ -169,7 +176,7 @@
 	return total, free
 }
 
-// longRunningAllocation returns the room of the runs on a worker that last.
+// longRunningAllocation returns what the long-running tasks on a worker allocate.
 func (w *worker) longRunningAllocation() (sum resource.Amount) {
 	for _, r := range w.runs {
 		if r.task.step.spec.LongRunning {
@@ -179,8 +186,8 @@
 	return sum
 }
 
-// countStartable returns for how many tasks of a step there is room on workers on which they may
-// start now.
+// countStartable returns how many tasks of a step could start now, by free room and valid
+// tickets.
 func (s *Shard) countStartable(now time.Time, st *step) (n int) {
 	for _, w := range s.workerList {
 		if !s.usable(now, w, st) {
@@ -196,9 +203,10 @@
 	return n
 }
 
-// hasUsefulTicket reports whether the step holds a valid ticket for a worker on which one more
-// of its tasks could run once others have ended or been stopped. Those of workers with as
-// many of its tasks as they may have kept a step from asking about any others.
+// hasUsefulTicket reports whether the step holds a valid ticket for a worker on which one
+// more of its tasks could run once others have ended or been stopped. Tickets of workers
+// that already run MaxPerWorker of its tasks do not count: they kept a step from asking
+// about any other worker.
 func (s *Shard) hasUsefulTicket(now time.Time, st *step) bool {
 	for _, w := range s.workerList {
 		if _, ok := st.ticket(now, w.info.ID); ok && s.fitsWhenIdle(now, w, st) {
@@ -208,20 +216,20 @@
 	return false
 }
 
-// fitsWhenIdle reports whether one more task of the step could run on a worker if all that
-// runs there, but for what lasts, had ended.
+// fitsWhenIdle reports whether one more task of the step could run on a worker if all
+// runs there had ended but the long-running ones.
 func (s *Shard) fitsWhenIdle(now time.Time, w *worker, st *step) bool {
 	return s.usableAfterWait(now, w, st) && s.spreadAllows(w, st, 0) && w.info.Capacity.Sub(w.longRunningAllocation()).Fits(st.spec.Allocation())
 }
 
-// usable reports whether a worker may run tasks of the step, room and tickets aside.
-// One that runs what no known job explains may not: how much room that takes isn't
-// known, and after a takeover not even how much the worker has.
+// usable reports whether a worker may run tasks of the step, apart from room and tickets.
+// A worker with runs of unknown jobs may not: how much room they take is unknown, and
+// after a takeover even how much the worker has.
 func (s *Shard) usable(now time.Time, w *worker, st *step) bool {
 	return s.eligible(now, w, st) && w.health.acceptsTask(now, w)
 }
 
-// eligible is usable for a worker whose health is left aside.
+// eligible is usable without regard to the worker's health.
 func (s *Shard) eligible(now time.Time, w *worker, st *step) bool {
 	return w.available() && len(w.unknownRuns) == 0 && !st.avoidsWorker(now, w) && !now.Before(w.busyUntil) &&
 		w.info.Service == st.job.spec.Service &&
@@ -229,7 +237,7 @@
 		w.info.Capacity.Fits(st.spec.Allocation())
 }
 
-// noteFailedOn notes that a member of a gang failed on a worker.
+// noteFailedOn records that a member of the gang failed on a worker.
 func (st *step) noteFailedOn(now time.Time, w *worker) {
 	if st.failedOn == nil {
 		st.failedOn = make(map[string]time.Time)
@@ -237,20 +245,21 @@
 	st.failedOn[w.info.ID] = now
 }
 
-// avoidsWorker reports whether a member of the gang has failed on the worker lately. One worker
-// that fails all that it starts used up all attempts of a gang, which came back to it.
+// avoidsWorker reports whether a member of the gang has failed on the worker recently. A
+// single worker that failed all that it started used up all attempts of a gang, which was
+// placed there again each time.
 func (st *step) avoidsWorker(now time.Time, w *worker) bool {
 	at, failed := st.failedOn[w.info.ID]
 	return failed && now.Sub(at) < avoidBeforeLastAttempt
 }
 
-// usableAfterWait is usable for a step whose tasks, where they last and have waited for a while,
-// may also run on workers that are set aside.
+// usableAfterWait is usable, except that long-running tasks that have waited for
+// quarantineOverrideWait may also run on quarantined workers.
 func (s *Shard) usableAfterWait(now time.Time, w *worker, st *step) bool {
 	return s.eligible(now, w, st) && (w.health.acceptsTask(now, w) || (st.spec.LongRunning && st.waitTime(now) >= quarantineOverrideWait))
 }
 
-// waitTime returns for how long the step has waitTime for room.
+// waitTime returns for how long the step has been waiting for room.
 func (st *step) waitTime(now time.Time) time.Duration {
 	if st.waitingSince.IsZero() {
 		return 0
@@ -258,30 +267,31 @@
 	return now.Sub(st.waitingSince)
 }
 
-// acceptsStarts reports whether anything new may start on the worker, room aside.
+// acceptsStarts reports whether new runs may start on the worker, apart from room.
 func (w *worker) acceptsStarts(now time.Time) bool {
 	return w.available() && w.health.acceptsTask(now, w)
 }
 
-// available reports whether the worker answers, and neither leaves nor has an entry that is
-// invalid or of another life.
+// available reports whether the worker responds, is not leaving, and has a valid
+// directory entry of its present incarnation.
 func (w *worker) available() bool {
 	return w.responsive() && !w.info.Draining && !w.leaving && !w.entryInvalid && w.nextEntry == nil && !w.entryMissing
 }
 
 const (
-	// avoidDuration is how long a task that failed or crawled waits for another worker than
-	// the one on which it did.
+	// avoidDuration is how long a task that failed or was slow on a worker waits for
+	// another one.
 	avoidDuration = time.Second
-	// avoidBeforeLastAttempt is the same before its last attempt. Where the other workers take nothing
-	// for a while, a job in 300 failed with all its attempts on a worker that fails all.
+	// avoidBeforeLastAttempt is the same before the task's last attempt. Where the other
+	// workers accepted nothing for a while, one job in 300 used up all its attempts on a
+	// worker that fails everything.
 	avoidBeforeLastAttempt = 4 * time.Second
 )
 
-// bestWorkerFor returns the worker on which a task should start. One that lasts and has
-// waited takes one that is set aside if there is no other: tasks that are to be at work
-// within seconds waited for 21 s while 30 of 48 workers were (70% of them failed what
-// they started for 60 s).
+// bestWorkerFor returns the worker on which a task should start. A long-running task that
+// has waited may start on a quarantined worker if there is no other: with 30 of 48
+// workers quarantined (70% of them failed what they started for 60 s), tasks that should
+// be running within seconds waited for 21 s.
 func (s *Shard) bestWorkerFor(now time.Time, t *task) *worker {
 	w := s.bestHealthyWorkerFor(now, t)
 	if w == nil && t.step.spec.LongRunning && now.Sub(t.waitingSince) >= quarantineOverrideWait {
@@ -290,9 +300,10 @@
 	return w
 }
 
-// bestHealthyWorkerFor returns the worker on which a task should start, of those that aren't
-// set aside. A task that has failed or crawled goes elsewhere, and with its last attempt to
-// a worker that is proven if there is one, and to none on which a run has failed since.
+// bestHealthyWorkerFor returns the worker on which a task should start, of those that are
+// not quarantined. A task that has failed or was slow goes to another worker; with its
+// last attempt it prefers a proven worker, and takes none on which a run has failed
+// recently.
 func (s *Shard) bestHealthyWorkerFor(now time.Time, t *task) *worker {
 	isLast := len(t.failed) > 0 && !t.step.spec.LongRunning && t.attemptsLeft() <= 1
 	avoid := avoidDuration
@@ -314,23 +325,24 @@
 	})
 }
 
-// anyWorker allows all workers.
+// anyWorker accepts all workers.
 func anyWorker(*worker) bool { return true }
 
-// bestWorker returns the worker on which the next task of the step should
-// start: near its data, then where the least room is left over. Extra is room
-// that this decision has already given away, by worker.
+// bestWorker returns the worker on which the next task of the step should start: one near
+// its data first, then the one on which the least room is left over. extra counts the
+// tasks that this decision has already placed, by worker.
 func (s *Shard) bestWorker(now time.Time, st *step, extra map[*worker]int, allowed func(*worker) bool) *worker {
 	return s.bestAmong(now, st, extra, func(w *worker) bool { return allowed(w) && s.usable(now, w, st) })
 }
 
-// bestAmong is bestWorker among the workers that are allowed.
+// bestAmong is bestWorker among the workers that are allowed, healthy or not.
 func (s *Shard) bestAmong(now time.Time, st *step, extra map[*worker]int, allowed func(*worker) bool) *worker {
 	var best *worker
 	bestScore := 0.0
 	room := st.spec.Allocation()
 	for _, w := range s.workerList {
-		// Most workers of a busy shard are full, and each step that waits tries all.
+		// This cheap check comes first: most workers of a busy shard are full, and each
+		// waiting step tries all of them.
 		if !w.info.Capacity.Sub(w.used).Fits(room) || !allowed(w) {
 			continue
 		}
@@ -351,6 +363,8 @@
 	return best
 }
 
+// spreadAllows reports whether the step's MaxPerWorker allows one more task on a worker, in
+// addition to extra ones.
 func (s *Shard) spreadAllows(w *worker, st *step, extra int) bool {
 	limit := st.spec.MaxPerWorker
 	if limit == 0 {
@@ -366,14 +380,14 @@
 }
 
 const (
-	// dataRackBonus prefers the rack of a step's data to any saving of room, which
+	// dataRackBonus makes the rack of a step's data outweigh any saving of room, which
 	// counts at most 1.
 	dataRackBonus = 10.0
-	// interferencePenalty keeps what fills away from what serves, and the other way round.
+	// interferencePenalty keeps best-effort tasks and serving tasks apart.
 	interferencePenalty = 5.0
 )
 
-// score rates a worker that would have rest left over.
+// score rates a worker on which rest would be left over; the highest score wins.
 func (s *Shard) score(w *worker, st *step, rest resource.Amount) float64 {
 	score := -rest.DominantShare(w.info.Capacity)
 	if st.spec.BestEffortCPU {
@@ -398,6 +412,7 @@
 	s.startRun(now, t, w, t.lastRun+1)
 }
 
+// startRun orders run number n of a task on a worker.
 func (s *Shard) startRun(now time.Time, t *task, w *worker, n int64) {
 	st := t.step
 	ticket, _ := st.ticket(now, w.info.ID)
@@ -412,7 +427,7 @@
 	}})
 }
 
-// placeGang starts all members at once or none.
+// placeGang starts all members of a gang at once, or none.
 func (s *Shard) placeGang(now time.Time, st *step, waiting []*task) {
 	if len(waiting) < len(st.tasks) {
 		return // members of an earlier run are still there
@@ -436,7 +451,8 @@
 	s.startMembers(now, st.tasks, places, st.lastGangRun+1, st.checkpoint())
 }
 
-// checkpoint returns one of a gang's members, which is valid for all, or "".
+// checkpoint returns the checkpoint of a gang's member, which is valid for all members,
+// or "".
 func (st *step) checkpoint() (checkpoint string) {
 	for _, t := range st.tasks {
 		checkpoint = cmp.Or(t.checkpoint, checkpoint)
@@ -444,7 +460,8 @@
 	return checkpoint
 }
 
-// startMembers starts members of a gang, each on its place, as one run from one checkpoint.
+// startMembers starts members of a gang on the given workers, as one run from one
+// checkpoint.
 func (s *Shard) startMembers(now time.Time, members []*task, places []*worker, run int64, checkpoint string) {
 	for i, t := range members {
 		t.checkpoint = checkpoint
@@ -452,8 +469,8 @@
 	}
 }
 
-// gangPlacement returns a worker for each member, or nil: on one rack where that
-// makes a difference and is possible.
+// gangPlacement returns a worker for each member of a gang, or nil. A gang that asks for
+// one rack gets that while there is one with room, or until oneRackTimeout.
 func (s *Shard) gangPlacement(now time.Time, st *step) []*worker {
 	if st.spec.OneRack {
 		for _, rack := range s.racks() {
@@ -468,15 +485,17 @@
 	return s.placeGangOnRack(now, st, "")
 }
 
-// oneRackTimeout is how long a gang waits for a single rack before it starts
-// across racks, where it takes half as long again.
+// oneRackTimeout is how long a gang waits for a single rack before it starts across
+// racks, where it takes half as long again.
 const oneRackTimeout = time.Second
 
+// placeGangOnRack returns a worker for each member of a gang on a rack, or on any rack if it
+// is "", or nil.
 func (s *Shard) placeGangOnRack(now time.Time, st *step, rack string) []*worker {
 	return s.placeMembers(now, st, len(st.tasks), func(w *worker) bool { return rack == "" || w.info.Rack == rack })
 }
 
-// placeMembers returns a worker of those allowed for each of n members of a gang, or nil.
+// placeMembers returns an allowed worker for each of n members of a gang, or nil.
 func (s *Shard) placeMembers(now time.Time, st *step, n int, allowed func(*worker) bool) []*worker {
 	extra := make(map[*worker]int)
 	places := make([]*worker, 0, n)
@@ -491,6 +510,7 @@
 	return places
 }
 
+// racks returns the racks of the known workers, without duplicates.
 func (s *Shard) racks() []string {
 	var racks []string
 	seen := make(map[string]bool)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,10 +10,12 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// reservationSlack is how much longer than a stop takes its room is kept.
+// reservationSlack is how much longer than a stop takes the room that it frees is
+// reserved.
 const reservationSlack = 500 * time.Millisecond
 
-// preempt stops less urgent runs to make room for n tasks of a step.
+// preempt stops less urgent runs to make room for n tasks of a step, less those with a
+// reservation.
 func (s *Shard) preempt(now time.Time, st *step, n int) {
 	n -= s.reservedTasks(now, st)
 	for range n {
@@ -29,7 +31,7 @@
 	}
 }
 
-// reservedTasks returns for how many tasks of the step room is being made.
+// reservedTasks returns for how many tasks of the step room is reserved.
 func (s *Shard) reservedTasks(now time.Time, st *step) int {
 	n := 0
 	st.reservedOn = slices.DeleteFunc(st.reservedOn, func(w *worker) bool {
@@ -44,6 +46,7 @@
 	return n
 }
 
+// countFits returns how many tasks of one size a total that was made up of them holds.
 func countFits(total, one resource.Amount) int {
 	switch {
 	case one.CPUMilli > 0:
@@ -54,8 +57,8 @@
 	return 1
 }
 
-// cheapestVictims returns the worker where room for one task costs the least
-// work, and the runs to stop there.
+// cheapestVictims returns the worker where making room for one task loses the least work,
+// and the runs to stop there.
 func (s *Shard) cheapestVictims(now time.Time, st *step) (*worker, []*run) {
 	var best *worker
 	var bestRuns []*run
@@ -77,14 +80,14 @@
 	return best, bestRuns
 }
 
-// victimsOn returns the runs on a worker whose end makes room for one more
-// task of the step, the cheapest first, and the work that is lost.
+// victimsOn returns the runs on a worker to stop for one more task of the step, the
+// cheapest first, and the work that is lost; ok is false if stopping runs makes no room.
 func (s *Shard) victimsOn(now time.Time, w *worker, st *step) ([]*run, float64, bool) {
 	free := w.freeFor(now, st).Sub(w.reserved[st].amount)
 	var list []*run
 	for _, r := range w.runs {
 		if r.stopping {
-			// Its room is coming already; whoever stopped it has reserved it.
+			// Its room is being freed already, and reserved by the step that stopped it.
 			continue
 		}
 		other := r.task.step
@@ -111,7 +114,7 @@
 	return victims, cost, free.Fits(st.spec.Allocation()) && len(victims) > 0
 }
 
-// stopCost is the work, in core-seconds, that stopping a run throws away.
+// stopCost is the work, in core-seconds, that is lost by stopping a run.
 func (s *Shard) stopCost(now time.Time, r *run) float64 {
 	cores := float64(r.task.step.spec.Need.CPUMilli) / 1000
 	lost := now.Sub(r.startedAt).Seconds()
@@ -122,9 +125,10 @@
 }
 
 const (
-	// checkpointLoss is the work in seconds that a checkpointing task loses at a
-	// stop; it writes a checkpoint when it is stopped, so little beside the restore.
+	// checkpointLoss is the work in seconds that a checkpointing task loses when it is
+	// stopped: little, since it writes a checkpoint then.
 	checkpointLoss = 0.1
-	// restartCost is the time in seconds of a restart: restoring takes 0.25 to 0.6 s.
+	// restartCost is the time in seconds that a restart takes: restoring takes 0.25 to
+	// 0.6 s.
 	restartCost = 0.4
 )
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -14,13 +14,14 @@
 	State cluster.State `json:"state"`
 	Begun bool          `json:"begun,omitempty"`
 	Steps []StepState   `json:"steps,omitempty"`
-	// Moving marks a job that may be on its way to another shard.
+	// Moving is set while the job may be moving to another shard.
 	Moving bool `json:"m,omitempty"`
-	// Epoch is that of the owner which wrote this, and Change rises with each change
-	// of the job under that owner.
+	// Epoch is that of the owner that wrote this, and Change rises with each change of
+	// the job under that owner.
 	Epoch  int64 `json:"e,omitempty"`
 	Change int64 `json:"c,omitempty"`
-	// MovesPlusOne is one more than the job's moves when this was written; 0: not known.
+	// MovesPlusOne is one more than the job's number of moves when this was written; 0:
+	// not known.
 	MovesPlusOne int `json:"mv,omitempty"`
 
 	version int64
@@ -32,8 +33,8 @@
 	return cmp.Or(cmp.Compare(p.Epoch, q.Epoch), cmp.Compare(p.Change, q.Change)) > 0
 }
 
-// IsCurrent reports whether p was written since the job came to its shard: a row may be left
-// there from before it went away and came back.
+// IsCurrent reports whether p was written since the job last came to its shard: a row
+// from before it moved away and came back may be left there.
 func (p *Progress) IsCurrent(spec *cluster.Job) bool {
 	return p.MovesPlusOne == 0 || p.MovesPlusOne == spec.Moves+1
 }
@@ -42,7 +43,7 @@
 type StepState struct {
 	Repeat int `json:"r,omitempty"`
 	Step   int `json:"s,omitempty"`
-	// Done is a string of '0' and '1', one for each task; "": none is done.
+	// Done has a '0' or '1' for each task; "": none has succeeded.
 	Done  string      `json:"d,omitempty"`
 	Tasks []TaskState `json:"t,omitempty"`
 }
@@ -53,8 +54,8 @@
 	// Failed are the numbers of the runs that failed.
 	Failed     []int64 `json:"f,omitempty"`
 	Checkpoint string  `json:"c,omitempty"`
-	// LastRun is the number of the last run that failed in another shard; those of the next
-	// owner are above it.
+	// LastRun is the number of the task's last run; the next owner's run numbers are
+	// above it, also in another shard.
 	LastRun int64 `json:"l,omitempty"`
 }
 
@@ -68,8 +69,8 @@
 	return &p, nil
 }
 
-// progress returns what is to be persisted of the job; of one that has finished,
-// that is its state alone.
+// progress returns what is to be persisted of the job: only its state once it has
+// finished.
 func (j *job) progress() Progress {
 	p := Progress{State: j.state, Begun: j.begun}
 	if j.state.Finished() {
@@ -105,8 +106,8 @@
 	return ss, st.done > 0 || len(ss.Tasks) > 0
 }
 
-// restore sets a job's progress from what was persisted; entries that don't
-// fit the job's shape are left out.
+// restore sets a job's progress from what was persisted, ignoring entries that don't
+// match the job's steps.
 func (j *job) restore(p *Progress) {
 	j.version, j.begun, j.moving = p.version, p.Begun, p.Moving
 	for _, ss := range p.Steps {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -10,47 +10,48 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// The load pattern: large tasks wait in a full shard in which small ones come and go.
-// Room comes free in small pieces, which the next small task takes, so that a large one,
-// and a gang even more, finds room by chance or by stopping the work of others. Room is
-// therefore set aside for what waits and is most urgent, on the worker where it will be
-// free the soonest; only what would be late by waiting stops the work of others.
+// Reservations are for large tasks and gangs that wait in a full shard. Room comes free
+// in small pieces, which the next small task takes, so that a large task, and a gang even
+// more, would find room only by chance or by preemption. Room is therefore reserved for
+// the most urgent waiting steps, on the workers where it will be free the soonest. Only a
+// step that would be late by waiting preempts others.
 
 const (
-	// reservationTTL is how long room stays set aside before it is looked at anew: runs end
+	// reservationTTL is how long a reservation lasts before it is computed anew: runs end
 	// earlier or later than expected, and a report is up to 0.5 s old.
 	reservationTTL = 300 * time.Millisecond
-	// maxReservingSteps is how many steps may have room set aside in one round, the most
-	// urgent first: each looks at all runs of the shard.
+	// maxReservingSteps is how many steps may reserve room in one round, the most urgent
+	// first: each looks at all runs of the shard.
 	maxReservingSteps = 8
-	// reserveRetryDelay is when a step for which none was found is looked at again: those that
-	// never find any would else take the turns of all others.
+	// reserveRetryDelay is after what time a step that found no room tries again: steps
+	// that never find any would otherwise use up the turns of all others.
 	reserveRetryDelay = 500 * time.Millisecond
-	// maxReserveWait is the longest wait for which room is set aside; beyond it, more is
+	// maxReserveWait is the longest wait for which room is reserved; beyond it, more is
 	// lost by keeping room empty than by waiting on.
 	maxReserveWait = 4 * time.Second
-	// preemptAfter is the wait from which a task that lasts stops less urgent work instead: it
-	// is to be at work again within seconds, and its tickets hold for a few.
+	// preemptAfter is the wait from which a long-running task preempts less urgent work
+	// instead: it should be running within seconds, and its tickets are valid for a few.
 	preemptAfter = time.Second
-	// maxGangReserveWait is the same for the most urgent gang of a shard, whose members find
-	// room at once only if it is kept: the tasks beside it take up to 15 s, and what ends
-	// before the gang's time may use the room meanwhile.
+	// maxGangReserveWait is the longest wait for the most urgent gang of a shard, whose
+	// members find room at once only by reservation: the tasks beside it take up to 15 s,
+	// and those that end before the gang's time may use the room meanwhile.
 	maxGangReserveWait = 15 * time.Second
-	// slackMargin is kept of the time for which a step may wait: the ends of others are
-	// known from reports that are up to 0.5 s old.
+	// slackMargin is subtracted from the time for which a step may wait: the ends of
+	// other runs are known from reports that are up to 0.5 s old.
 	slackMargin = 300 * time.Millisecond
 )
 
-// reservation is room kept for a step until a time.
+// reservation is room that is reserved for a step until a time.
 type reservation struct {
 	amount resource.Amount
 	until  time.Time
-	// neededAt is when the step is expected to use it; zero: it is being made by stopping runs.
+	// neededAt is when the step is expected to use it; zero: it is being freed by
+	// preemption.
 	neededAt time.Time
 }
 
-// blocks reports whether the room that a step has set aside is not there for another
-// one, which is neither more urgent nor over before it is needed.
+// blocks reports whether a step's reservation is unavailable to another step, which is
+// neither more urgent nor expected to end before the room is needed.
 func (res *reservation) blocks(now time.Time, owner, other *step) bool {
 	switch {
 	case owner == other:
@@ -63,7 +64,8 @@
 	return now.Add(other.estimate()).After(res.neededAt)
 }
 
-// reserve sets room aside for n waiting tasks of a step, as far as it comes free in time.
+// reserve reserves room for n waiting tasks of a step, as far as it comes free within the
+// given time.
 func (s *Shard) reserve(now time.Time, st *step, n int, within time.Duration) {
 	if s.reservingSteps >= maxReservingSteps || (!st.spec.LongRunning && now.Sub(st.noRoomAt) < reserveRetryDelay) {
 		return
@@ -81,7 +83,7 @@
 	}
 }
 
-// reserveGang sets room aside for all members of a gang.
+// reserveGang reserves room for all members of a gang, or none.
 func (s *Shard) reserveGang(now time.Time, st *step) {
 	if s.reservedTasks(now, st) >= len(st.tasks) {
 		s.gangReserved = true
@@ -106,7 +108,7 @@
 	}
 }
 
-// releaseReservations gives up all room that is set aside for a step.
+// releaseReservations gives up all reservations of a step.
 func (s *Shard) releaseReservations(st *step) {
 	for _, w := range st.reservedOn {
 		delete(w.reserved, st)
@@ -114,24 +116,25 @@
 	st.reservedOn = nil
 }
 
-// reserve keeps room for one more task of a step until a time; at is when the step is
-// expected to use it, or zero where the room is being made.
-func (w *worker) reserve(st *step, until, at time.Time) {
+// reserve reserves room for one more task of a step until a time; at is when the step is
+// expected to use it, or zero while the room is being freed by preemption.
+func (w *worker) reserve(st *step, until, neededAt time.Time) {
 	res, ok := w.reserved[st]
 	if !ok {
 		st.reservedOn = append(st.reservedOn, w)
 	}
 	res.amount = res.amount.Add(st.spec.Allocation())
-	res.until, res.neededAt = until, at
+	res.until, res.neededAt = until, neededAt
 	w.reserved[st] = res
 }
 
-// slack returns for how long a step may wait and its job still be in time.
+// slack returns for how long a step may wait without making its job late.
 func (s *Shard) slack(now time.Time, st *step) time.Duration {
 	return st.job.rank.Due.Sub(now) - s.criticalPathFrom(st)
 }
 
-// criticalPathFrom returns how long the work takes from the start of a step to the end of its job.
+// criticalPathFrom returns how long the work from the start of a step to the end of its
+// job is expected to take.
 func (s *Shard) criticalPathFrom(st *step) time.Duration {
 	after := time.Duration(0)
 	for _, next := range st.repeat.steps {
@@ -142,14 +145,15 @@
 	return s.expectedTime(st) + after
 }
 
-// placement is room for one task on a worker, and in what time it is free.
+// placement is room for one task on a worker, and in what time it will be free.
 type placement struct {
 	w  *worker
 	in time.Duration
 }
 
-// soonestPlacements returns where n more tasks of a step will find room the soonest, in that
-// order, as far as they do in time, beside what is set aside for the step already.
+// soonestPlacements returns where up to n more tasks of a step will find room the
+// soonest, in that order, as far as they do within the given time, in addition to the
+// step's reservations.
 func (s *Shard) soonestPlacements(now time.Time, st *step, n int, within time.Duration) []placement {
 	var list []placement
 	for _, w := range s.workerList {
@@ -164,25 +168,26 @@
 	return list[:min(n, len(list))]
 }
 
-// mayBeApproved reports whether room on a worker may be kept for the step: advice allows it,
-// or for tasks that last is being asked, so that others don't fill it until it answers.
+// mayBeApproved reports whether room on a worker may be reserved for the step: the worker
+// is approved or, for long-running tasks, the advice service is being asked about it, so
+// that others don't take the room until it answers.
 func (st *step) mayBeApproved(w *worker) bool {
 	return !st.needsTicket() || st.advice.answers[w.info.ID].approved || (st.spec.LongRunning && st.advice.pending[w.info.ID])
 }
 
-// expectedEnd is when a run is expected to leave its room.
+// expectedEnd is the room that a run frees, and in what time.
 type expectedEnd struct {
 	room resource.Amount
 	in   time.Duration
 }
 
-// placementTimes returns in what time a worker has room for each of up to n more tasks of a
-// step, by the ends of what runs there.
+// placementTimes returns in what time a worker will have room for each of up to n more
+// tasks of a step, by the expected ends of its runs.
 func (s *Shard) placementTimes(now time.Time, w *worker, st *step, n int, within time.Duration) (times []time.Duration) {
-	need, kept := st.spec.Allocation(), w.reserved[st].amount
-	free, beside := w.freeFor(now, st).Sub(kept), countFits(kept, need)
+	need, reserved := st.spec.Allocation(), w.reserved[st].amount
+	free, reservedCount := w.freeFor(now, st).Sub(reserved), countFits(reserved, need)
 	ends, at := s.expectedRunEnds(now, w), time.Duration(0)
-	for len(times) < n && s.spreadAllows(w, st, beside+len(times)) {
+	for len(times) < n && s.spreadAllows(w, st, reservedCount+len(times)) {
 		for !free.Fits(need) {
 			if len(ends) == 0 || ends[0].in > within {
 				return times
@@ -195,8 +200,8 @@
 	return times
 }
 
-// expectedRunEnds returns when the runs on a worker are expected to end, the soonest first, as
-// they were at the beginning of this round: many steps wait in a round, and each asks.
+// expectedRunEnds returns when the runs on a worker are expected to end, the soonest
+// first. It is computed once in a round, since many steps wait and each asks.
 func (s *Shard) expectedRunEnds(now time.Time, w *worker) []expectedEnd {
 	if w.expectedEndsRound == s.round {
 		return w.expectedEnds
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -13,26 +13,27 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// runState is what the owner knows of a run.
+// runState is what the owner knows about the state of a run.
 type runState uint8
 
 const (
 	// runStarting: ordered, no reply yet.
 	runStarting runState = iota
-	// runRunning: the worker has taken the order or listed the run.
+	// runRunning: the worker has accepted the order or reported the run.
 	runRunning
-	// runUnanswered: no reply; the order may be carried out seconds later.
+	// runUnanswered: the call for the order failed; the worker may still start the run
+	// seconds later.
 	runUnanswered
 )
 
-// run is one run of a task on a worker; it takes room until its end is listed
-// or it is certain that it isn't there.
+// run is one run of a task on a worker. It occupies its resources until the worker
+// reports its end, or it is certain that it is not running there.
 type run struct {
 	task   *task
 	number int64
 	worker *worker
 	state  runState
-	// stopping is set once a stop was ordered; stopped once it was acknowledged.
+	// stopping is set once a stop was ordered, and stopped once it was acknowledged.
 	stopping   bool
 	stopped    bool
 	stopSentAt time.Time
@@ -41,28 +42,32 @@
 	// the run: only reports of later holds tell whether it is there.
 	knownSinceHold int64
 	startedAt      time.Time
-	// orderedAt is when the run was ordered, or found, and taken is set once its worker's
-	// life is known to have taken the order.
+	// orderedAt is when the run was ordered, or found, and accepted is set once its
+	// worker's incarnation is known to have accepted the order.
 	orderedAt time.Time
 	accepted  bool
-	// percent of the work that is done, when it last rose, and since when it is followed.
+	// percent is how much of the work is done, and percentChangedAt when that last
+	// changed. firstPercent and firstAt are the first progress that was reported.
 	percent          int
 	percentChangedAt time.Time
 	firstPercent     int
 	firstAt          time.Time
 	usage            int64
-	// pace is the share at which the run works; paceSent is when it was last set.
+	// pace is the share of its full speed at which the run works, in percent, paceSetAt
+	// when it was last set, and calmSince since when the serving tasks beside it have had
+	// latency to spare.
 	pace      int
 	paceSetAt time.Time
 	calmSince time.Time
-	// resumed is set when the run began from a checkpoint.
+	// resumed is set if the run started from a checkpoint.
 	resumed bool
-	// credited is set once a run that lasts has been taken as a success of its worker.
+	// credited is set once a long-running run has counted as a success of its worker.
 	credited bool
 }
 
 func (r *run) key() runKey { return runKey{r.task.id, r.number} }
 
+// sortedRuns returns runs in a fixed order, so that decisions are deterministic.
 func sortedRuns(m map[runKey]*run) []*run {
 	list := make([]*run, 0, len(m))
 	for _, r := range m {
@@ -76,6 +81,7 @@
 	return cmp.Or(cmp.Compare(a.number, b.number), compareTask(a.task.id, b.task.id))
 }
 
+// compareTask orders tasks by job, repeat, step and index.
 func compareTask(a, b cluster.TaskID) int {
 	switch {
 	case a.Job < b.Job:
@@ -90,7 +96,7 @@
 	return a.Index - b.Index
 }
 
-// addRun notes a run on a worker.
+// addRun records a run on a worker and allocates its resources there.
 func (s *Shard) addRun(now time.Time, t *task, n int64, w *worker, state runState) *run {
 	r := &run{task: t, number: n, worker: w, state: state, startedAt: now, orderedAt: now, percentChangedAt: now, knownSinceHold: w.holdsSent, pace: fullPace}
 	t.runs, t.waitingSince, t.nextWaitLog = append(t.runs, r), time.Time{}, 0
@@ -106,7 +112,7 @@
 	return r
 }
 
-// dropRun removes a run that is certain not to be there any more.
+// dropRun removes a run that is certain not to be running any more.
 func (s *Shard) dropRun(r *run) {
 	if s.runs[r.key()] != r {
 		return
@@ -117,10 +123,10 @@
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(o *run) bool { return o == r })
 }
 
-// stopRetryInterval is when an unanswered stop is sent again.
+// stopRetryInterval is after what time an unanswered stop is sent again.
 const stopRetryInterval = 350 * time.Millisecond
 
-// stop orders a run to stop. The room stays taken until its end is listed.
+// stop orders a run to stop. It keeps its resources until its worker reports its end.
 func (s *Shard) stop(now time.Time, r *run, cause string) {
 	if r.stopping && (r.stopped || now.Sub(r.stopSentAt) < stopRetryInterval) {
 		return
@@ -153,7 +159,7 @@
 		return
 	}
 	if reply != cluster.ReplyOK {
-		s.log.Info("start not taken", events.StartRejected, zap.Stringer("task", task), zap.Int64("run", n),
+		s.log.Info("start rejected", events.StartRejected, zap.Stringer("task", task), zap.Int64("run", n),
 			zap.String("worker", id), zap.String("reply", string(reply)))
 	}
 	switch reply {
@@ -164,7 +170,8 @@
 		r.knownSinceHold, r.accepted = r.worker.holdsSent, true
 		return
 	case cluster.ReplyNewIncarnation:
-		// It may run there under a life that isn't known yet, whose answer settles it.
+		// It may run there under an incarnation that is not known yet, whose report will
+		// tell.
 		s.emit(Poll{Worker: id})
 		return
 	case cluster.ReplyUnknown:
@@ -173,14 +180,14 @@
 		s.stopOtherMembers(now, r, "start not answered")
 		return
 	case cluster.ReplyOtherIncarnation:
-		s.WorkerEnded(now, id, "another life answers at its address")
+		s.WorkerEnded(now, id, "another incarnation answers at its address")
 		return
 	case cluster.ReplyTicketInvalid:
 		r.task.step.advice.discardTicket(id)
 	case cluster.ReplyBusy, cluster.ReplyInvalid:
 		s.workerFailed(now, r.worker, r, r.task.id.Job)
 		if reply == cluster.ReplyBusy {
-			// An invalid order may be the job's own fault.
+			// An invalid order may be the fault of the job.
 			r.worker.busyUntil = now.Add(s.params.StopTime + busyWorkerDelay)
 		}
 	case cluster.ReplyNotSent:
@@ -189,15 +196,16 @@
 	}
 	r.task.notBefore = now.Add(rejectedStartDelay)
 	s.dropRun(r)
-	s.stopOtherMembers(now, r, "start not taken")
+	s.stopOtherMembers(now, r, "start rejected")
 }
 
-// rejectedStartDelay keeps a task whose start was rejected from being tried again at once.
+// rejectedStartDelay keeps a task whose start was rejected from being tried again at
+// once.
 const rejectedStartDelay = 50 * time.Millisecond
 
-// busyWorkerDelay is how much longer than a stop a worker that was busy gets no other start:
-// a task whose worker refuses has to go elsewhere, and a gang again as soon as its other
-// members are stopped.
+// busyWorkerDelay is how much longer than a stop takes a busy worker gets no other start:
+// a task whose worker refuses has to start elsewhere, and a gang again as soon as its
+// other members are stopped.
 const busyWorkerDelay = 300 * time.Millisecond
 
 // StopReplied takes the reply to a stop.
@@ -210,11 +218,12 @@
 	case cluster.ReplyOK:
 		r.stopped, r.knownSinceHold = true, r.worker.holdsSent
 		if r.state == runUnanswered {
-			// The hold that is open says nothing of it, and the next one may be kept open.
+			// The report of the open hold does not tell about it, and the worker may keep
+			// the next hold open.
 			s.emit(Poll{Worker: id})
 		}
 	case cluster.ReplyOtherIncarnation:
-		s.WorkerEnded(now, id, "another life answers at its address")
+		s.WorkerEnded(now, id, "another incarnation answers at its address")
 	default:
 		r.stopSentAt = now
 		if r.state == runUnanswered && reply == cluster.ReplyUnknown && !r.worker.silent {
@@ -227,7 +236,7 @@
 func (s *Shard) PaceReplied(_ time.Time, id string, task cluster.TaskID, n int64, reply cluster.Reply) {
 	r := s.runs[runKey{task, n}]
 	if r != nil && r.worker.info.ID == id && reply != cluster.ReplyOK {
-		// It may have been set or not: the next round sets it again.
+		// It is not known whether the pace was set; the next round sets it again.
 		r.pace = paceUnknown
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -8,6 +8,11 @@
 // and replies together with the time, and carries out the commands that
 // Schedule returns. It is not safe for concurrent use.
 //
+// A run is one execution of a task on a worker. A hold is the long poll by which the
+// owner renews a worker's lease and gets its report. A run's end is its outcome, which
+// the worker reports until the owner has confirmed it. An incarnation of a worker lasts
+// from one start of its process to the next.
+//
 // # Usage
 //
 //	s := scheduler.New(params, now, log)
@@ -33,24 +38,24 @@
 type Params struct {
 	// Epoch is the ownership's epoch, and the fence of all orders.
 	Epoch int64
-	// Lease is how long a worker runs on without hearing from the owner, and MaxLease the
-	// longest that a worker takes.
+	// Lease is how long a worker keeps running without hearing from the owner, and
+	// MaxLease the longest lease that a worker accepts.
 	Lease, MaxLease time.Duration
 	// StopTime is how long a worker may take to stop a run.
 	StopTime time.Duration
-	// UncertainFor is how long after a takeover an unanswering worker may still
-	// run what the previous owner started there.
+	// UncertainFor is how long after a takeover a worker that does not answer may still
+	// execute runs that the previous owner started.
 	UncertainFor time.Duration
 	// FinishedRetention is how long the state of a finished job is kept.
 	FinishedRetention time.Duration
 }
 
-// runsPerEpoch separates the run numbers of successive owners: a new owner
-// starts above any number that its predecessor may have used. The 100,000 runs
-// of one task would take a run each 0.1 s for almost three hours.
+// runsPerEpoch separates the run numbers of successive owners: a new owner starts above
+// any number that its predecessor may have used. A task uses up 100,000 numbers only if
+// it is started every 0.1 s for almost three hours.
 const runsPerEpoch = 100_000
 
-// Command is something for the owner to carry out.
+// Command is an instruction that the owner carries out.
 type Command interface{ command() }
 
 // Start starts a run; the reply goes to StartReplied.
@@ -63,7 +68,8 @@
 	Run  int64
 }
 
-// SetPace sets the share at which a run works; the reply goes to PaceReplied.
+// SetPace sets the share of its full speed at which a run works, in percent; the reply
+// goes to PaceReplied.
 type SetPace struct {
 	cluster.Order
 	Task    cluster.TaskID
@@ -71,14 +77,15 @@
 	Percent int
 }
 
-// Poll asks a worker at once what it runs; the answer goes to Observe.
+// Poll asks a worker for a report at once; the report goes to Observe.
 type Poll struct{ Worker string }
 
-// RequestAdvice asks the advice service which workers may run a step; the answer goes to AdviceReplied.
+// RequestAdvice asks the advice service which workers may run a step; the answer goes to
+// AdviceReplied.
 type RequestAdvice struct {
 	Step    StepID
 	Workers []string
-	// ExpectedDuration is what the call is expected to take.
+	// ExpectedDuration is how long the call is expected to take.
 	ExpectedDuration time.Duration
 	// Rank orders waiting calls; the lowest goes first.
 	Rank Rank
@@ -116,52 +123,54 @@
 	log       *zap.Logger
 	startedAt time.Time
 	workers   map[string]*worker
-	// incarnations are those that had each ID, and inDoubt the runs of which it isn't known whether
-	// a life that is over, or a later one of its ID, took the order, by that ID.
+	// incarnations holds the history of each worker ID. inDoubt holds, by worker ID, the
+	// runs whose start an incarnation that has ended, or a later one, may have accepted
+	// without the owner knowing.
 	incarnations map[string]*incarnationHistory
 	inDoubt      map[string][]*run
-	// maxForgottenGeneration is the highest of those of IDs that were forgotten: a life that comes back
-	// would refuse a lower one.
+	// maxForgottenGeneration is the highest generation of the worker IDs that were
+	// forgotten: a worker that comes back refuses orders of a lower generation.
 	maxForgottenGeneration int64
-	workerList             []*worker // sorted by ID, for decisions that repeat
+	workerList             []*worker // sorted by ID, so that decisions are deterministic
 	jobs                   map[string]*job
 	active                 []*job // unfinished, sorted by rank
-	// runs are all that may take room somewhere, by task and number.
+	// runs are all runs that may occupy resources on a worker, by task and number.
 	runs  map[runKey]*run
 	dirty map[string]*job
-	// finished are the jobs whose end is persisted, in the order in which they are
-	// forgotten, and forgotten those whose rows the owner has yet to remove.
+	// finished are the jobs whose final state is persisted, in the order in which they
+	// are forgotten; forgotten are those whose rows the owner has yet to delete.
 	finished  []*job
 	forgotten []string
-	// movedAway are jobs that went to another shard, until nobody can name them
-	// to this owner any more.
+	// movedAway are the jobs that moved to another shard, kept until no late message can
+	// mention them to this owner.
 	movedAway map[string]movedJob
 	takeover  takeover
-	// unreadFunc reports whether a job may be in the store that has not been read; nil:
-	// all have been.
+	// unreadFunc reports whether a job may be in a part of the store that has not been
+	// read; nil: all parts have been read.
 	unreadFunc func(job string) bool
 	commands   []Command
-	// approvalRates is the share of asked workers that advice allows, by queue.
+	// approvalRates are the shares of workers that the advice service approves, by queue.
 	approvalRates map[string]float64
 	// ratios are the learned ratios of run time to estimate.
 	ratios map[stepKind]*ratio
 	counts Counts
-	// directoryReadAt is when the directory was last read, and directoryReadSince since when
-	// it is read without a gap.
+	// directoryReadAt is when the directory was last read, and directoryReadSince since
+	// when it has been read without a gap.
 	directoryReadAt, directoryReadSince time.Time
-	// scannedAt is when all workers and runs were last looked through.
+	// scannedAt is when all workers and runs were last scanned.
 	scannedAt time.Time
 	// round counts the rounds of decisions.
 	round int64
-	// reservingSteps is how many steps had room set aside in this round.
+	// reservingSteps is how many steps have reserved room in this round.
 	reservingSteps int
-	// gangReserved is set once a gang has had room set aside in this round, or none was found.
+	// gangReserved is set once a gang has reserved room in this round, or has found none.
 	gangReserved bool
-	// load is what Load returns, as of loadAt.
+	// load is what Load returns, measured at loadMeasuredAt.
 	load           float64
 	loadMeasuredAt time.Time
 }
 
+// runKey identifies a run.
 type runKey struct {
 	task cluster.TaskID
 	run  int64
@@ -173,9 +182,9 @@
 }
 
 // New returns an empty shard.
-func New(p Params, now time.Time, log *zap.Logger) *Shard {
+func New(params Params, now time.Time, log *zap.Logger) *Shard {
 	return &Shard{
-		params: p, log: log, startedAt: now,
+		params: params, log: log, startedAt: now,
 		workers: make(map[string]*worker), incarnations: make(map[string]*incarnationHistory), inDoubt: make(map[string][]*run), jobs: make(map[string]*job), runs: make(map[runKey]*run),
 		dirty: make(map[string]*job), movedAway: make(map[string]movedJob), takeover: takeover{open: true, jobsLoadedAt: now},
 		approvalRates: make(map[string]float64), ratios: make(map[stepKind]*ratio), load: unknownLoad,
@@ -185,7 +194,8 @@
 // Counts returns the totals so far.
 func (s *Shard) Counts() Counts { return s.counts }
 
-// Schedule takes all decisions that are open at now and returns what is to be done.
+// Schedule takes all decisions that are open at now and returns the commands that carry
+// them out.
 func (s *Shard) Schedule(now time.Time) []Command {
 	s.updateTakeover(now)
 	if now.Sub(s.scannedAt) >= scanInterval {
@@ -198,12 +208,13 @@
 	return out
 }
 
-// scanInterval is how often all workers and runs are looked through. Their reports are up
-// to 0.5 s old, while a busy shard places work up to 250 times a second: looking each
-// time was a sixth of an owner's own work with 120 workers.
+// scanInterval is how often all workers and runs are scanned. Their reports are up to
+// half a second old, while a busy shard places work up to 250 times a second: scanning
+// each time was a sixth of an owner's own work with 120 workers.
 const scanInterval = 50 * time.Millisecond
 
-// scan looks through all workers and runs for what time alone has changed.
+// scan checks all workers and runs for what changes by the passing of time alone, such as
+// expired leases and stalled runs.
 func (s *Shard) scan(now time.Time) {
 	s.expireLeases(now)
 	s.expireInDoubt(now)
@@ -217,6 +228,7 @@
 	s.logWaitingTasks(now)
 }
 
+// emit queues a command for Schedule to return.
 func (s *Shard) emit(c Command) { s.commands = append(s.commands, c) }
 
 // Waiting returns how many accepted jobs of a queue have no task that has begun.
@@ -230,8 +242,8 @@
 	return n
 }
 
-// Job returns a job's state as far as it is persisted; ok is false for an unknown job, and
-// for one that another shard speaks for.
+// Job returns a job's state as far as it is persisted; ok is false for an unknown job,
+// and for one that another shard leads.
 func (s *Shard) Job(id string) (state cluster.State, ok bool) {
 	j := s.jobs[id]
 	if j == nil || j.isParticipant() {
--- a/internal/scheduler/slow.go
+++ b/internal/scheduler/slow.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// stalledAfter is how long a run may show no progress at all; a worker
-	// reports every half second, restoring a checkpoint takes up to 0.6 s, and a
+	// stalledAfter is how long a run may show no progress before it counts as stalled: a
+	// worker reports every half second, restoring a checkpoint takes up to 0.6 s, and a
 	// percent of the longest task 0.25 s.
 	stalledAfter = 1300 * time.Millisecond
-	// bestEffortStalledAfter is the same for a run that fills: it gets what others leave, which may be
-	// little for a while; and lastingStill for one that lasts and is not at work yet, which
-	// takes up to a second on a sound worker. Both double each time the task is moved, up to
-	// stillDoubled times.
+	// bestEffortStalledAfter is the same for a best-effort run, which gets what others
+	// leave and may get little for a while. longRunningStalledAfter is for a long-running
+	// run that is not at 100 percent yet, which takes up to a second on a healthy worker.
+	// Both double with each restart of the task, up to maxStalledDoublings times.
 	bestEffortStalledAfter  = 8 * time.Second
 	longRunningStalledAfter = 4 * time.Second
 	maxStalledDoublings     = 3
-	// slowFactor is how many times as long as its siblings a run may look to need
-	// before it is moved or copied: on sound workers the longest of a step takes
-	// 1.9 times as long as the median (4,083 tasks of a calm day), and slow workers
-	// take four times as long or more.
+	// slowFactor is how many times longer than its siblings a run may be projected to
+	// take before it is restarted or copied: on healthy workers the longest task of a
+	// step takes 1.9 times as long as the median, and slow workers take four times as
+	// long or more.
 	slowFactor = 2.4
-	// slowFactorLearned is the same beside what tasks of its kind took before, which also
+	// slowFactorLearned is the same compared to earlier tasks of its kind, which also
 	// differ from step to step.
 	slowFactorLearned = 3.5
-	// slowMinAge is the least age, in units of the typical time, of a run that is
-	// called slow, and slowWindow the least time over which its speed is taken.
+	// slowMinAge is the least age, in units of the typical time, at which a run may count
+	// as slow, and slowWindow the least time over which its speed is measured.
 	slowMinAge = 0.7
 	slowWindow = 400 * time.Millisecond
-	// minSiblings is how many other tasks of the step make a typical time.
+	// minSiblings is how many other tasks of the step are needed for a typical time.
 	minSiblings = 2
-	// minSlowSteps is how many steps must find a worker slow before it is set aside, and
-	// slowMemory how long that counts unless a task of usual speed ends there.
+	// minSlowSteps is how many steps must be slow on a worker before it is quarantined,
+	// and slowStepTTL how long each counts unless a task of usual speed ends there.
 	minSlowSteps = 2
 	slowStepTTL  = 6 * time.Second
-	// minStalledRuns is the same for runs that stand still.
+	// minStalledRuns is how many runs must be stalled on a worker before it is
+	// quarantined.
 	minStalledRuns = 2
-	// maxSlowRestarts is how often a task is moved because it crawls: one that crawls on
-	// two workers is longer than its siblings by nature.
+	// maxSlowRestarts is how often a task is restarted because it is slow: one that is
+	// slow on two workers is longer than its siblings by nature.
 	maxSlowRestarts = 1
-	// copyAfterSilence is how long a worker is silent before its speculative runs are copied.
+	// copyAfterSilence is how long a worker is silent before its speculative runs are
+	// copied.
 	copyAfterSilence = 200 * time.Millisecond
 )
 
-// checkProgress looks for runs that stand still or crawl: speculative ones get
-// a copy elsewhere, others are stopped and start again, from their checkpoint
-// if they have one.
+// checkProgress looks for stalled and slow runs: speculative ones get a copy elsewhere,
+// others are stopped and start again, from their checkpoint if they have one.
 func (s *Shard) checkProgress(now time.Time) {
 	for _, w := range s.workerList {
 		if w.silent && now.Sub(w.silentSince) > copyAfterSilence {
@@ -72,15 +73,14 @@
 	}
 }
 
-// checkRun helps a run that stands still or crawls on its worker, and reports
-// whether it stands still.
+// checkRun handles a stalled or slow run, and reports whether it is stalled.
 func (s *Shard) checkRun(now time.Time, w *worker, r *run) (stalled bool) {
 	if s.retryStop(now, r) {
 		return false
 	}
 	if r.stalledTooLong() {
-		// That says nothing of the worker.
-		s.restartElsewhere(now, r, "does not come on")
+		// That says nothing about the worker.
+		s.restartElsewhere(now, r, "makes no progress")
 		return false
 	}
 	if !reflectsWorkerSpeed(r) {
@@ -97,8 +97,8 @@
 	return stalled
 }
 
-// copySilentRuns starts copies of the speculative runs on a silent worker, whose
-// other runs have to wait until its life or lease is over.
+// copySilentRuns starts copies of the speculative runs on a silent worker. Its other runs
+// have to wait until the worker is known to have ended, or its lease to have expired.
 func (s *Shard) copySilentRuns(now time.Time, w *worker) {
 	for _, r := range sortedRuns(w.runs) {
 		if spec := r.task.step.spec; spec.Speculative && !spec.LongRunning && r.task.attemptsLeft() > 1 {
@@ -107,28 +107,30 @@
 	}
 }
 
-// attemptsLeft returns how many more runs of a task may fail. A copy must leave one to the
-// run that it is made of.
+// attemptsLeft returns how many more runs of a task may fail. A copy is only started if
+// the original run keeps one.
 func (t *task) attemptsLeft() int { return t.step.job.spec.Policy.MaxAttempts - len(t.failed) }
 
-// reflectsWorkerSpeed reports whether a run's progress says something of its worker.
+// reflectsWorkerSpeed reports whether a run's progress says something about its worker.
 func reflectsWorkerSpeed(r *run) bool {
 	spec := r.task.step.spec
 	return r.state == runRunning && !spec.LongRunning && !spec.BestEffortCPU && r.pace == fullPace && r.percent < 100
 }
 
-// isStalled reports whether a run's percent has not risen for a time in which its worker reported.
+// isStalled reports whether a run's percent has not changed for stalledAfter, in which
+// time its worker has reported.
 func (r *run) isStalled(now time.Time) bool {
 	return now.Sub(r.percentChangedAt) > stalledAfter && r.worker.clockAt.After(r.percentChangedAt.Add(stalledAfter/2))
 }
 
-// allStalled reports whether all runs of a task stand still, and none is being stopped.
+// allStalled reports whether all runs of a task are stalled, and none is being stopped.
 func (t *task) allStalled(now time.Time) bool {
 	return !slices.ContainsFunc(t.runs, func(r *run) bool { return r.stopping || !reflectsWorkerSpeed(r) || !r.isStalled(now) })
 }
 
-// stalledTooLong reports whether a run that fills has not come on, or has been held, or one
-// that lasts has not come to work, for so long that it should start elsewhere.
+// stalledTooLong reports whether a best-effort run has made no progress or been paused,
+// or a long-running one has not reached 100 percent, for so long that it should start
+// elsewhere.
 func (r *run) stalledTooLong() bool {
 	spec := r.task.step.spec
 	if (!spec.BestEffortCPU && !spec.LongRunning) || r.state != runRunning || r.pace == paceUnknown || r.percent == 100 {
@@ -143,11 +145,12 @@
 	if r.paceSetAt.After(since) {
 		since = r.paceSetAt
 	}
-	// A report that is older says nothing: the run may have come to work since.
+	// An older report says nothing: the run may have made progress since.
 	return r.worker.clockAt.After(since.Add(patience))
 }
 
-// retryStop repeats a stop that was not acknowledged, and reports whether the run is stopping.
+// retryStop repeats a stop that was not acknowledged, and reports whether the run is
+// being stopped.
 func (s *Shard) retryStop(now time.Time, r *run) bool {
 	if r.stopping && !r.stopped && now.Sub(r.stopSentAt) >= stopRetryInterval {
 		s.stop(now, r, r.stopCause)
@@ -155,8 +158,8 @@
 	return r.stopping
 }
 
-// projectedTime returns how long the whole of a run's work takes at the speed seen so
-// far; ok is false while too little of it has been seen.
+// projectedTime returns how long all of a run's work takes at the speed seen so far; ok
+// is false while too little of it has been seen.
 func (r *run) projectedTime() (time.Duration, bool) {
 	window := r.worker.clockAt.Sub(r.firstAt)
 	if r.firstAt.IsZero() || window < slowWindow {
@@ -166,8 +169,8 @@
 	return time.Duration(float64(window) * 100 / float64(gained)), true
 }
 
-// siblingTime returns the median time of the other tasks of a task's step, of those
-// that are done and those that run on other workers than w.
+// siblingTime returns the median time of the other tasks of a task's step: those that are
+// done, and those that run on other workers than w.
 func siblingTime(of *task, w *worker) (time.Duration, bool) {
 	var times []time.Duration
 	for _, t := range of.step.tasks {
@@ -188,8 +191,8 @@
 	return times[len(times)/2], true
 }
 
-// isTooSlow reports whether a run is far slower than its siblings or, if there are too
-// few on other workers, than tasks of its kind were before.
+// isTooSlow reports whether a run is far slower than its siblings or, if too few of them
+// run on other workers, than earlier tasks of its kind, and a restart would end sooner.
 func (s *Shard) isTooSlow(now time.Time, r *run) bool {
 	total, ok := r.projectedTime()
 	if !ok {
@@ -208,8 +211,8 @@
 	return left > usual+s.params.StopTime
 }
 
-// handleSlowRun gives a run that stands still or crawls a copy, or stops it so that its
-// task starts again elsewhere.
+// handleSlowRun gives a stalled or slow run a copy, or stops it so that its task starts
+// again elsewhere.
 func (s *Shard) handleSlowRun(now time.Time, r *run, stalled bool) {
 	t, st := r.task, r.task.step
 	if t.done || (len(t.runs) > 1 && !t.allStalled(now)) || (st.spec.Gang && !stalled) {
@@ -222,14 +225,15 @@
 	if !stalled && t.restarts >= maxSlowRestarts {
 		return
 	}
-	cause := "crawls"
+	cause := "is slow"
 	if stalled {
-		cause = "stands still"
+		cause = "is stalled"
 	}
 	s.restartElsewhere(now, r, cause)
 }
 
-// restartElsewhere stops a run so that its task starts again, on another worker if it can.
+// restartElsewhere stops a run so that its task starts again, on another worker if
+// possible.
 func (s *Shard) restartElsewhere(now time.Time, r *run, cause string) {
 	t := r.task
 	t.restarts++
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -10,29 +10,31 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// takeover is what a new owner does not know yet. Tasks of the jobs that it has
-// loaded may run, or have ended, on any worker that has not answered; they wait
-// until every worker has, or can't have them any more.
+// takeover is what a new owner does not know yet. Tasks of the jobs that it has loaded
+// may run, or have ended, on any worker that has not answered. They wait until every
+// worker has answered or can't be running them any more.
 type takeover struct {
-	// open is set until everything is known.
+	// open is set until everything is known, or Params.UncertainFor has passed.
 	open bool
-	// jobsLoadedAt is when jobs were loaded last.
+	// jobsLoadedAt is when jobs were last loaded.
 	jobsLoadedAt time.Time
-	// machinesListed is set once the platform's machines have been machinesListed, expected are the
-	// workers alive there. The directory alone is not enough: its entries lapse
-	// while the store is away.
+	// machinesListed is set once the platform's machines have been listed, and expected
+	// are the workers alive there. The directory alone is not enough: its entries expire
+	// while the store is unavailable.
 	machinesListed bool
 	expected       map[string]bool
-	// complete is set once every worker has answered, be it after the takeover: then all is
-	// known of what an earlier owner began. Until then a worker may still report it.
+	// complete is set once every worker has answered, even if the takeover ended before:
+	// then all is known that an earlier owner started. Until then a worker may still
+	// report more.
 	complete bool
 }
 
-// machineListTimeout is how long a new owner waits for the list of machines: after an
-// outage of the store the directory's entries are back within two seconds.
+// machineListTimeout is how long a new owner waits for the platform's list of machines:
+// after an outage of the store the directory's entries are back within two seconds.
 const machineListTimeout = 3 * time.Second
 
-// ExpectWorkers notes which workers are alive according to the platform's machines.
+// ExpectWorkers records which workers are alive according to the platform's machines;
+// only the first call counts.
 func (s *Shard) ExpectWorkers(ids []string) {
 	if s.takeover.machinesListed {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// mayHaveUnknownRuns reports whether a worker may have what this owner doesn't know of.
+// mayHaveUnknownRuns reports whether a worker may have runs that this owner doesn't know.
 func (s *Shard) mayHaveUnknownRuns(now time.Time) bool {
 	if now.Sub(s.takeover.jobsLoadedAt) > s.params.UncertainFor {
 		return false
--- a/internal/scheduler/times.go
+++ b/internal/scheduler/times.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// ratio is a running mean of run time by estimate, and of how far single tasks are
-// from it.
+// ratio is a running mean of the ratio of run times to estimates, and of its deviation.
 type ratio struct {
 	mean float64
 	// deviation is the mean deviation, as a share of the mean.
@@ -16,7 +15,7 @@
 	n         int
 }
 
-// add takes in the ratio of one task.
+// add adds the ratio of one task.
 func (r *ratio) add(x float64) {
 	r.n = min(r.n+1, maxRatioWeight)
 	r.mean += (x - r.mean) / float64(r.n)
@@ -26,22 +25,23 @@
 const (
 	// maxRatioWeight bounds the weight of the past in a running mean.
 	maxRatioWeight = 30
-	// minLearnedRuns is how many run times are learned before they count.
+	// minLearnedRuns is how many run times are learned before they are used.
 	minLearnedRuns = 5
-	// maxDeviation is the deviation up to which a learned time tells a slow worker:
-	// estimates of some queues are right to a fifth, those of others to a half.
+	// maxDeviation is the deviation up to which a learned time can show that a worker is
+	// slow: estimates of some queues are right to a fifth, those of others to a half.
 	maxDeviation = 0.4
-	// minGainedPercent is the progress in percent from which a run's own speed is trusted.
+	// minGainedPercent is the progress in percent above which a run's own speed is used.
 	minGainedPercent = 5
 	// minExpectedTime is the least time that a task is expected to take, whatever its
-	// estimate says.
+	// estimate.
 	minExpectedTime = 200 * time.Millisecond
 )
 
-// stepKind is what the run times of a step are learned for: the image that its tasks
+// stepKind is the key under which run times are learned: the image that a step's tasks
 // run, or its queue if it names none.
 type stepKind struct{ image, queue string }
 
+// kind returns the key under which the step's run times are learned.
 func (st *step) kind() stepKind {
 	if st.spec.Image != "" {
 		return stepKind{image: st.spec.Image}
@@ -49,7 +49,7 @@
 	return stepKind{queue: st.job.spec.Queue}
 }
 
-// learnRunTime notes how long a task took beside its estimate.
+// learnRunTime records how long a task took compared to its estimate.
 func (s *Shard) learnRunTime(st *step, took time.Duration) {
 	if st.spec.EstimateMS <= 0 || st.spec.LongRunning {
 		return
@@ -63,7 +63,7 @@
 	r.add(took.Seconds() * 1000 / float64(st.spec.EstimateMS))
 }
 
-// learnedRatio returns what is known of a step's run times, or nil.
+// learnedRatio returns the learned ratio for a step, or nil if too few runs are known.
 func (s *Shard) learnedRatio(st *step) *ratio {
 	if r := s.ratios[st.kind()]; r != nil && r.n >= minLearnedRuns {
 		return r
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// expectedTime returns how long a task of the step should take on a sound worker.
+// expectedTime returns how long a task of the step should take on a healthy worker.
 func (s *Shard) expectedTime(st *step) time.Duration {
 	d := st.estimate()
 	if r := s.learnedRatio(st); r != nil && st.spec.Image != "" {
@@ -85,8 +85,8 @@
 	return time.Duration(st.spec.EstimateMS) * time.Millisecond
 }
 
-// learnedTime returns how long a task of the step takes by what others of its kind
-// took; ok is false while that is not known, or differs too much.
+// learnedTime returns how long a task of the step takes according to earlier ones of its
+// kind; ok is false while that is not known, or differs too much.
 func (s *Shard) learnedTime(st *step) (time.Duration, bool) {
 	r := s.learnedRatio(st)
 	if r == nil || st.spec.EstimateMS <= 0 || r.deviation > maxDeviation {
@@ -95,7 +95,8 @@
 	return max(time.Duration(r.mean*float64(st.estimate())), minExpectedTime), true
 }
 
-// remainingTime returns how long a run still needs, by its own progress if it has any.
+// remainingTime returns how long a run still needs, by its own speed once it has made
+// some progress.
 func (s *Shard) remainingTime(now time.Time, r *run) time.Duration {
 	gained, since := r.percent-r.firstPercent, r.percentChangedAt.Sub(r.firstAt)
 	if gained > minGainedPercent && since > 0 {
--- a/internal/scheduler/unread.go
+++ b/internal/scheduler/unread.go
@@ -8,20 +8,22 @@
 	"switchbank.example/switchbank/internal/cluster"
 )
 
-// A part of the store may not answer when an owner loads its shard. The jobs that lie
-// there are unread: they exist, but nothing is known of them. What runs of them goes
-// on, and their ends wait on the workers until the jobs are read.
+// A part of the store may be unavailable when an owner loads its shard. Its jobs are
+// unread: they exist, but nothing is known about them. Their runs continue, and the
+// workers keep the ends of these until the jobs are read.
 
-// SetUnreadFunc sets what reports whether a job that isn't known here may be unread.
+// SetUnreadFunc sets a function that reports whether a job that is not known here may be
+// unread.
 func (s *Shard) SetUnreadFunc(unread func(job string) bool) { s.unreadFunc = unread }
 
-// mayBeUnread reports whether a job may exist although it isn't known here.
+// mayBeUnread reports whether a job that is not known here may exist in the store.
 func (s *Shard) mayBeUnread(job string) bool {
 	return s.jobs[job] == nil && s.unreadFunc != nil && s.unreadFunc(job)
 }
 
-// JobsRead is called once more jobs have been read. Their tasks may run on any
-// worker until it has answered again, and their ends that came are taken now.
+// JobsRead is called after more jobs have been read. Their tasks may be running on any
+// worker until it has answered again, and their ends that were reported before are
+// processed now.
 func (s *Shard) JobsRead(now time.Time) {
 	s.takeover.open, s.takeover.complete, s.takeover.jobsLoadedAt = true, false, now
 	for _, w := range s.workerList {
@@ -34,7 +36,7 @@
 	}
 }
 
-// receiveEnd takes one end, or holds it if its job is unread.
+// receiveEnd processes one end, or keeps it for later if its job is unread.
 func (s *Shard) receiveEnd(now time.Time, w *worker, e cluster.RunEnd) {
 	if s.mayBeUnread(e.Task.Job) {
 		w.unreadEnds = append(w.unreadEnds, e)
@@ -43,8 +45,8 @@
 	s.handleEnd(now, w, e)
 }
 
-// lastReadEnd returns the highest end that may be confirmed once all that was taken is
-// persisted: those of unread jobs, and what follows them, may not.
+// lastReadEnd returns the highest end that may be confirmed once all processed ends are
+// persisted. Ends of unread jobs, and all that follow them, may not be confirmed.
 func (w *worker) lastReadEnd() int64 {
 	if len(w.unreadEnds) == 0 {
 		return w.lastEnd
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -10,37 +10,37 @@
 	"switchbank.example/switchbank/internal/events"
 )
 
-// firstWaitLog is after which wait a task that lasts is told of in the log, and then again
-// after each doubling: such a task should be at work again within seconds.
+// firstWaitLog is after which wait the log reports a waiting long-running task, and then
+// again each time the wait has doubled: such a task should be running within seconds.
 const firstWaitLog = 2 * time.Second
 
-// obstacle is the first reason for which a worker doesn't get a task.
+// obstacle is the first reason for which a worker can't run a task.
 type obstacle uint8
 
 const (
 	obstacleNone          obstacle = iota
 	obstacleSilent                 // it does not answer
-	obstacleLeaving                // it drains, leaves, or its entry names no worker to use
-	obstacleQuarantined            // it is set aside
-	obstacleProbing                // it was set aside, and what it got since is still being judged
-	obstacleBusy                   // it was busy a short while ago
-	obstacleUnknownRuns            // what runs there isn't known
-	obstacleUnfit                  // another service, no such label, or too small
-	obstacleRejected               // advice has rejected it
-	obstacleNoAdvice               // advice has not been asked about it
-	obstacleTicketExpired          // it is good, but the ticket has run out
-	obstacleMaxPerWorker           // it has as many tasks of the step as it may
+	obstacleLeaving                // it drains or leaves, or its entry is not valid
+	obstacleQuarantined            // it is quarantined
+	obstacleProbing                // its quarantine is over, and its first run since has not succeeded yet
+	obstacleBusy                   // it has replied that it is busy
+	obstacleUnknownRuns            // runs of unknown jobs are there
+	obstacleUnfit                  // another service, without the label, or too small
+	obstacleRejected               // the advice service has rejected it
+	obstacleNoAdvice               // the advice service has not been asked about it
+	obstacleTicketExpired          // its ticket has expired
+	obstacleMaxPerWorker           // it runs as many tasks of the step as allowed
 	obstacleFull                   // it has no room
 	obstacleCount         = iota
 )
 
-// obstacleNames are the names of the obstacles in the log.
+// obstacleNames are the keys of the obstacles in the log.
 var obstacleNames = [obstacleCount]string{
 	"usable", "away", "leaving", "aside", "probing", "refuses", "unknown_runs", "unfit", "rejected", "unasked", "ticket_over", "spread", "full",
 }
 
-// obstacleTo returns what keeps a task of a step from a worker. Its health counts last,
-// since a task that lasts takes workers that are set aside after a while.
+// obstacleTo returns what keeps a task of a step from a worker. Its health is checked
+// last, since long-running tasks accept a quarantined worker after a while.
 func (s *Shard) obstacleTo(now time.Time, w *worker, st *step) obstacle {
 	switch {
 	case !w.responsive():
@@ -70,7 +70,7 @@
 	return obstacleNone
 }
 
-// adviceObstacle returns what advice has against a worker.
+// adviceObstacle returns the obstacle from the advice service, if any.
 func (st *step) adviceObstacle(now time.Time, w *worker) obstacle {
 	if !st.needsTicket() {
 		return obstacleNone
@@ -87,8 +87,8 @@
 	return obstacleNone
 }
 
-// logWaitingTasks tells of tasks that last and have waited for long, and what keeps them from
-// the workers.
+// logWaitingTasks logs the long-running tasks that have waited for long, and what keeps
+// them from the workers.
 func (s *Shard) logWaitingTasks(now time.Time) {
 	for _, j := range s.active {
 		for st := range j.steps() {
@@ -99,11 +99,11 @@
 	}
 }
 
-// logWaitingTasksOf tells of the tasks of a step that wait.
+// logWaitingTasksOf logs the waiting tasks of a step.
 func (s *Shard) logWaitingTasksOf(now time.Time, st *step) {
 	for _, t := range st.startable(now) {
 		if t.waitingSince.IsZero() {
-			continue // its turn has come since the last round
+			continue // it became startable after the last round
 		}
 		if waited := now.Sub(t.waitingSince); waited >= max(firstWaitLog, t.nextWaitLog) {
 			t.nextWaitLog = 2 * waited
@@ -112,7 +112,7 @@
 	}
 }
 
-// logWaitingTask writes the line of a task that waits.
+// logWaitingTask logs a waiting task with the number of workers for each obstacle.
 func (s *Shard) logWaitingTask(now time.Time, t *task, waited time.Duration) {
 	st := t.step
 	var counts [obstacleCount]int
@@ -129,7 +129,8 @@
 	s.log.Warn("task waits", fields...)
 }
 
-// QuarantinedWorkers returns how many workers get nothing, or one task at a time, for their health.
+// QuarantinedWorkers returns how many workers are quarantined, or on probation after it
+// with one task at a time.
 func (s *Shard) QuarantinedWorkers() int {
 	n := 0
 	for _, w := range s.workerList {
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -12,86 +12,95 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// worker is one life of a worker and what the shard believes to run there.
+// worker is one incarnation of a worker, from one start of its process to the end, and
+// what the shard knows about it.
 type worker struct {
 	info cluster.Worker
-	// started is the start of the life that has answered, or before it has, the one expected.
+	// started is the start time of the incarnation that has answered or, before one has,
+	// of the one expected.
 	started int64
-	// knownSince is when the life became known, lives what is known of all that had its ID, and
-	// generation its number among them.
+	// knownSince is when the incarnation became known, history what is known of all
+	// incarnations of its ID, and generation its number among them.
 	knownSince time.Time
 	history    *incarnationHistory
 	generation int64
-	// nextEntry is an entry that names another life than the one known; nil: there is none. And
-	// noEntry is set while the directory has not shown the entry of this life.
+	// nextEntry is a directory entry that names another incarnation than the known one;
+	// nil: there is none. entryMissing is set while the directory has not shown the entry
+	// of this incarnation.
 	nextEntry    *cluster.Worker
 	entryMissing bool
-	// answered is set once the worker has taken this owner's fence; only then is
-	// all that runs there known.
+	// answered is set once the worker has accepted this owner's fence; only then is all
+	// that runs there known.
 	answered bool
-	// answeredSinceLoad is set once it has answered since jobs were loaded last.
+	// answeredSinceLoad is set once the worker has answered since jobs were last loaded.
 	answeredSinceLoad bool
 	// silent is set while the last hold has failed.
 	silent      bool
 	silentSince time.Time
 	runs        map[runKey]*run
-	// unknownRuns are the runs whose job is not known here. How much room they take isn't
-	// known either, so that the worker counts as full for each.
+	// unknownRuns are the runs whose job is not known here. How much room they take is
+	// unknown too, so the worker counts as full for each of them.
 	unknownRuns map[runKey]bool
 	used        resource.Amount
-	// reserved is room set aside, or being freed by preemption, by the step that is to have it.
+	// reserved is the room reserved for steps, or being freed for them by preemption.
 	reserved map[*step]reservation
-	// expectedEnds are when its runs are expected to end, the soonest first, as of the endsRound-th round.
+	// expectedEnds are when its runs are expected to end, the soonest first, computed in
+	// round expectedEndsRound.
 	expectedEnds      []expectedEnd
 	expectedEndsRound int64
 
-	// holdsSent counts the holdsSent sent; a report counts only for what was known before it was sent.
+	// holdsSent counts the holds sent; a report says nothing about what became known
+	// after its hold was sent.
 	holdsSent int64
-	// lastReportedHold is the highest hold whose report was taken.
+	// lastReportedHold is the highest hold whose report was processed.
 	lastReportedHold int64
-	// clockMS and clockAt are the last reading of the worker's steady clockMS.
+	// clockMS is the last reading of the worker's monotonic clock, and clockAt when it
+	// was read.
 	clockMS int64
 	clockAt time.Time
 	// deadlineMS is the latest lease ever sent, on the worker's clock.
 	deadlineMS int64
-	// inDoubtLeaseEnd is until when an order for an earlier life may have leased what runs
-	// there: its deadline was on another clock, on which it may seem to be far away.
+	// inDoubtLeaseEnd is until when an order for an earlier incarnation may have extended
+	// the lease of what runs there. Its deadline was on another clock and may seem to be
+	// far away.
 	inDoubtLeaseEnd time.Time
 
 	// unreadEnds are ends of jobs that have not been read yet, by rising numbers.
 	unreadEnds   []cluster.RunEnd
-	lastEnd      int64 // the highest end taken
+	lastEnd      int64 // the highest end received
 	confirmedEnd int64 // the highest end that is persisted
-	// unconfirmedEnds are the ends that are not confirmed and of which a job has to be persisted.
+	// unconfirmedEnds are the ends that were processed but not confirmed, whose jobs have
+	// to be persisted first.
 	unconfirmedEnds []unconfirmedEnd
 	health          health
 	leavesAt        time.Time
-	// busyUntil is until when nothing new starts there, since it was busy.
+	// busyUntil is until when nothing new starts there, because the worker replied that
+	// it was busy.
 	busyUntil time.Time
 	// unlisted is set while the directory doesn't list the worker, since unlistedAt.
 	unlisted   bool
 	unlistedAt time.Time
-	// leaving is set while the directory has dropped a worker that still answers: it
-	// ends soon, like one that says that it drains.
+	// leaving is set while the directory has dropped a worker that still answers: it is
+	// about to exit, like one that reports that it is draining.
 	leaving bool
-	// entryInvalid is set while the worker's entry in the directory names no worker to use.
+	// entryInvalid is set while the worker's entry in the directory is not valid.
 	entryInvalid bool
 }
 
-// unconfirmedEnd is an end that was taken, by its number and job.
+// unconfirmedEnd is the number and the job of a processed end.
 type unconfirmedEnd struct {
-	n   int64
-	job string
+	number int64
+	job    string
 }
 
-// ClockSlack is how many times as long as its own clock says a worker's lease
-// may last on ours: its steady clock may run slower by 2 %.
+// ClockSlack is how many times longer a worker's lease may last on the owner's clock than
+// on the worker's: the worker's monotonic clock may run slower by 2 %.
 const ClockSlack = 1.02
 
-// leaseMargin is added to a lease that is taken to be over: timers fire late.
+// leaseMargin is added to a lease before it counts as expired, since timers fire late.
 const leaseMargin = 150 * time.Millisecond
 
-// UpsertWorker notes what the directory says of a worker.
+// UpsertWorker takes a worker's entry in the directory.
 func (s *Shard) UpsertWorker(now time.Time, info cluster.Worker) {
 	w := s.workers[info.ID]
 	if w == nil {
@@ -114,8 +123,9 @@
 	}
 }
 
-// acceptEntry reports whether an entry is that of the life known. One of another life is
-// kept until the worker has been asked, and one of a life that is over is late.
+// acceptEntry reports whether an entry belongs to the known incarnation. An entry of
+// another incarnation is kept until the worker has been polled, and a late one of an
+// incarnation that has ended is dropped.
 func (s *Shard) acceptEntry(now time.Time, w *worker, info cluster.Worker) bool {
 	switch w.relationTo(info.Started, false) {
 	case endedIncarnation:
@@ -123,7 +133,7 @@
 	case newerIncarnation:
 		w.setListed(now, true)
 		if w.nextEntry == nil || w.nextEntry.Started != info.Started {
-			s.log.Info("entry of another life", events.DirectoryEntryInvalid, zap.Stringer("worker", w.info.Incarnation()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
+			s.log.Info("directory entry names another incarnation", events.DirectoryEntryInvalid, zap.Stringer("worker", w.info.Incarnation()), zap.Int64("started", info.Started), zap.Int("runs", len(w.runs)))
 			s.emit(Poll{Worker: info.ID})
 		}
 		w.nextEntry = &info
@@ -134,22 +144,23 @@
 	return true
 }
 
-// WorkerEnded notes that a life is over: nothing runs there any more.
+// WorkerEnded records that an incarnation has ended: nothing runs there any more.
 func (s *Shard) WorkerEnded(now time.Time, id, evidence string) {
 	w := s.workers[id]
 	if w == nil {
 		return
 	}
-	s.log.Warn("worker's life is over", events.WorkerEnded, zap.String("worker", id), zap.String("evidence", evidence),
+	s.log.Warn("worker has ended", events.WorkerEnded, zap.String("worker", id), zap.String("evidence", evidence),
 		zap.Int("runs", len(w.runs)))
-	s.endIncarnation(now, w, "worker's life is over")
+	s.endIncarnation(now, w, "worker has ended")
 	delete(s.workers, id)
 	w.history.endedAt = now
 	delete(s.takeover.expected, id)
 	s.workerList = workersByID(s.workers)
 }
 
-// HoldSent numbers a hold that is about to be sent and returns the order for it.
+// HoldSent numbers a hold, the long poll by which a worker reports, that is about to be
+// sent, and returns the order for it.
 func (s *Shard) HoldSent(now time.Time, id string) (seq int64, order cluster.Order, lastSeen int64, ok bool) {
 	w := s.workers[id]
 	if w == nil {
@@ -158,19 +169,19 @@
 	w.holdsSent++
 	order = s.orderFor(w)
 	if w.responsive() {
-		// A silent worker gets no renewal: its lease has to end some time.
+		// A silent worker's lease is not renewed: it has to expire some time.
 		order = s.renewalOrder(now, w)
 	}
 	return w.holdsSent, order, w.confirmedEnd, true
 }
 
-// orderFor returns the head of an order that leaves the worker's lease as it is.
+// orderFor returns the header of an order that leaves the worker's lease as it is.
 func (s *Shard) orderFor(w *worker) cluster.Order {
 	return cluster.Order{Worker: w.info.ID, Started: w.started, Address: w.address(), Fence: s.params.Epoch, Generation: w.generation}
 }
 
-// address returns where the worker is called: where the entry of another life says, if the
-// one known doesn't answer.
+// address returns the address at which the worker is called: that of the next
+// incarnation's entry if the known one does not answer.
 func (w *worker) address() string {
 	if w.silent && w.nextEntry != nil {
 		return w.nextEntry.Address
@@ -178,24 +189,26 @@
 	return w.info.Address
 }
 
-// renewalOrder returns the head of an order that renews the worker's lease.
+// renewalOrder returns the header of an order that renews the worker's lease.
 func (s *Shard) renewalOrder(now time.Time, w *worker) cluster.Order {
 	return s.orderWithDeadline(now, w, s.params.Lease)
 }
 
-// maxStartDelay is how long after its decision a worker takes a start. An order that the
-// owner has given up may still be on its way, over a connection that has taken it, and
-// would begin a run on a worker that has said meanwhile that it leaves. It is twice as long
-// as the longest wait for an answer, so that starts on slow links are not refused.
+// maxStartDelay is how long after its decision a worker accepts a start. An order that
+// the owner has given up may still be on its way and would start a run on a worker that
+// has begun to leave meanwhile. It is twice the longest wait for a reply, so that starts
+// over slow links are not refused.
 const maxStartDelay = 1200 * time.Millisecond
 
-// startOrder returns the head of an order to start a run. Its deadline is the last moment at
-// which the worker takes it; the lease, which a deadline never shortens, is renewed by holds.
+// startOrder returns the header of an order to start a run. Its deadline is the last
+// moment at which the worker accepts it. A deadline never shortens the lease, which holds
+// renew.
 func (s *Shard) startOrder(now time.Time, w *worker) cluster.Order {
 	return s.orderWithDeadline(now, w, min(maxStartDelay, s.params.Lease))
 }
 
-// orderWithDeadline returns the head of an order with a deadline, on the worker's clock.
+// orderWithDeadline returns the header of an order with a deadline on the worker's clock,
+// d from now.
 func (s *Shard) orderWithDeadline(now time.Time, w *worker, d time.Duration) cluster.Order {
 	o := s.orderFor(w)
 	if w.started != 0 && w.answered {
@@ -206,7 +219,7 @@
 	return o
 }
 
-// HoldFailed notes that a hold got no answer.
+// HoldFailed records that a hold got no answer.
 func (s *Shard) HoldFailed(now time.Time, id, cause string) {
 	w := s.workers[id]
 	if w == nil || w.silent {
@@ -217,7 +230,8 @@
 		zap.Int("runs", len(w.runs)), zap.Bool("answered_before", w.answered))
 }
 
-// leaseEnd returns when everything on the worker is surely dead unless it is renewed.
+// leaseEnd returns when all runs on the worker have certainly stopped unless the lease is
+// renewed.
 func (s *Shard) leaseEnd(w *worker) time.Time {
 	if !w.answered {
 		return s.startedAt.Add(s.params.UncertainFor)
@@ -230,21 +244,21 @@
 	return end
 }
 
-// expireLeases frees what ran on silent workers whose lease is surely over.
+// expireLeases drops the runs of silent workers whose lease has certainly expired.
 func (s *Shard) expireLeases(now time.Time) {
 	for _, w := range s.workerList {
 		if (w.silent || !w.answered) && len(w.runs) > 0 && now.After(s.leaseEnd(w)) {
-			s.log.Warn("worker's lease is over", events.WorkerLeaseExpired, zap.String("worker", w.info.ID),
+			s.log.Warn("worker's lease has expired", events.WorkerLeaseExpired, zap.String("worker", w.info.ID),
 				zap.Duration("silent", now.Sub(w.silentSince)), zap.Int("runs", len(w.runs)))
-			s.loseRuns(now, w, "lease over")
+			s.loseRuns(now, w, "lease expired")
 		}
 		if (w.unlisted || w.entryInvalid) && w.silent && now.After(s.leaseEnd(w)) {
-			s.WorkerEnded(now, w.info.ID, "not listed, and its lease is over")
+			s.WorkerEnded(now, w.info.ID, "not listed, and its lease has expired")
 		}
 	}
 }
 
-// loseRuns takes all runs off a worker that can't have them any more.
+// loseRuns drops all runs of a worker on which they can't be running any more.
 func (s *Shard) loseRuns(now time.Time, w *worker, cause string) {
 	for _, r := range sortedRuns(w.runs) {
 		s.loseRun(now, r, cause)
@@ -253,7 +267,7 @@
 	s.recomputeUsed(w)
 }
 
-// loseRun takes a run off its worker, which can't have it any more.
+// loseRun drops a run that can't be running on its worker any more.
 func (s *Shard) loseRun(now time.Time, r *run, cause string) {
 	s.counts.Lost++
 	s.log.Warn("run lost", events.RunLost, zap.Stringer("task", r.task.id), zap.Int64("run", r.number),
@@ -262,7 +276,8 @@
 	s.stopOtherMembers(now, r, cause)
 }
 
-// freeFor returns the worker's room for a step.
+// freeFor returns the worker's room for a step: what neither runs nor other steps'
+// reservations occupy. Reservations that have expired are deleted.
 func (w *worker) freeFor(now time.Time, st *step) resource.Amount {
 	a := w.info.Capacity.Sub(w.used)
 	if len(w.reserved) == 0 {
@@ -280,7 +295,7 @@
 	return a
 }
 
-// recomputeUsed works out anew how much of the worker's room is taken.
+// recomputeUsed recomputes how much of the worker's capacity is in use.
 func (s *Shard) recomputeUsed(w *worker) {
 	w.used = resource.Amount{}
 	for _, r := range w.runs {
@@ -289,9 +304,10 @@
 	w.used = w.used.Add(w.info.Capacity.Times(int64(len(w.unknownRuns))))
 }
 
-// WorkerEntryInvalid notes that a worker's entry in the directory is there but names no worker
-// to use: another writer may have left it so. Nothing new starts there until the entry
-// is right again. What runs there runs on: nothing says that the life is over or ends.
+// WorkerEntryInvalid records that a worker's entry in the directory exists but is not
+// valid, for example because another program wrote it. Nothing new starts there until the
+// entry is valid again. Its runs continue, since the entry does not show that the worker
+// has ended or is about to.
 func (s *Shard) WorkerEntryInvalid(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
@@ -304,22 +320,22 @@
 	}
 }
 
-// WorkerUnlisted notes that the directory has dropped a worker. That proves
-// nothing by itself: entries also go while the store is away.
+// WorkerUnlisted records that the directory has dropped a worker. That proves nothing by
+// itself: entries also expire while the store is unavailable.
 func (s *Shard) WorkerUnlisted(now time.Time, id string) {
 	if w := s.workers[id]; w != nil {
 		w.setListed(now, false)
 	}
 }
 
-// SetListedWorkers notes all workers that the directory lists.
+// SetListedWorkers takes the set of all workers that the directory lists.
 func (s *Shard) SetListedWorkers(now time.Time, listed map[string]bool) {
 	for id, w := range s.workers {
 		w.setListed(now, listed[id])
 	}
 }
 
-// setListed notes whether the directory lists the worker, and since when it does not.
+// setListed records whether the directory lists the worker, and since when it does not.
 func (w *worker) setListed(now time.Time, listed bool) {
 	switch {
 	case listed:
@@ -344,7 +360,7 @@
 	return ids
 }
 
-// WorkerInfos returns what is known of the workers, in the order of their IDs.
+// WorkerInfos returns the directory's data of the workers, in the order of their IDs.
 func (s *Shard) WorkerInfos() []cluster.Worker {
 	list := make([]cluster.Worker, 0, len(s.workerList))
 	for _, w := range s.workerList {
