--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -12,18 +12,18 @@
 	"switchbank.example/switchbank/internal/peer"
 )
 
-// Intent is the leave to run a request once.
+// Intent records that a request with a key may now run once.
 type Intent struct {
 	ID     string `json:"id"`
 	Token  string `json:"token"`
 	Digest string `json:"digest"`
-	// PendingUntil is when a request that has not been finished is taken for unknown.
+	// PendingUntil is when the outcome of a request that was not finished becomes unknown.
 	PendingUntil time.Time `json:"until"`
-	// RetainUntil is when the key may be forgotten.
+	// RetainUntil is when the key may be deleted.
 	RetainUntil time.Time `json:"keep"`
 }
 
-// KeyResult is how a request with a key ended.
+// KeyResult records the outcome of a request with a key.
 type KeyResult struct {
 	ID      string       `json:"id"`
 	Token   string       `json:"token"`
@@ -31,7 +31,7 @@
 	Answer  *peer.Answer `json:"answer,omitempty"`
 }
 
-// RequestKey is a request that must not be repeated.
+// RequestKey is the state of a key, which identifies a request that must not run twice.
 type RequestKey struct {
 	Token        string    `json:"token"`
 	Digest       string    `json:"digest"`
@@ -42,6 +42,7 @@
 	Answer  *peer.Answer `json:"answer,omitempty"`
 }
 
+// applyIntent ignores an intent for a key that exists, unless its request did not run.
 func (s *State) applyIntent(r *Intent) {
 	if k, ok := s.Keys[r.ID]; ok && k.Outcome != api.OutcomeNotRun {
 		return
@@ -49,6 +50,8 @@
 	s.Keys[r.ID] = &RequestKey{Token: r.Token, Digest: r.Digest, PendingUntil: r.PendingUntil, RetainUntil: r.RetainUntil}
 }
 
+// applyFinish ignores a result that comes from another arrival than the one that runs the
+// request, or after a definite outcome.
 func (s *State) applyFinish(r *KeyResult) {
 	k, ok := s.Keys[r.ID]
 	if !ok || k.Token != r.Token || (k.Outcome != "" && k.Outcome != api.OutcomeUnknown) {
@@ -57,11 +60,11 @@
 	k.Outcome, k.Answer = r.Outcome, r.Answer
 }
 
-// KeyName returns the name under which a team's key is kept.
+// KeyName returns the name under which the key of a team is stored.
 func KeyName(team, key string) string { return team + "\x1f" + key }
 
-// KeyBegin gives the leave to run a request, or tells how it ended; it waits
-// while another arrival of the same key may be running.
+// KeyBegin returns whether a request may run, or else the outcome of an earlier arrival
+// with the same key. It waits while an earlier arrival may be running.
 func (s *Set) KeyBegin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
 	sh, err := s.ownedShard("begin key", req.Shard)
 	if err != nil {
@@ -82,7 +85,8 @@
 	}
 }
 
-// keyBegin tries once; a channel is returned when the caller must wait for a change.
+// keyBegin makes one attempt at KeyBegin. If it returns a channel, the caller must try
+// again once the channel is closed.
 func (sh *Shard) keyBegin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, <-chan struct{}, error) {
 	now := time.Now()
 	id := KeyName(req.Team, req.Key)
@@ -110,7 +114,8 @@
 	return peer.KeyReply{State: state, Answer: answer}, nil, nil
 }
 
-// decideKey tells what an arrival of a key is answered, and what must be journalled first.
+// decideKey returns the reply to a request with a key, and the records that must be
+// journalled before the reply is sent. k is nil if the key is new.
 func decideKey(k *RequestKey, req peer.KeyBegin, now time.Time, opts Options) (peer.KeyState, *peer.Answer, []Record) {
 	id := KeyName(req.Team, req.Key)
 	switch {
@@ -133,7 +138,8 @@
 	}
 }
 
-// KeyFinish journals how a request with a key ended.
+// KeyFinish journals the outcome of a request with a key. An answer that is too large is
+// stored without its body.
 func (s *Set) KeyFinish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
 	sh, err := s.ownedShard("finish key", req.Shard)
 	if err != nil {
--- a/internal/jobs/reconcile.go
+++ b/internal/jobs/reconcile.go
@@ -11,8 +11,9 @@
 	"switchbank.example/switchbank/internal/peer"
 )
 
-// reconcile asks again about tasks that were not told of, and stops those that
-// must not run.
+// reconcile asks the owners of worker shards about tasks of which nothing was heard, and
+// stops those that must not run. It scans the tasks when a scan is needed, and every
+// half VerifyInterval.
 func (s *Set) reconcile(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
@@ -33,7 +34,8 @@
 	}
 }
 
-// stopTasks stops tasks, and learns what became of those that are not there.
+// stopTasks stops tasks, and journals the end of those that the owners of their worker
+// shards do not run any more.
 func (s *Set) stopTasks(ctx context.Context, sh *Shard, placements []peer.Placement) {
 	sh.recordAsked(placements, time.Now())
 	eachPool(placements, func(shard string, placements []peer.Placement) {
@@ -44,15 +46,16 @@
 	})
 }
 
-// becomesDurable reports whether what was read is kept, waiting for it a short time;
-// a start must not be asked for before its place is kept.
+// becomesDurable waits up to journalTimeout for an append, and reports whether it is
+// durable. A start must not be sent before the task's placement is durable.
 func becomesDurable(ctx context.Context, pending *journal.Pending) bool {
 	ctx, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
 	return waitDurable(ctx, pending) == nil
 }
 
-// tasksToReconcile returns the tasks to be asked about and those to be stopped.
+// tasksToReconcile returns the active tasks to ask about, those to stop, and the last
+// append, on which both depend. verify holds the worker shards whose owner has changed.
 func (sh *Shard) tasksToReconcile(now time.Time, verify map[string]bool) (ask, stop []peer.Placement, pending *journal.Pending) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -81,7 +84,7 @@
 	return ask, stop, sh.lastAppend
 }
 
-// mustStop reports whether the job's active tasks must end.
+// mustStop reports whether the job's active tasks must be stopped.
 func (j *Job) mustStop() bool {
 	gangFailed := j.Spec.Kind == api.KindAllAtOnce && !j.Spec.AtMostOnce && j.counts.Failed > 0
 	return j.Cancelled || j.Restarting || gangFailed
@@ -98,7 +101,7 @@
 	}
 }
 
-// recordConfirmed records that the owners know the tasks, and tell of them from now on.
+// recordConfirmed records that the owners know the tasks, and thus report their events.
 func (sh *Shard) recordConfirmed(items []peer.Confirmed) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -110,7 +113,7 @@
 	}
 }
 
-// markStopSent returns the places of a job's tasks that a worker may be running.
+// markStopSent marks the active tasks of a job as sent a stop, and returns their placements.
 func (sh *Shard) markStopSent(job string) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -26,28 +26,28 @@
 )
 
 const (
-	// maxTasksPerRound bounds the tasks of one job that a round places.
+	// maxTasksPerRound is the maximum number of tasks of a job that a round places.
 	maxTasksPerRound = 512
-	// maxConcurrentPools bounds the calls of one step that are under way together.
+	// maxConcurrentPools is the maximum number of concurrent calls to worker shards.
 	maxConcurrentPools = 8
-	// maxAhead is how many of the jobs that go first are told of.
+	// maxAhead is the maximum number of jobs that a wait status lists as ahead.
 	maxAhead = 5
-	// journalTimeout bounds a round's wait for the journal.
+	// journalTimeout bounds how long a round waits until appends are durable.
 	journalTimeout = 2 * time.Second
 )
 
-// waitingJob is a job with tasks that may be placed now.
+// waitingJob is a job that has tasks to be placed now.
 type waitingJob struct {
 	shard     *Shard
 	job       string
 	spec      api.Workload
 	specs     []worker.Spec
 	allAtOnce bool
-	// neverPlaced is set while no task of the job was ever placed.
+	// neverPlaced is set if no task of the job was ever placed.
 	neverPlaced bool
 }
 
-// round is what one round of scheduling works on.
+// round is the input and the progress of one round of scheduling.
 type round struct {
 	bundle        *bundle.Bundle
 	pools         []peer.PoolSummary
@@ -55,11 +55,11 @@
 	teams         []policy.Team
 	jobs          []waitingJob
 	pendingStarts []pendingStart
-	// allPoolsKnown is set when the workers of every worker shard are known.
+	// allPoolsKnown is set if the workers of every worker shard are known.
 	allPoolsKnown bool
 }
 
-// schedule gives places to the tasks that wait, in the order of the policy.
+// schedule places waiting tasks in the order of the policy, and starts them.
 func (s *Set) schedule(ctx context.Context) {
 	jobs := s.waitingJobs()
 	if len(jobs) == 0 {
@@ -86,15 +86,16 @@
 	s.startDurable(ctx, r.pendingStarts)
 }
 
-// pendingStart are places whose record is on its way to the journal.
+// pendingStart holds placements that are being journalled; their tasks can be started
+// once pending is durable.
 type pendingStart struct {
 	shard      *Shard
 	placements []peer.Placement
 	pending    *journal.Pending
 }
 
-// startDurable starts tasks as their places are kept; what is not kept in time
-// is left to reconcile.
+// startDurable starts tasks as soon as their placements are durable. Those that are not
+// durable within journalTimeout are left to reconcile.
 func (s *Set) startDurable(ctx context.Context, batch []pendingStart) {
 	waitCtx, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
@@ -114,7 +115,7 @@
 	_ = g.Wait()
 }
 
-// waitingJobs returns the jobs with tasks that may be placed now, by name.
+// waitingJobs returns the jobs that have tasks to be placed now, sorted by ID.
 func (s *Set) waitingJobs() []waitingJob {
 	now, b := time.Now(), s.deps.Bundle()
 	var jobs []waitingJob
@@ -125,6 +126,7 @@
 	return jobs
 }
 
+// newRound returns a round for jobs, with the current load of the cell.
 func (s *Set) newRound(jobs []waitingJob) round {
 	r := round{bundle: s.deps.Bundle(), pools: s.deps.Load.Pools(), jobs: jobs}
 	known := 0
@@ -146,11 +148,12 @@
 	return r
 }
 
+// teamIndex returns a team's index in r.teams, or -1.
 func (r *round) teamIndex(name string) int {
 	return slices.IndexFunc(r.teams, func(t policy.Team) bool { return t.Name == name })
 }
 
-// policyJobs describes the waiting jobs to the policy.
+// policyJobs returns the waiting jobs in the form in which the policy orders them.
 func (r *round) policyJobs() []policy.WaitingJob {
 	items := make([]policy.WaitingJob, len(r.jobs))
 	for i, w := range r.jobs {
@@ -163,7 +166,8 @@
 	return items
 }
 
-// teamIndexOrAdd returns a team's index; a team that left the bundle counts with the least weight.
+// teamIndexOrAdd returns a team's index in r.teams. It adds a team that is not in the
+// bundle any more, with the minimum weight.
 func (r *round) teamIndexOrAdd(name string) int {
 	if i := r.teamIndex(name); i >= 0 {
 		return i
@@ -172,7 +176,8 @@
 	return len(r.teams) - 1
 }
 
-// waitingJobs returns the shard's jobs with tasks that may be placed now.
+// waitingJobs returns the shard's jobs that have tasks to be placed now. An all-at-once
+// job is among them only if all of its tasks can be.
 func (sh *Shard) waitingJobs(now time.Time, b *bundle.Bundle) []waitingJob {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -192,7 +197,8 @@
 	return list
 }
 
-// readySpecs returns the specs of the tasks that may be placed now.
+// readySpecs returns the specs of the tasks that can be placed now: they wait, and their
+// backoff is over.
 func (j *Job) readySpecs(now time.Time, class bundle.Class) []worker.Spec {
 	limit := maxTasksPerRound
 	if j.Spec.Kind == api.KindAllAtOnce {
@@ -217,6 +223,7 @@
 	return specs
 }
 
+// setWaitStatus sets a job's wait status; one without a reason is removed.
 func (sh *Shard) setWaitStatus(job string, note waitStatus) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -227,8 +234,8 @@
 	sh.waitStatuses[job] = note
 }
 
-// placeJob reserves room for a job's tasks and journals the places; the starts follow.
-// It returns why tasks still wait, or "".
+// placeJob reserves resources for a job's tasks and journals their placements. It adds a
+// pending start to the round, and returns the reason why tasks still wait, or "".
 func (s *Set) placeJob(ctx context.Context, r *round, w *waitingJob) (string, error) {
 	if r.neverFits(w) {
 		reason := "no worker of the cell has as much as a task needs"
@@ -260,8 +267,8 @@
 	return "", nil
 }
 
-// neverFits reports whether every worker of the cell is known and none could
-// hold a task of the job, empty as it may be.
+// neverFits reports whether all workers of the cell are known and none is large enough
+// for a task of the job, even without other tasks.
 func (r *round) neverFits(w *waitingJob) bool {
 	if !r.allPoolsKnown || !w.neverPlaced {
 		return false
@@ -278,7 +285,8 @@
 	return known
 }
 
-// overLimit tells whether the job's next tasks would take its team over its limit.
+// overLimit returns the reason why the job's next tasks may not be placed now because of
+// the limit of its team, or "".
 func (r *round) overLimit(w *waitingJob) string {
 	t, ok := r.bundle.Team(w.spec.Team)
 	if !ok {
@@ -295,13 +303,14 @@
 	return ""
 }
 
-// exceeds reports whether a is above limit in a resource that has one.
+// exceeds reports whether a is above limit in any resource; a limit of 0 means none.
 func exceeds(a, limit resource.Amount) bool {
 	over := func(a, limit int64) bool { return limit > 0 && a > limit }
 	return over(a.CPUMilli, limit.CPUMilli) || over(a.MemoryMB, limit.MemoryMB) || over(a.Accelerators, limit.Accelerators)
 }
 
-// reserve asks worker shards for room until the job's tasks have it or no shard is left.
+// reserve reserves resources for the job's tasks in one worker shard after the other. If
+// tasks remain and the class of the job allows it, it preempts other tasks.
 func (s *Set) reserve(ctx context.Context, r *round, w *waitingJob) ([]peer.Placement, error) {
 	placements, remaining, err := s.reserveFrom(ctx, r, w, r.poolOrder(w), w.specs, false)
 	if len(remaining) == 0 || w.allAtOnce || !r.mayPreempt(w) {
@@ -311,7 +320,8 @@
 	return append(placements, preempted...), cmp.Or(err, preemptErr)
 }
 
-// mayPreempt reports whether a job's class may take room from preemptible ones.
+// mayPreempt reports whether there is a preemptible class with a lower priority than the
+// job's.
 func (r *round) mayPreempt(w *waitingJob) bool {
 	class, _ := r.bundle.Class(w.spec.Class)
 	return slices.ContainsFunc(r.bundle.Classes, func(c bundle.Class) bool {
@@ -319,7 +329,7 @@
 	})
 }
 
-// allPools returns the worker shards that have workers, whatever room they have.
+// allPools returns the worker shards that have workers, regardless of their free capacity.
 func (r *round) allPools() []int {
 	var all []int
 	for i, p := range r.pools {
@@ -330,7 +340,9 @@
 	return all
 }
 
-// reserveFrom asks worker shards in order, and returns what is still without a place.
+// reserveFrom asks worker shards for reservations in order. It returns the placements, the
+// specs that have none, and the first error. Tasks of a service are spread evenly over
+// the shards.
 func (s *Set) reserveFrom(
 	ctx context.Context, r *round, w *waitingJob, order []int, specs []worker.Spec, preempt bool,
 ) ([]peer.Placement, []worker.Spec, error) {
@@ -362,7 +374,8 @@
 	return placements, specs, firstErr
 }
 
-// poolOrder returns the worker shards that may have room, best first.
+// poolOrder returns the worker shards that may have enough free capacity, best first: the
+// fullest if the bundle weights packing over waiting, and otherwise the emptiest.
 func (r *round) poolOrder(w *waitingJob) []int {
 	var order []int
 	for i, p := range r.pools {
@@ -381,12 +394,13 @@
 	return order
 }
 
-// recordReserved brings the round's view of a worker shard and a team up to date.
+// recordReserved updates the round's view of a worker shard and a team after a
+// reservation of granted tasks out of requested.
 func (r *round) recordReserved(i int, w *waitingJob, granted, requested int) {
 	used := w.spec.Size.Times(int64(granted))
 	r.pools[i].Free = r.pools[i].Free.Sub(used)
 	if granted < requested {
-		// It gave all it had for this size; the next summary tells more.
+		// The shard has no more capacity for this size, so do not ask it again in this round.
 		r.pools[i].Largest = resource.Amount{}
 	}
 	if t := r.teamIndex(w.spec.Team); t >= 0 {
@@ -394,6 +408,7 @@
 	}
 }
 
+// unplacedSpecs returns the specs that have no placement.
 func unplacedSpecs(specs []worker.Spec, placements []peer.Placement) []worker.Spec {
 	placed := make(map[worker.Attempt]bool, len(placements))
 	for _, p := range placements {
@@ -408,7 +423,7 @@
 	return unplaced
 }
 
-// startable leaves out the places of tasks that must not be started any more.
+// startable returns the placements of tasks that are still to be started.
 func (sh *Shard) startable(placements []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -421,7 +436,7 @@
 	return start
 }
 
-// stillWaiting leaves out the places of tasks that were cancelled meanwhile.
+// stillWaiting returns the placements of tasks that have not been cancelled meanwhile.
 func (sh *Shard) stillWaiting(placements []peer.Placement) []peer.Placement {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -448,7 +463,7 @@
 	return groups
 }
 
-// eachPool calls fn for the placements of each worker shard, several at once.
+// eachPool calls fn with the placements of each worker shard, concurrently.
 func eachPool(placements []peer.Placement, fn func(shard string, placements []peer.Placement)) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentPools)
@@ -461,14 +476,14 @@
 	_ = g.Wait()
 }
 
-// cancelReservations gives up reservations; what is not reached runs out by itself.
+// cancelReservations releases reservations. It ignores errors, since reservations expire.
 func (s *Set) cancelReservations(ctx context.Context, placements []peer.Placement) {
 	eachPool(placements, func(shard string, placements []peer.Placement) {
 		_, _ = s.deps.Pools.CancelReservations(ctx, peer.StopRequest{Shard: shard, Placements: placements})
 	})
 }
 
-// confirm starts placed tasks, or learns what became of them.
+// confirm starts placed tasks, and journals what became of those that can't be started.
 func (s *Set) confirm(ctx context.Context, sh *Shard, placements []peer.Placement) {
 	placements = sh.startable(placements)
 	sh.recordAsked(placements, time.Now())
@@ -478,14 +493,15 @@
 		defer span.End()
 		reply, err := s.deps.Pools.Confirm(ctx, peer.ConfirmRequest{Shard: shard, Placements: placements})
 		if err != nil {
-			// Asked again by reconcile.
+			// Reconcile will ask again.
 			return
 		}
 		s.applyConfirmReply(ctx, sh, placements, reply)
 	})
 }
 
-// applyConfirmReply journals what the owner of a worker shard says of tasks that it does not run.
+// applyConfirmReply journals events for the tasks that the owner of a worker shard does not
+// run, according to its reply.
 func (s *Set) applyConfirmReply(ctx context.Context, sh *Shard, placements []peer.Placement, reply peer.ConfirmReply) {
 	workers := make(map[worker.Attempt]string, len(placements))
 	for _, p := range placements {
@@ -509,7 +525,7 @@
 		return
 	}
 	if err := sh.applyEvents(ctx, evs); err != nil {
-		s.log.Warn("events not kept", events.ReportNotApplied, zap.Error(err))
+		s.log.Warn("task events not journalled", events.ReportNotApplied, zap.Error(err))
 	}
 	s.Wake()
 }
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -21,31 +21,32 @@
 
 // Options are the settings of a Set.
 type Options struct {
-	// RoundInterval is the longest time between two rounds of scheduling.
+	// RoundInterval is the maximum time between two rounds of scheduling.
 	RoundInterval time.Duration
-	// VerifyInterval is how often the owner of a worker shard is asked again about a
-	// task that it has not told of.
+	// VerifyInterval is the time after which the owner of a worker shard is asked again
+	// about a task whose start or state it has not confirmed.
 	VerifyInterval time.Duration
-	// Retention is how long a workload is kept after its end.
+	// Retention is how long a workload is stored after its end.
 	Retention time.Duration
-	// KeyWindow is how long a key of a request is kept.
+	// KeyWindow is how long the key of a request is stored.
 	KeyWindow time.Duration
-	// KeyMargin is added wherever the clocks of two processes are held against each other.
+	// KeyMargin is added wherever the clocks of two processes are compared.
 	KeyMargin time.Duration
-	// KeyAnswerBytes is the largest answer that is kept with a key.
+	// KeyAnswerBytes is the size of the largest answer that is stored with a key.
 	KeyAnswerBytes int
-	// MaxKeys and MaxJobs bound what callers can make a shard keep.
+	// MaxKeys and MaxJobs bound what callers can make a shard store.
 	MaxKeys int
 	MaxJobs int
-	// SnapshotEvery is how many batches a journal holds before a snapshot is taken.
+	// SnapshotEvery is the length of a journal, in batches, at which a snapshot is taken.
 	SnapshotEvery int64
 	// WorkerShards is the number of worker shards of the cell.
 	WorkerShards int
-	// StartBeforeJournal starts tasks before their place is kept, to show that tests see it.
+	// StartBeforeJournal starts tasks before their placement is durable. It is a fault for
+	// tests, which must detect it.
 	StartBeforeJournal bool
 }
 
-// Pools reaches the owners of worker shards.
+// Pools calls the owners of worker shards.
 type Pools interface {
 	Reserve(ctx context.Context, req peer.ReserveRequest) (peer.ReserveReply, error)
 	Confirm(ctx context.Context, req peer.ConfirmRequest) (peer.ConfirmReply, error)
@@ -53,7 +54,7 @@
 	CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error)
 }
 
-// CellLoad knows how much room the worker shards of the cell have.
+// CellLoad returns the free capacity of the cell's worker shards and the usage of teams.
 type CellLoad interface {
 	Pools() []peer.PoolSummary
 	Teams() []peer.TeamUsage
@@ -76,10 +77,11 @@
 
 	mu     sync.Mutex
 	shards map[shard.Key]*Shard
-	// verify holds the worker shards whose owner has changed: the tasks there are asked about.
+	// verify holds the worker shards whose owner has changed since the last scan. The new
+	// owner must be asked about the tasks there.
 	verify map[string]bool
-	// scanNeeded is set by what may leave tasks to be stopped, and scanned is when
-	// the tasks were last looked through.
+	// scanNeeded is set by changes after which tasks may have to be stopped or asked
+	// about, and lastScan is when reconcile last scanned the tasks.
 	scanNeeded bool
 	lastScan   time.Time
 }
@@ -94,7 +96,7 @@
 	}
 }
 
-// Acquire takes up a job shard by reading its journal.
+// Acquire loads a job shard from its journal.
 func (s *Set) Acquire(ctx context.Context, g shard.Grant) error {
 	sh, err := openShard(ctx, g, s.deps.Journal, s.opts, s.log)
 	if err != nil {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// Release ends the work on a shard once what was appended is kept.
+// Release drops a shard, and waits until its last append is durable.
 func (s *Set) Release(ctx context.Context, key shard.Key) {
 	sh, ok := s.get(string(key))
 	if !ok {
@@ -121,7 +123,7 @@
 	_ = waitDurable(ctx, pending)
 }
 
-// Drop forgets a shard.
+// Drop drops a shard.
 func (s *Set) Drop(key shard.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +137,7 @@
 	return sh, ok
 }
 
-// ownedShard returns a shard that this node certainly owns.
+// ownedShard returns a shard if this node certainly owns it now.
 func (s *Set) ownedShard(op, key string) (*Shard, error) {
 	sh, ok := s.get(key)
 	switch {
@@ -144,13 +146,14 @@
 	case sh.grant.Held():
 		return sh, nil
 	case sh.grant.LapsedFor() > 0:
-		// The node can't reach the store; to wait for another owner would be in vain.
+		// The node cannot reach the store, so it is no use for the caller to wait for
+		// another owner.
 		return nil, &Error{op, KindUnavailable, errors.New(key)}
 	}
 	return nil, &Error{op, KindNotOwner, errors.New(key)}
 }
 
-// ownedShards returns the shards that this node certainly owns.
+// ownedShards returns the shards that this node certainly owns now.
 func (s *Set) ownedShards() []*Shard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +166,7 @@
 	return all
 }
 
-// Wake starts a round of scheduling soon.
+// Wake makes Run start a round of scheduling.
 func (s *Set) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -171,8 +174,8 @@
 	}
 }
 
-// WorkerShardOwnerChanged notes that a worker shard has a new owner, which must be asked
-// about the tasks there.
+// WorkerShardOwnerChanged makes the next round ask the new owner of a worker shard about
+// the tasks there.
 func (s *Set) WorkerShardOwnerChanged(key shard.Key) {
 	s.mu.Lock()
 	s.verify[string(key)] = true
@@ -181,7 +184,8 @@
 	s.Wake()
 }
 
-// Create takes a workload in.
+// Create adds a workload, and returns once it is durable. Creating the same workload again
+// changes nothing.
 func (s *Set) Create(ctx context.Context, key string, w api.Workload) (api.Status, error) {
 	sh, err := s.ownedShard("create", key)
 	if err != nil {
@@ -194,7 +198,7 @@
 	return st, err
 }
 
-// Get returns a workload once its revision is above since, or ctx ends.
+// Get returns a workload once its revision is above since or ctx ends.
 func (s *Set) Get(ctx context.Context, key, id string, since int64, tasks bool) (api.Status, error) {
 	sh, err := s.ownedShard("get", key)
 	if err != nil {
@@ -203,7 +207,7 @@
 	return sh.get(ctx, id, since, tasks)
 }
 
-// List returns the workloads of a team, or all, that this node holds.
+// List returns the workloads of a team in the shards of this node, or all if team is "".
 func (s *Set) List(team string) []api.Status {
 	var list []api.Status
 	for _, sh := range s.ownedShards() {
@@ -212,7 +216,7 @@
 	return list
 }
 
-// Cancel ends a workload: what waits is cancelled, and what runs is told to stop.
+// Cancel cancels a workload: waiting tasks are cancelled, and active ones are stopped.
 func (s *Set) Cancel(ctx context.Context, key, id string) (api.Status, error) {
 	sh, err := s.ownedShard("cancel", key)
 	if err != nil {
@@ -220,14 +224,14 @@
 	}
 	st, err := sh.cancel(ctx, id)
 	if err == nil {
-		// The answer goes out behind the stops, so that nothing starts after it.
+		// Send the stops before the answer, so that no task starts after it.
 		s.stopTasks(ctx, sh, sh.markStopSent(id))
 	}
 	s.Wake()
 	return st, err
 }
 
-// Events journals what happened to tasks; nil means that all of it is kept.
+// Events journals events of tasks, and returns nil once all of them are durable.
 func (s *Set) Events(ctx context.Context, req peer.EventsRequest) error {
 	sh, err := s.ownedShard("events", req.Shard)
 	if err != nil {
@@ -241,14 +245,14 @@
 	return nil
 }
 
-// requestScan makes the next round look through the tasks.
+// requestScan makes the next round scan the tasks.
 func (s *Set) requestScan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scanNeeded = true
 }
 
-// Run schedules until ctx ends.
+// Run schedules, reconciles, takes snapshots and deletes expired entries until ctx ends.
 func (s *Set) Run(ctx context.Context) error {
 	t := time.NewTicker(s.opts.RoundInterval)
 	defer t.Stop()
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -20,25 +20,25 @@
 	"switchbank.example/switchbank/internal/shard"
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindNotOwner is a call for a shard that this node does not own now.
+	// KindNotOwner means that this node does not certainly own the shard now.
 	KindNotOwner Kind = "not_owner"
-	// KindUnavailable is a call that needs the store, which takes no writes now.
+	// KindUnavailable means that the store takes no writes now. Nothing was changed.
 	KindUnavailable Kind = "store_unavailable"
-	// KindNotFound is a workload that is not there.
+	// KindNotFound means that there is no such workload.
 	KindNotFound Kind = "not_found"
-	// KindConflict is a workload whose id is taken by another.
+	// KindConflict means that a different workload has the same ID.
 	KindConflict Kind = "conflict"
-	// KindCorrupt is a journal or snapshot that can't be read.
+	// KindCorrupt means that a record or snapshot cannot be encoded or decoded.
 	KindCorrupt Kind = "corrupt"
-	// KindTooManyKeys and KindTooManyJobs are shards that keep as many as they may.
+	// KindTooManyKeys and KindTooManyJobs mean that the shard stores as many as it may.
 	KindTooManyKeys Kind = "too_many_keys"
 	KindTooManyJobs Kind = "too_many_workloads"
-	// KindUncertain is a change that may or may not have been kept.
+	// KindUncertain means that a change may or may not have become durable.
 	KindUncertain Kind = "uncertain"
 )
 
@@ -64,7 +64,8 @@
 	return ""
 }
 
-// waitStatus is why a job's tasks wait, and which jobs go first.
+// waitStatus is the reason why a job's tasks wait, and the jobs that are scheduled before
+// it.
 type waitStatus struct {
 	reason string
 	ahead  []string
@@ -80,16 +81,18 @@
 
 	mu    sync.Mutex
 	state *State
-	// lastAppend is the newest append; what was read under the lock is kept once it is.
+	// lastAppend is the most recent append. Once it is durable, so is any state that was
+	// read under the same lock.
 	lastAppend *journal.Pending
 	// changed is closed and replaced at each change of the state.
 	changed chan struct{}
-	// waitStatuses holds, by job, why its tasks wait as the scheduler last saw it.
+	// waitStatuses holds the wait status of each job from the last round.
 	waitStatuses map[string]waitStatus
 	// snapshotting is set while a snapshot is being stored.
 	snapshotting bool
 }
 
+// openShard opens the journal of a shard and loads its state.
 func openShard(ctx context.Context, g shard.Grant, c *journal.Committer, opts Options, log *zap.Logger) (*Shard, error) {
 	stream, rec, err := c.Open(ctx, string(g.Key), g.Epoch, g.Version)
 	if err != nil {
@@ -107,7 +110,8 @@
 	}, nil
 }
 
-// writeLocked journals records and applies them; waitFor(sh.last) tells when they are kept.
+// writeLocked appends records to the journal and applies them to the state. They are
+// durable once waitDurable(ctx, sh.lastAppend) returns nil.
 func (sh *Shard) writeLocked(recs ...Record) error {
 	if len(recs) == 0 {
 		return nil
@@ -139,7 +143,7 @@
 	return nil
 }
 
-// waitDurable waits until an append is kept.
+// waitDurable waits until an append is durable. A nil append already is.
 func waitDurable(ctx context.Context, p *journal.Pending) error {
 	if p == nil {
 		return nil
@@ -150,7 +154,7 @@
 	return nil
 }
 
-// appendRecords journals records and applies them, without waiting.
+// appendRecords journals records and applies them, without waiting until they are durable.
 func (sh *Shard) appendRecords(recs ...Record) (*journal.Pending, error) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -158,7 +162,7 @@
 	return sh.lastAppend, err
 }
 
-// create takes a workload in; the same workload again changes nothing.
+// create adds a workload. Creating the same workload again changes nothing.
 func (sh *Shard) create(ctx context.Context, w api.Workload) (api.Status, error) {
 	sh.mu.Lock()
 	if j, ok := sh.state.Jobs[w.ID]; ok {
@@ -187,13 +191,14 @@
 	return st, waitDurable(ctx, pending)
 }
 
-// canonical returns w in the form in which two spellings of it compare equal.
+// canonical returns w with its deadline in a form in which equal times are equal under
+// reflect.DeepEqual.
 func canonical(w api.Workload) api.Workload {
 	w.Deadline = w.Deadline.UTC().Round(0)
 	return w
 }
 
-// get returns a workload once its revision is above since, or ctx ends.
+// get returns a workload once its revision is above since or ctx ends.
 func (sh *Shard) get(ctx context.Context, id string, since int64, tasks bool) (api.Status, error) {
 	for {
 		sh.mu.Lock()
@@ -217,7 +222,9 @@
 	}
 }
 
-// waitDurableBriefly keeps a read from showing what is not kept yet, except in a store outage.
+// waitDurableBriefly waits a short time until an append is durable, so that a read does not
+// return state that may yet be lost. It never fails: reads go on during an outage of the
+// store.
 func waitDurableBriefly(ctx context.Context, p *journal.Pending) error {
 	const maxWait = 500 * time.Millisecond
 	if p == nil {
@@ -243,7 +250,7 @@
 	return list
 }
 
-// cancel ends a workload; its tasks are stopped once that is kept.
+// cancel cancels a workload. The caller stops its active tasks once the record is durable.
 func (sh *Shard) cancel(ctx context.Context, id string) (api.Status, error) {
 	sh.mu.Lock()
 	j, ok := sh.state.Jobs[id]
@@ -263,7 +270,8 @@
 	return st, waitDurable(ctx, pending)
 }
 
-// applyEvents journals what happened to tasks; nil means that all of it is kept.
+// applyEvents journals the events that change the state, and returns nil once they are
+// durable.
 func (sh *Shard) applyEvents(ctx context.Context, evs []peer.Event) error {
 	now := time.Now().UTC()
 	sh.mu.Lock()
@@ -285,7 +293,7 @@
 	return waitDurable(ctx, pending)
 }
 
-// logEvent logs what an operator should know of an event.
+// logEvent logs a task whose result is unknown, and a job that failed.
 func (sh *Shard) logEvent(ev peer.Event) {
 	j, t := sh.state.task(ev.Attempt)
 	if t == nil {
@@ -299,7 +307,7 @@
 	}
 }
 
-// maybeSnapshot stores the state when the journal has grown long.
+// maybeSnapshot stores a snapshot of the state if the journal has reached SnapshotEvery.
 func (sh *Shard) maybeSnapshot(ctx context.Context) {
 	if sh.stream.BatchesToTrim() < sh.opts.SnapshotEvery {
 		return
@@ -324,7 +332,7 @@
 	sh.mu.Unlock()
 }
 
-// forgetExpired drops workloads that ended long ago and keys whose window is over.
+// forgetExpired deletes workloads and keys whose retention is over.
 func (sh *Shard) forgetExpired(now time.Time) {
 	const maxForgotten = 500
 	sh.mu.Lock()
@@ -343,6 +351,6 @@
 	if len(f.Jobs)+len(f.Keys) == 0 {
 		return
 	}
-	// A failed write is tried again at the next round.
+	// A failed write is repeated the next time.
 	_ = sh.writeLocked(Record{Forget: &f})
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -1,17 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package jobs owns job shards: the durable state of workloads and of request
+// Package jobs implements job shards: the durable state of workloads and of request
 // keys, and the scheduling of tasks.
 //
-// A shard's state changes only by records, which are journalled in the order in
-// which they are applied. What a record allows (a start, an answer) is done
-// only once the record is kept safe.
+// The state of a shard changes only by records, which are journalled in the order in
+// which they are applied. What depends on a record, such as the start of a task or the
+// answer to a caller, follows once the record is durable. The next owner of the shard
+// therefore rebuilds a state that covers everything that others have seen.
+//
+// A Set schedules in rounds: it reserves resources in worker shards for waiting tasks,
+// journals their placements, and then starts them. It also reconciles: it asks the
+// owners of worker shards about tasks of which it has heard nothing, and stops those
+// that must not run.
 //
 // # Usage
 //
 //	s := jobs.NewSet(deps, opts, log)          // a shard.Handler
 //	status, err := s.Create(ctx, key, workload)
-//	err = s.Events(ctx, peer.EventsRequest{…}) // nil: journalled
+//	err = s.Events(ctx, peer.EventsRequest{…}) // nil once the events are journalled
 package jobs
 
 import (
@@ -29,10 +35,11 @@
 const (
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = time.Minute
+	// voidRetryDelay is the delay of a task whose reservation expired, which is no failure.
 	voidRetryDelay = 50 * time.Millisecond
 )
 
-// Record is one change of a shard's state; exactly one member is set.
+// Record is one change of a shard's state; exactly one field is set.
 type Record struct {
 	Admit  *Admit     `json:"admit,omitempty"`
 	Place  *Place     `json:"place,omitempty"`
@@ -44,24 +51,24 @@
 	Finish *KeyResult `json:"finish,omitempty"`
 }
 
-// Admit takes a workload in.
+// Admit adds a workload.
 type Admit struct {
 	Workload api.Workload `json:"workload"`
 	At       time.Time    `json:"at"`
 }
 
-// Place gives tasks their places; starts follow only behind it.
+// Place assigns tasks to workers. A task is started only once its Place is durable.
 type Place struct {
 	Placements []peer.Placement `json:"placements"`
 }
 
-// Event is what happened to a task.
+// Event is an event of a task, and when it was received.
 type Event struct {
 	Event peer.Event `json:"event"`
 	At    time.Time  `json:"at"`
 }
 
-// Cancel ends a workload.
+// Cancel cancels a workload.
 type Cancel struct {
 	Job string    `json:"job"`
 	At  time.Time `json:"at"`
@@ -74,7 +81,7 @@
 	At     time.Time `json:"at"`
 }
 
-// Forget drops workloads that ended and keys whose window is over.
+// Forget deletes workloads and keys whose retention is over.
 type Forget struct {
 	Jobs []string `json:"jobs,omitempty"`
 	Keys []string `json:"keys,omitempty"`
@@ -88,11 +95,12 @@
 	Submitted time.Time    `json:"submitted"`
 	Ended     time.Time    `json:"ended,omitzero"`
 	Cancelled bool         `json:"cancelled,omitempty"`
-	// Restarting is set while an all-at-once job stops its tasks to start again whole.
+	// Restarting is set while the tasks of an all-at-once job are stopped, in order to
+	// start all of them again together.
 	Restarting bool   `json:"regroup,omitempty"`
 	Revision   int64  `json:"revision"`
 	Tasks      []Task `json:"tasks"`
-	// counts follows the states of the tasks.
+	// counts is the number of tasks in each state.
 	counts api.TaskCounts
 }
 
@@ -105,13 +113,14 @@
 	Address   string         `json:"address,omitempty"`
 	Reason    string         `json:"reason,omitempty"`
 	NotBefore time.Time      `json:"not_before,omitzero"`
-	// FailedOn are the workers on which the task failed.
+	// FailedOn lists the workers on which the task failed.
 	FailedOn []string `json:"failed_on,omitempty"`
-	// lastAsked is when the owner of its worker shard was last lastAsked about it.
+	// lastAsked is when the owner of its worker shard was last asked about the task.
 	lastAsked time.Time
-	// stopSent is set once the task was told to stop.
+	// stopSent is set once a stop has been sent for the task.
 	stopSent bool
-	// unconfirmed is set while the owner of the task's worker shard has not said that it knows it.
+	// unconfirmed is set until the current owner of the task's worker shard confirms that
+	// it knows the task.
 	unconfirmed bool
 }
 
@@ -126,7 +135,8 @@
 	return &State{Jobs: make(map[string]*Job), Keys: make(map[string]*RequestKey)}
 }
 
-// LoadState returns the state of a snapshot and the records behind it.
+// LoadState returns the state after a snapshot, which may be nil, and the records that
+// follow it.
 func LoadState(snapshot []byte, records []json.RawMessage) (*State, error) {
 	st := NewState()
 	if snapshot != nil {
@@ -147,7 +157,8 @@
 	return st, nil
 }
 
-// Apply changes the state by one record; a record that does not fit changes nothing.
+// Apply applies a record. A record that the state does not allow, such as an event of an
+// earlier attempt, changes nothing.
 func (s *State) Apply(r Record) {
 	switch {
 	case r.Admit != nil:
@@ -190,7 +201,7 @@
 	}
 }
 
-// task returns the task of an attempt, or nil.
+// task returns the job and the task of an attempt, or nil.
 func (s *State) task(a worker.Attempt) (*Job, *Task) {
 	j, ok := s.Jobs[a.Job]
 	if !ok || a.Task < 0 || a.Task >= len(j.Tasks) {
@@ -199,7 +210,8 @@
 	return j, &j.Tasks[a.Task]
 }
 
-// Accepts reports whether an event would change the state.
+// Accepts reports whether an event would change the state: it must be of the current
+// attempt and fit the state of the task.
 func (s *State) Accepts(ev peer.Event) bool {
 	_, t := s.task(ev.Attempt)
 	if t == nil || t.Attempt != ev.Attempt.N {
@@ -228,7 +240,7 @@
 		t.Address = ev.Address
 		j.setTaskState(t, api.TaskRunning, "")
 	case peer.EventVoid:
-		// Others of an all-at-once job may run or have ended without this one.
+		// Other tasks of an all-at-once job may run or have ended without this one.
 		j.Restarting = j.Spec.Kind == api.KindAllAtOnce
 		j.requeue(t, ev.Attempt, r.At.Add(voidRetryDelay), ev.Reason)
 	case peer.EventLost:
@@ -239,6 +251,7 @@
 	j.updateState(r.At)
 }
 
+// taskEnded handles a task whose end was reported.
 func (j *Job) taskEnded(t *Task, ev peer.Event, at time.Time) {
 	switch {
 	case ev.Result == worker.ResultLapsed:
@@ -252,7 +265,8 @@
 	}
 }
 
-// taskStopped handles a task that its worker taskStopped: by a cancel, or to be run again.
+// taskStopped handles a task that its worker stopped, because the job is cancelled or
+// the task is to run again.
 func (j *Job) taskStopped(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.AtMostOnce && !j.Cancelled {
 		j.setTaskState(t, api.TaskUnknown, eventReason("stopped", ev))
@@ -261,7 +275,7 @@
 	j.requeue(t, ev.Attempt, at, ev.Reason)
 }
 
-// taskLost handles a task that ended without its end being known.
+// taskLost handles a task that does not run any more and whose result is not known.
 func (j *Job) taskLost(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.AtMostOnce {
 		j.setTaskState(t, api.TaskUnknown, eventReason("lost", ev))
@@ -270,6 +284,8 @@
 	j.retryTask(t, ev, at)
 }
 
+// taskFailed handles a failed attempt: the task is retried until MaxAttempts, and without
+// limit if it belongs to a service.
 func (j *Job) taskFailed(t *Task, ev peer.Event, at time.Time) {
 	t.Failures++
 	t.FailedOn = appendUnique(t.FailedOn, ev.Worker)
@@ -280,7 +296,8 @@
 	j.retryTask(t, ev, at)
 }
 
-// retryTask sends a task, or the whole of an all-at-once job, back to wait.
+// retryTask requeues a task after a backoff. If the job is all-at-once, all of its tasks
+// are restarted.
 func (j *Job) retryTask(t *Task, ev peer.Event, at time.Time) {
 	if j.Spec.Kind == api.KindAllAtOnce {
 		j.Restarting = true
@@ -288,7 +305,7 @@
 	j.requeue(t, ev.Attempt, at.Add(Backoff(ev.Attempt, t.Failures)), ev.Reason)
 }
 
-// requeue lets a task wait for its next attempt.
+// requeue makes a task wait for its next attempt, or cancels it if the job is cancelled.
 func (j *Job) requeue(t *Task, a worker.Attempt, notBefore time.Time, reason string) {
 	if j.Cancelled {
 		j.setTaskState(t, api.TaskCancelled, "cancelled")
@@ -298,7 +315,7 @@
 	j.setTaskState(t, api.TaskWaiting, reason)
 }
 
-// updateState draws the job's state from its tasks.
+// updateState derives the job's state from those of its tasks, and raises the revision.
 func (j *Job) updateState(at time.Time) {
 	c := &j.counts
 	active := c.Placed + c.Running
@@ -332,7 +349,8 @@
 	j.Revision++
 }
 
-// cancelWaiting lets the waiting tasks of an all-at-once job go that can't be whole any more.
+// cancelWaiting cancels the waiting tasks of an all-at-once job that cannot run all of
+// its tasks any more.
 func (j *Job) cancelWaiting() {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == api.TaskWaiting {
@@ -341,7 +359,8 @@
 	}
 }
 
-// requeueDone sends every task of an all-at-once job back to wait, since all have ended.
+// requeueDone requeues the completed tasks of an all-at-once job that restarts, once no
+// task is active.
 func (j *Job) requeueDone() {
 	j.Restarting = false
 	for i := range j.Tasks {
@@ -351,6 +370,7 @@
 	}
 }
 
+// firstReason returns the reason of the first task in a state.
 func (j *Job) firstReason(state api.TaskState) string {
 	for i := range j.Tasks {
 		if j.Tasks[i].State == state {
@@ -407,13 +427,14 @@
 	}
 }
 
-// setTaskState changes a task's state and keeps the counts.
+// setTaskState changes a task's state and reason, and updates the counts.
 func (j *Job) setTaskState(t *Task, state api.TaskState, reason string) {
 	*j.countOf(t.State)--
 	t.State, t.Reason = state, reason
 	*j.countOf(state)++
 }
 
+// countOf returns the counter of a task state.
 func (j *Job) countOf(s api.TaskState) *int {
 	switch s {
 	case api.TaskPlaced:
@@ -440,7 +461,7 @@
 	}
 }
 
-// Status returns what is known of the job, with its tasks when asked for.
+// Status returns the status of the job, including its tasks if tasks is set.
 func (j *Job) Status(tasks bool) api.Status {
 	st := api.Status{
 		Workload: j.Spec, State: j.State, Reason: j.Reason, Submitted: j.Submitted, Revision: j.Revision, Counts: j.counts,
@@ -457,8 +478,9 @@
 	return st
 }
 
-// Backoff returns how long a task waits after its n-th failure; it doubles from
-// one failure to the next, with a jitter drawn from the attempt's name.
+// Backoff returns how long a task waits after its n-th failure. It doubles with each
+// failure, and has a jitter that is derived from the attempt, so that replaying the
+// journal gives the same result.
 func Backoff(a worker.Attempt, n int) time.Duration {
 	d := maxBackoff
 	if n < 10 {
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -70,7 +70,7 @@
 	applyEvent(st, peer.EventEnded, 0, 1, worker.ResultDone)
 	applyEvent(st, peer.EventVoid, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskPlaced || s.Tasks[0].Attempt != 2 {
-		t.Errorf("an event of an old attempt was taken: %+v", s.Tasks[0])
+		t.Errorf("an event of an old attempt was applied: %+v", s.Tasks[0])
 	}
 }
 
@@ -81,7 +81,7 @@
 	applyPlace(st, 0, 1)
 	applyEvent(st, peer.EventVoid, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskWaiting {
-		t.Errorf("a task that never ran may be tried again: %+v", s.Tasks[0])
+		t.Errorf("a task that never ran was not requeued: %+v", s.Tasks[0])
 	}
 	applyPlace(st, 0, 2)
 	applyEvent(st, peer.EventStarted, 0, 2, "")
@@ -91,7 +91,7 @@
 	}
 	applyEvent(st, peer.EventEnded, 0, 2, worker.ResultDone)
 	if s := st.Jobs["j"].Status(false); s.State != api.JobDone {
-		t.Errorf("a late report of the end must settle it: %+v", s)
+		t.Errorf("a late report of success must end the job: %+v", s)
 	}
 }
 
@@ -150,26 +150,26 @@
 	intent("a")
 	intent("b")
 	if st.Keys["k"].Token != "a" {
-		t.Error("a second intent took the place of one under way")
+		t.Error("a second intent replaced the one of a running request")
 	}
 	finish("b", api.OutcomeNotRun)
 	if st.Keys["k"].Outcome != "" {
-		t.Error("another arrival's outcome was taken")
+		t.Error("the outcome of another arrival was applied")
 	}
 	finish("a", api.OutcomeNotRun)
 	intent("b")
 	if st.Keys["k"].Token != "b" {
-		t.Error("a request that did not run may run now")
+		t.Error("a request that did not run was not allowed to run again")
 	}
 	finish("b", api.OutcomeUnknown)
 	intent("c")
 	if st.Keys["k"].Token != "b" {
-		t.Error("a request that may have run must not run again")
+		t.Error("a request that may have run was allowed to run again")
 	}
 }
 
-// TestRandomRecords applies records at random: the counts match the tasks, a
-// final state stays, and a snapshot gives the same state back.
+// TestRandomRecords applies random records and checks that the counts match the tasks, that
+// a final state does not change, and that a snapshot restores the same state.
 func TestRandomRecords(t *testing.T) {
 	kinds := []api.Kind{api.KindBatch, api.KindAllAtOnce, api.KindService}
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(5))
