--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -121,7 +121,7 @@
 	if o.fallback.activate() {
 		o.Log.Warn("progress goes to fallback rows", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
 	}
-	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.PersistedElsewhere(now, batch) })
+	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.PersistedInFallback(now, batch) })
 	return true
 }
 
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -128,9 +128,9 @@
 	s.batchDurable(now, b)
 }
 
-// PersistedElsewhere records that the batch is durable in the store, but not in the jobs'
-// own rows. MarkDirty asks for it to be written there later.
-func (s *Shard) PersistedElsewhere(now time.Time, b Batch) { s.batchDurable(now, b) }
+// PersistedInFallback records that the batch is durable in fallback rows, but not in the
+// jobs' own rows yet. MarkDirty asks for it to be written there later.
+func (s *Shard) PersistedInFallback(now time.Time, b Batch) { s.batchDurable(now, b) }
 
 // MarkDirty makes the next batches write the progress of a job again; false: there is no
 // such job.
