--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -224,14 +224,14 @@
 }
 
 // setWaitStatus sets a job's wait status; one without a reason is removed.
-func (sh *Shard) setWaitStatus(job string, note waitStatus) {
+func (sh *Shard) setWaitStatus(job string, status waitStatus) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if note.reason == "" {
+	if status.reason == "" {
 		delete(sh.waitStatuses, job)
 		return
 	}
-	sh.waitStatuses[job] = note
+	sh.waitStatuses[job] = status
 }
 
 // placeJob reserves resources for a job's tasks and journals their placements. It adds a
@@ -375,7 +375,8 @@
 }
 
 // poolOrder returns the worker shards that may have enough free capacity, best first: the
-// fullest if the bundle weights packing over waiting, and otherwise the emptiest.
+// fullest if the bundle gives packing more weight than waiting, and otherwise, or for a
+// service, the emptiest.
 func (r *round) poolOrder(w *waitingJob) []int {
 	var order []int
 	for i, p := range r.pools {
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -62,7 +62,7 @@
 
 // poll reads the head and the proposal from the store once.
 func (f *follower) poll(ctx context.Context) {
-	asked := time.Now()
+	sentAt := time.Now()
 	head, err := f.n.bundles.Head(ctx)
 	if err != nil {
 		f.n.log.Warn("bundle not read", events.BundleNotRead, zap.Error(err))
@@ -73,7 +73,7 @@
 		return
 	}
 	f.mu.Lock()
-	f.haveHead, f.confirmedAt = true, asked
+	f.haveHead, f.confirmedAt = true, sentAt
 	f.mu.Unlock()
 	f.stage(ctx)
 	f.mu.Lock()
@@ -86,13 +86,13 @@
 // current one.
 func (f *follower) advance(ctx context.Context, head bundle.Head) error {
 	f.mu.Lock()
-	present := f.head
+	current := f.head
 	staged, fetched := f.stagedDigest, f.stagedBundle
 	f.mu.Unlock()
-	if head.Version <= present.Version {
+	if head.Version <= current.Version {
 		return nil
 	}
-	if head.Digest == "" || head.Digest == present.Digest && head.Version == present.Version {
+	if head.Digest == "" || head.Digest == current.Digest && head.Version == current.Version {
 		return nil
 	}
 	b := fetched
@@ -145,15 +145,15 @@
 }
 
 // observePeer handles the version that a peer reported in reply to a call sent at
-// asked. If the peer is ahead, its bundle is fetched and applied, so that a node that
+// sentAt. If the peer is ahead, its bundle is fetched and applied, so that a node that
 // cannot reach the store follows too. Otherwise the peer confirms the current bundle,
 // but only if its own was confirmed recently: a peer that was cut off itself may have
 // missed a change.
-func (f *follower) observePeer(address string, version int64, confirmed bool, asked time.Time) {
+func (f *follower) observePeer(address string, version int64, confirmed bool, sentAt time.Time) {
 	f.mu.Lock()
 	newer := version > f.head.Version
 	if !newer && f.haveHead && confirmed {
-		f.confirmedAt = asked
+		f.confirmedAt = sentAt
 	}
 	f.mu.Unlock()
 	if !newer {
@@ -169,7 +169,7 @@
 	f.mu.Lock()
 	f.haveHead = true
 	if confirmed {
-		f.confirmedAt = asked
+		f.confirmedAt = sentAt
 	}
 	f.mu.Unlock()
 }
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -106,7 +106,7 @@
 func (l *cellLoad) fetchSummary(ctx context.Context, node lease.Node) {
 	ctx, cancel := context.WithTimeout(ctx, l.n.cfg.Requests.Load)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	sum, err := httpx.Call[httpx.None, peer.Summary](ctx, l.n.peerHTTP, "http://"+node.PeerAddress+peer.PathSummary, httpx.None{})
 	if err != nil || sum.Node != node.ID {
 		return
@@ -114,7 +114,7 @@
 	l.mu.Lock()
 	l.peers[node.ID] = &peerState{node, sum, time.Now()}
 	l.mu.Unlock()
-	l.n.follower.observePeer(node.PeerAddress, sum.Head, sum.Confirmed, asked)
+	l.n.follower.observePeer(node.PeerAddress, sum.Head, sum.Confirmed, sentAt)
 }
 
 // hasExchanged reports whether the node has completed an exchange while it held its
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -35,18 +35,18 @@
 	DataCentre string `json:"data_centre"`
 	Ready      bool   `json:"ready"`
 	// NotReady says why the node does not serve.
-	NotReady     string        `json:"not_ready,omitempty"`
-	LeaseHeld    bool          `json:"lease_held"`
-	StoreDown    bool          `json:"store_down"`
-	JobShards    int           `json:"job_shards"`
-	WorkerShards int           `json:"worker_shards"`
-	Unowned      int           `json:"unowned_shards"`
-	Bundle       bundle.Head   `json:"bundle"`
-	Nodes        []NodeBundles `json:"nodes"`
+	NotReady     string           `json:"not_ready,omitempty"`
+	LeaseHeld    bool             `json:"lease_held"`
+	StoreDown    bool             `json:"store_down"`
+	JobShards    int              `json:"job_shards"`
+	WorkerShards int              `json:"worker_shards"`
+	Unowned      int              `json:"unowned_shards"`
+	Bundle       bundle.Head      `json:"bundle"`
+	Nodes        []AppliedBundles `json:"nodes"`
 }
 
-// NodeBundles is the bundle that a live node applies and the one that it has staged.
-type NodeBundles struct {
+// AppliedBundles is the bundle that a live node applies and the one that it has staged.
+type AppliedBundles struct {
 	Node     string `json:"node"`
 	InForce  int64  `json:"in_force"`
 	Staged   string `json:"staged,omitempty"`
@@ -60,8 +60,8 @@
 	Bundle   *bundle.Bundle   `json:"bundle,omitempty"`
 	Proposal *bundle.Proposal `json:"proposal,omitempty"`
 	// Waiting are the live nodes that have not staged the proposal yet.
-	Waiting []string      `json:"waiting,omitempty"`
-	Nodes   []NodeBundles `json:"nodes"`
+	Waiting []string         `json:"waiting,omitempty"`
+	Nodes   []AppliedBundles `json:"nodes"`
 }
 
 // ProposeRequest carries a signed bundle.
@@ -175,10 +175,10 @@
 	return st, nil
 }
 
-func (n *Node) nodeBundles() []NodeBundles {
-	var list []NodeBundles
+func (n *Node) nodeBundles() []AppliedBundles {
+	var list []AppliedBundles
 	for _, node := range n.lease.Live() {
-		list = append(list, NodeBundles{Node: node.ID, InForce: node.InForce, Staged: node.Staged, Draining: node.Draining})
+		list = append(list, AppliedBundles{Node: node.ID, InForce: node.InForce, Staged: node.Staged, Draining: node.Draining})
 	}
 	return list
 }
