--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -49,7 +49,7 @@
 	wait, failures := time.Duration(0), 0
 	for ctx.Err() == nil {
 		o.mu.Lock()
-		seq, order, lastSeen, ok := o.shard.HoldSent(time.Now(), id)
+		seq, order, lastSeen, ok := o.shard.BeginHold(time.Now(), id)
 		o.mu.Unlock()
 		if !ok {
 			return
--- a/internal/owner/machines.go
+++ b/internal/owner/machines.go
@@ -104,7 +104,7 @@
 	w.o.updateShard(func(s *scheduler.Shard, now time.Time) {
 		s.ExpectWorkers(workerIDs)
 		for _, id := range s.Workers() {
-			if s.KnownSince(id).After(requestedAt) {
+			if s.WorkerKnownSince(id).After(requestedAt) {
 				delete(w.missingCount, id)
 				continue
 			}
@@ -133,7 +133,7 @@
 	// A machine that was removed for good is not listed at all, and neither is a worker that
 	// ended before this owner's first listing.
 	w.missingCount[id]++
-	if w.missingCount[id] >= minMissingLists && s.Silent(id) {
+	if w.missingCount[id] >= minMissingLists && s.WorkerSilent(id) {
 		return "no machine is listed with it"
 	}
 	return ""
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -75,7 +75,7 @@
 // pollWorker asks a worker what it runs, independently of a hold that may be open there.
 func (o *Owner) pollWorker(ctx context.Context, id string) {
 	o.mu.Lock()
-	seq, order, lastSeen, ok := o.shard.HoldSent(time.Now(), id)
+	seq, order, lastSeen, ok := o.shard.BeginHold(time.Now(), id)
 	o.mu.Unlock()
 	if !ok {
 		return
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -241,7 +241,7 @@
 func (o *Owner) WaitingJobs(queue string) (n int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.shard.Waiting(queue), o.loaded
+	return o.shard.WaitingJobs(queue), o.loaded
 }
 
 // Load returns the demand of the running and waiting work relative to the shard's capacity. 1
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 	reportAll := func() {
 		for i := range workers {
 			id := fmt.Sprintf("w%03d", i)
-			seq, _, _, _ := s.HoldSent(now, id)
+			seq, _, _, _ := s.BeginHold(now, id)
 			s.Observe(now, id, seq, cluster.Report{ClockMS: now.UnixMilli(), Running: running[id]})
 		}
 	}
--- a/internal/scheduler/endlist_test.go
+++ b/internal/scheduler/endlist_test.go
@@ -31,7 +31,7 @@
 	starts := 0
 	for range 10 {
 		r.now = r.now.Add(100 * time.Millisecond)
-		seq, _, _, _ := r.shard.HoldSent(r.now, "w0")
+		seq, _, _, _ := r.shard.BeginHold(r.now, "w0")
 		r.shard.Observe(r.now, "w0", seq, cluster.Report{ClockMS: r.now.UnixMilli(), Ended: ends})
 		starts += len(commandsOf[scheduler.Start](r.shard.Schedule(r.now)))
 	}
--- a/internal/scheduler/incarnation.go
+++ b/internal/scheduler/incarnation.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// KnownSince returns since when the present incarnation of a worker is known.
-func (s *Shard) KnownSince(id string) time.Time {
+// WorkerKnownSince returns since when the present incarnation of a worker is known.
+func (s *Shard) WorkerKnownSince(id string) time.Time {
 	if w := s.workers[id]; w != nil {
 		return w.knownSince
 	}
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/life_test.go
@@ -30,7 +30,7 @@
 	var last int64
 	for range 3 {
 		r.upsertIncarnation(worker)
-		_, order, _, ok := r.shard.HoldSent(r.now, worker.ID)
+		_, order, _, ok := r.shard.BeginHold(r.now, worker.ID)
 		if !ok || order.Generation < last || (last > 0 && order.Generation == last) {
 			t.Fatalf("the generation is %d (known: %t), want one above %d", order.Generation, ok, last)
 		}
@@ -55,7 +55,7 @@
 	r.upsertIncarnation(worker)
 	report := func(started int64, running []cluster.RunStatus, ended []cluster.RunEnd) (lastSeen int64) {
 		t.Helper()
-		seq, _, lastSeen, ok := r.shard.HoldSent(r.now, "w")
+		seq, _, lastSeen, ok := r.shard.BeginHold(r.now, "w")
 		if !ok {
 			t.Fatal("the worker is not known")
 		}
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		unfit := s.unfitStep(j)
-		joint := s.needsJoint(now, j, unfit)
+		joint := s.shouldBeJoint(now, j, unfit)
 		if unfit != nil || joint || (!j.begun && s.load >= moveMinLoad && j.waitsTooLong(now)) {
 			list = append(list, moveCandidate{j, unfit != nil, joint})
 		}
@@ -179,9 +179,9 @@
 	return false
 }
 
-// needsJoint reports whether all shards should run the job's gangs together; unfit is a
+// shouldBeJoint reports whether all shards should run the job's gangs together; unfit is a
 // step of the job that this shard can't hold, or nil.
-func (s *Shard) needsJoint(now time.Time, j *job, unfit *step) bool {
+func (s *Shard) shouldBeJoint(now time.Time, j *job, unfit *step) bool {
 	if unfit != nil {
 		return unfit.spec.Gang && j.spec.Moves >= jointMinMoves
 	}
--- a/internal/scheduler/move_test.go
+++ b/internal/scheduler/move_test.go
@@ -92,7 +92,7 @@
 	if got := r.running(); len(got) != 2 || got[cluster.TaskID{Job: "a", Index: 1}] != 1 || got[cluster.TaskID{Job: "a", Index: 3}] != 1 {
 		t.Errorf("runs %v, want tasks 1 and 3", got)
 	}
-	if n := r.shard.Waiting(job.Queue); n != 0 {
+	if n := r.shard.WaitingJobs(job.Queue); n != 0 {
 		t.Errorf("%d jobs wait, want none", n)
 	}
 }
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -98,7 +98,7 @@
 	if e.Percent != r.percent {
 		r.percent, r.percentChangedAt = e.Percent, now
 	}
-	r.usage = e.Usage
+	r.latencyMS = e.Usage
 	s.creditLongRunning(now, w, r)
 	if e.Checkpoint != "" {
 		t.checkpoint = e.Checkpoint
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -51,7 +51,7 @@
 			}
 			if spec.LatencyTargetMS > 0 {
 				serving = true
-				worst = max(worst, float64(r.usage)/float64(spec.LatencyTargetMS))
+				worst = max(worst, float64(r.latencyMS)/float64(spec.LatencyTargetMS))
 			}
 		}
 		for _, r := range bestEffort {
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -93,7 +93,7 @@
 func (r *rig) reportAll() {
 	for _, id := range r.workerIDs() {
 		f := r.workers[id]
-		seq, order, lastSeen, ok := r.shard.HoldSent(r.now, id)
+		seq, order, lastSeen, ok := r.shard.BeginHold(r.now, id)
 		if !ok {
 			continue
 		}
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -52,7 +52,9 @@
 	percentChangedAt time.Time
 	firstPercent     int
 	firstAt          time.Time
-	usage            int64
+	// latencyMS is the last tail latency that a serving task reported; of other tasks it is
+	// not used.
+	latencyMS int64
 	// pace is the share of its full speed at which the run works, in percent, paceSetAt
 	// when it was last set, and calmSince since when the serving tasks beside it have had
 	// latency to spare.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,7 +18,7 @@
 //	s := scheduler.New(params, now, log)
 //	s.AddJob(now, job, nil, false)
 //	s.UpsertWorker(now, worker)
-//	seq, order, lastSeen, ok := s.HoldSent(now, worker.ID)
+//	seq, order, lastSeen, ok := s.BeginHold(now, worker.ID)
 //	s.Observe(now, worker.ID, seq, report)
 //	for _, c := range s.Schedule(now) { … } // carry out, and feed back the reply
 //	batch := s.NextBatch(maxJobs, maxBytes) // persist, then
@@ -231,8 +231,8 @@
 // emit queues a command for Schedule to return.
 func (s *Shard) emit(c Command) { s.commands = append(s.commands, c) }
 
-// Waiting returns how many accepted jobs of a queue have no task that has begun.
-func (s *Shard) Waiting(queue string) int {
+// WaitingJobs returns how many accepted jobs of a queue have no task that has begun.
+func (s *Shard) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range s.active {
 		if j.spec.Queue == queue && j.spec.Share.Leads() && !j.begun && !j.state.Finished() {
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -214,7 +214,7 @@
 func (s *simulation) pollWorkers() {
 	for _, id := range s.workerIDs() {
 		f, m := s.workers[id], s.workerStates[id]
-		seq, order, seen, ok := s.shard.HoldSent(s.now, id)
+		seq, order, seen, ok := s.shard.BeginHold(s.now, id)
 		if !ok {
 			continue
 		}
--- a/internal/scheduler/stale_test.go
+++ b/internal/scheduler/stale_test.go
@@ -23,8 +23,8 @@
 
 func testOlderList(t *testing.T, reply cluster.Reply) {
 	r, start := startOne(t)
-	hold, _, _, _ := r.shard.HoldSent(r.now, start.Worker)
-	poll, _, _, _ := r.shard.HoldSent(r.now, start.Worker)
+	hold, _, _, _ := r.shard.BeginHold(r.now, start.Worker)
+	poll, _, _, _ := r.shard.BeginHold(r.now, start.Worker)
 	// The worker answers the poll, takes the start and answers the hold, but the answer to
 	// the hold is read first.
 	clockMS := r.now.UnixMilli()
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -159,9 +159,9 @@
 	s.workerList = workersByID(s.workers)
 }
 
-// HoldSent numbers a hold, the long poll by which a worker reports, that is about to be
-// sent, and returns the order for it.
-func (s *Shard) HoldSent(now time.Time, id string) (seq int64, order cluster.Order, lastSeen int64, ok bool) {
+// BeginHold returns the number of the next hold of a worker, the order to send with it,
+// and the last end that the worker may forget; ok is false for an unknown worker.
+func (s *Shard) BeginHold(now time.Time, id string) (seq int64, order cluster.Order, lastSeen int64, ok bool) {
 	w := s.workers[id]
 	if w == nil {
 		return 0, cluster.Order{}, 0, false
@@ -345,8 +345,8 @@
 	}
 }
 
-// Silent reports whether a worker is known and does not answer.
-func (s *Shard) Silent(id string) bool {
+// WorkerSilent reports whether a worker is known and does not answer.
+func (s *Shard) WorkerSilent(id string) bool {
 	w := s.workers[id]
 	return w != nil && (w.silent || !w.answered)
 }
