--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -27,7 +27,7 @@
 const (
 	// KindNotOwner means that this node does not certainly own the shard now.
 	KindNotOwner Kind = "not_owner"
-	// KindUnavailable means that the store takes no writes now. Nothing was changed.
+	// KindUnavailable means that the store takes no writes now.
 	KindUnavailable Kind = "store_unavailable"
 	// KindNotFound means that there is no such workload.
 	KindNotFound Kind = "not_found"
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -6,7 +6,8 @@
 // The state of a shard changes only by records, which are journalled in the order in
 // which they are applied. What depends on a record, such as the start of a task or the
 // answer to a caller, follows once the record is durable. The next owner of the shard
-// therefore rebuilds a state that covers everything that others have seen.
+// therefore finds every task that may have been started and every change that was
+// acknowledged.
 //
 // A Set schedules in rounds: it reserves resources in worker shards for waiting tasks,
 // journals their placements, and then starts them. It also reconciles: it asks the
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,7 +162,7 @@
 		drain:    make(chan struct{}, 1),
 		inFlight: make(chan struct{}, cfg.Limits.InFlight),
 	}
-	// New fails only for a size of 0 or less.
+	// lru.New fails only for a size of 0 or less.
 	n.forwardedIDs, _ = lru.New[string, struct{}](maxForwardedIDs)
 	n.runCtx, n.stopRun = context.WithCancel(context.Background())
 	n.peerHTTP = n.newClient("peers", peerConns)
