--- a/matrix/cell_test.go
+++ b/matrix/cluster_test.go
@@ -44,41 +44,41 @@
 	dataCentre      = "dc"
 	platformHost    = "platform"
 	platformTimeout = time.Second
-	cellWorkers     = 4
-	cellNodes       = 3
+	initialWorkers  = 4
+	initialNodes    = 3
 
-	cellJobShards    = 4
-	cellWorkerShards = 2
+	jobShardCount    = 4
+	workerShardCount = 2
 )
 
 // cell is a platform, nodes and workers on an in-memory network.
-type cell struct {
-	t      *testing.T
-	ctx    context.Context
-	net    *network.Network
-	plat   *standin.Platform
-	guards node.Guards
-	ignore standinworker.Config
-	steps  *stepper
+type cluster struct {
+	t            *testing.T
+	ctx          context.Context
+	net          *network.Network
+	plat         *standin.Platform
+	guards       node.Guards
+	workerConfig standinworker.Config
+	steps        *stepTracker
 	// wire sends what was already under way when its sender died or was cut off.
-	wire *http.Transport
+	copyTransport *http.Transport
 	// ailing counts the faults that last and have not been healed yet.
-	ailing  atomic.Int64
-	names   atomic.Int64
-	mu      sync.Mutex
-	nodes   map[string]*cellNode
-	workers map[string]*cellWorker
+	unhealed atomic.Int64
+	nameSeq  atomic.Int64
+	mu       sync.Mutex
+	nodes    map[string]*clusterNode
+	workers  map[string]*clusterWorker
 	// started are all nodes that were ever started, also those whose name was taken.
-	started []*cellNode
+	started []*clusterNode
 	// sights of workers that were replaced.
-	past []standinworker.Event
+	replacedEvents []standinworker.Event
 }
 
-type cellNode struct {
+type clusterNode struct {
 	name   string
 	n      *node.Node
 	stop   context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 	client *client.Client
 	http   *http.Transport
 	// killed, faulted and drained say from when the node is not judged as a healthy one.
@@ -86,23 +86,23 @@
 	drained time.Time
 }
 
-type cellWorker struct {
+type clusterWorker struct {
 	host platform.Host
 	w    *standinworker.Worker
 	stop context.CancelFunc
 	dead bool
 }
 
-func newCell(t *testing.T, guards node.Guards, ignore standinworker.Config) *cell {
-	c := &cell{
-		t: t, ctx: t.Context(), net: network.New(), plat: standin.New(), guards: guards, ignore: ignore,
-		steps: newStepper(), nodes: make(map[string]*cellNode), workers: make(map[string]*cellWorker),
+func newCluster(t *testing.T, guards node.Guards, workerConfig standinworker.Config) *cluster {
+	c := &cluster{
+		t: t, ctx: t.Context(), net: network.New(), plat: standin.New(), guards: guards, workerConfig: workerConfig,
+		steps: newStepTracker(), nodes: make(map[string]*clusterNode), workers: make(map[string]*clusterWorker),
 	}
-	c.wire = &http.Transport{DialContext: c.net.Dial("wire")}
-	for i := range cellWorkers {
-		c.startWorker(fmt.Sprintf("w%d", i), rackIn(i%cellWorkerShards))
+	c.copyTransport = &http.Transport{DialContext: c.net.Dial("wire")}
+	for i := range initialWorkers {
+		c.startWorker(fmt.Sprintf("w%d", i), rackIn(i%workerShardCount))
 	}
-	for i := range cellNodes {
+	for i := range initialNodes {
 		c.startNode(fmt.Sprintf("n%d", i))
 	}
 	return c
@@ -110,7 +110,7 @@
 
 // rackIn returns the name of a rack whose workers are in the i-th worker shard.
 func rackIn(i int) string {
-	dc := shard.DataCentre{Name: dataCentre, WorkerShards: cellWorkerShards}
+	dc := shard.DataCentre{Name: dataCentre, WorkerShards: workerShardCount}
 	want := shard.Layout(0, []shard.DataCentre{dc})[i]
 	for n := 0; ; n++ {
 		if rack := fmt.Sprintf("rack%d", n); shard.WorkerKey(dc, rack) == want {
@@ -119,11 +119,11 @@
 	}
 }
 
-func (c *cell) config(name string) config.Config {
+func (c *cluster) config(name string) config.Config {
 	cfg := config.Default()
 	cfg.Node, cfg.DataCentre = name, dataCentre
-	cfg.DataCentres = []shard.DataCentre{{Name: dataCentre, WorkerShards: cellWorkerShards}}
-	cfg.JobShards = cellJobShards
+	cfg.DataCentres = []shard.DataCentre{{Name: dataCentre, WorkerShards: workerShardCount}}
+	cfg.JobShards = jobShardCount
 	cfg.Lease = config.Lease{TTL: 2500 * time.Millisecond, Margin: 500 * time.Millisecond, Every: 500 * time.Millisecond}
 	cfg.Tasks.Lease, cfg.Tasks.Grace, cfg.Tasks.Reservation = 6*time.Second, 20*time.Second, 4*time.Second
 	cfg.Tasks.SetAside = 2 * time.Second
@@ -135,14 +135,14 @@
 	return cfg
 }
 
-func (c *cell) startNode(name string) *cellNode {
+func (c *cluster) startNode(name string) *clusterNode {
 	ctx, stop := context.WithCancel(context.Background())
-	cn := &cellNode{name: name, stop: stop, ended: make(chan struct{})}
+	cn := &clusterNode{name: name, stop: stop, done: make(chan struct{})}
 	cn.n = node.New(c.config(name), node.Deps{
 		Platform: &nodePlatform{c: c, node: name},
 		Callers:  c.net.Listen(name + ":1"), Peers: c.net.Listen(name + ":2"), Operators: c.net.Listen(name + ":3"),
-		Dial: c.net.Dial(name), Log: testLog(), Guards: c.guards,
-		Wrap: func(rt http.RoundTripper) http.RoundTripper { return &tap{c: c, node: name, next: rt} },
+		Dial: c.net.Dial(name), Log: testLogger(), Guards: c.guards,
+		Wrap: func(rt http.RoundTripper) http.RoundTripper { return &interceptor{c: c, node: name, next: rt} },
 	})
 	cn.http = &http.Transport{DialContext: c.net.Dial("caller"), MaxIdleConnsPerHost: 64}
 	cn.client = client.New(client.Config{Callers: name + ":1", Operators: name + ":3", Team: "inkasoft", Transport: cn.http})
@@ -151,14 +151,14 @@
 	c.started = append(c.started, cn)
 	c.mu.Unlock()
 	go func() {
-		defer close(cn.ended)
+		defer close(cn.done)
 		_ = cn.n.Run(ctx)
 	}()
 	return cn
 }
 
 // testLog returns the log of the nodes: none, unless MATRIX_LOG is set.
-func testLog() *zap.Logger {
+func testLogger() *zap.Logger {
 	if os.Getenv("MATRIX_LOG") == "" {
 		return zap.NewNop()
 	}
@@ -167,15 +167,15 @@
 }
 
 // freshName returns a name that no node of the cell has had: a killed node's stays cut off.
-func (c *cell) freshName(prefix string) string {
-	return fmt.Sprintf("%s-%d", prefix, c.names.Add(1))
+func (c *cluster) unusedName(prefix string) string {
+	return fmt.Sprintf("%s-%d", prefix, c.nameSeq.Add(1))
 }
 
 // live returns the nodes that were not killed or stopped.
-func (c *cell) live() []*cellNode {
+func (c *cluster) live() []*clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var live []*cellNode
+	var live []*clusterNode
 	for _, n := range c.nodes {
 		if !n.killed && n.drained.IsZero() {
 			live = append(live, n)
@@ -185,7 +185,7 @@
 }
 
 // kill ends a node's process as far as anyone outside can tell.
-func (c *cell) kill(name string) {
+func (c *cluster) kill(name string) {
 	c.mu.Lock()
 	n := c.nodes[name]
 	gone := n == nil || n.killed
@@ -201,20 +201,20 @@
 }
 
 // drain begins a planned stop of a node.
-func (c *cell) drain(n *cellNode) {
+func (c *cluster) drain(n *clusterNode) {
 	c.mu.Lock()
 	n.drained = time.Now()
 	c.mu.Unlock()
 	n.stop()
 }
 
-func (c *cell) startWorker(id, rack string) {
+func (c *cluster) startWorker(id, rack string) {
 	ctx, stop := context.WithCancel(context.Background())
 	h := platform.Host{
 		ID: id, DataCentre: dataCentre, Rack: rack, Address: id + ":4", State: platform.HostLive,
 		Capacity: resource.Amount{CPUMilli: 4000, MemoryMB: 4000},
 	}
-	cfg := c.ignore
+	cfg := c.workerConfig
 	cfg.ID, cfg.Capacity = id, h.Capacity
 	var next int
 	cfg.Listen = func() (net.Listener, error) {
@@ -225,9 +225,9 @@
 	c.mu.Lock()
 	if old := c.workers[id]; old != nil {
 		old.stop()
-		c.past = append(c.past, old.w.Events()...)
+		c.replacedEvents = append(c.replacedEvents, old.w.Events()...)
 	}
-	c.workers[id] = &cellWorker{host: h, w: w, stop: stop}
+	c.workers[id] = &clusterWorker{host: h, w: w, stop: stop}
 	c.mu.Unlock()
 	c.plat.SetHost(h)
 	l := c.net.Listen(h.Address)
@@ -235,7 +235,7 @@
 }
 
 // killWorker ends a worker and its tasks; the host list keeps it as live for lag.
-func (c *cell) killWorker(id string, lag time.Duration) {
+func (c *cluster) killWorker(id string, lag time.Duration) {
 	c.mu.Lock()
 	w := c.workers[id]
 	gone := w == nil || w.dead
@@ -255,10 +255,10 @@
 }
 
 // evidence returns what all workers saw.
-func (c *cell) evidence() []standinworker.Event {
+func (c *cluster) events() []standinworker.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := append([]standinworker.Event(nil), c.past...)
+	all := append([]standinworker.Event(nil), c.replacedEvents...)
 	for _, w := range c.workers {
 		all = append(all, w.w.Events()...)
 	}
@@ -266,7 +266,7 @@
 }
 
 // close ends everything, so that no goroutine is left in the bubble.
-func (c *cell) close() {
+func (c *cluster) close() {
 	c.plat.SetFaults(standin.Faults{})
 	c.steps.disarm()
 	c.mu.Lock()
@@ -277,20 +277,20 @@
 		n.stop()
 	}
 	for _, n := range nodes {
-		<-n.ended
+		<-n.done
 		n.http.CloseIdleConnections()
 		c.net.ResetConnections(n.name)
 	}
 	for _, w := range workers {
 		w.stop()
 	}
-	c.wire.CloseIdleConnections()
+	c.copyTransport.CloseIdleConnections()
 	c.net.ResetConnections("wire")
 	c.net.ResetConnections("caller")
 }
 
 // bundle returns the example's bundle with a mark that tells versions apart.
-func testBundle(mark int) *bundle.Bundle {
+func testBundle(variant int) *bundle.Bundle {
 	sub, err := fs.Sub(examples.Bundle, "bundle")
 	if err != nil {
 		panic(err)
@@ -299,14 +299,14 @@
 	if err != nil {
 		panic(err)
 	}
-	b.Limits.TimeoutMS += int64(mark)
+	b.Limits.TimeoutMS += int64(variant)
 	return b
 }
 
 // accept rolls a bundle out by way of a node; it returns when it was accepted.
-func (c *cell) accept(ctx context.Context, cl *client.Client, change string, mark int) (int64, time.Time, error) {
+func (c *cluster) accept(ctx context.Context, cl *client.Client, change string, variant int) (int64, time.Time, error) {
 	var err error
-	for tries := 0; tries < 200 && ctx.Err() == nil; tries++ {
+	for attempt := 0; attempt < 200 && ctx.Err() == nil; attempt++ {
 		var st node.BundleStatus
 		st, err = cl.Bundle(ctx)
 		if err == nil && st.Head.Change == change {
@@ -314,7 +314,7 @@
 		}
 		if err == nil {
 			p := bundle.Proposal{Base: st.Head.Version, Change: change, Operator: change, Proposed: time.Now()}
-			_, err = cl.Propose(ctx, testBundle(mark), p)
+			_, err = cl.Propose(ctx, testBundle(variant), p)
 		}
 		if err == nil {
 			var head bundle.Head
@@ -332,14 +332,14 @@
 
 // nodePlatform is a node's way to the stand-in platform.
 type nodePlatform struct {
-	c    *cell
+	c    *cluster
 	node string
 }
 
 var errNoReply = errors.New("no reply in time")
 
 // reach waits as a call over the network would, and fails when it does not get through.
-func (p *nodePlatform) reach(ctx context.Context) error {
+func (p *nodePlatform) waitReachable(ctx context.Context) error {
 	if err := p.c.net.WaitWhilePaused(p.node, ctx.Done()); err != nil {
 		return err
 	}
@@ -355,14 +355,14 @@
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	p.c.steps.hit(step, before, p.node, "")
-	if err := p.reach(ctx); err != nil {
+	p.c.steps.onStep(step, before, p.node, "")
+	if err := p.waitReachable(ctx); err != nil {
 		return zero, err
 	}
 	v, err := fn(ctx)
-	p.c.steps.hit(step, after, p.node, "")
-	if rerr := p.reach(context.WithoutCancel(ctx)); rerr != nil {
-		return zero, rerr
+	p.c.steps.onStep(step, after, p.node, "")
+	if replyErr := p.waitReachable(context.WithoutCancel(ctx)); replyErr != nil {
+		return zero, replyErr
 	}
 	if ctx.Err() != nil {
 		return zero, ctx.Err()
@@ -442,12 +442,12 @@
 }
 
 func stepOfRecords(value string) string {
-	for _, s := range []struct{ mark, step string }{
+	for _, c := range []struct{ pattern, step string }{
 		{`{"intent"`, stepKeyBegin}, {`{"finish"`, stepKeyFinish}, {`{"place"`, stepPlace}, {`{"admit"`, stepAdmit},
 		{`{"cancel"`, stepCancel}, {`"kind":"ended"`, stepEnded}, {`"kind":"started"`, stepStarted},
 	} {
-		if strings.Contains(value, s.mark) {
-			return s.step
+		if strings.Contains(value, c.pattern) {
+			return c.step
 		}
 	}
 	return stepNone
@@ -455,13 +455,13 @@
 
 // tap goes around a node's HTTP clients: it sees each message and can delay it,
 // send it twice, or lose its reply.
-type tap struct {
-	c    *cell
+type interceptor struct {
+	c    *cluster
 	node string
 	next http.RoundTripper
 }
 
-func (tp *tap) RoundTrip(r *http.Request) (*http.Response, error) {
+func (ic *interceptor) RoundTrip(r *http.Request) (*http.Response, error) {
 	body := []byte(nil)
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body)
@@ -469,19 +469,19 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	step, to, jobs := stepOfMessage(r, body), network.HostOf(r.URL.Host), jobsStarted(body)
-	how := tp.c.steps.hit(step, before, tp.node, to, jobs...)
-	if how.delay > 0 {
-		sleep(r.Context(), how.delay)
+	fault := ic.c.steps.onStep(step, before, ic.node, to, jobs...)
+	if fault.delay > 0 {
+		sleep(r.Context(), fault.delay)
 	}
-	if how.late > 0 {
-		tp.sendLate(r, body, how.late)
+	if fault.copyDelay > 0 {
+		ic.sendCopy(r, body, fault.copyDelay)
 	}
-	if how.twice {
-		tp.sendLate(r, body, 0)
+	if fault.sendTwice {
+		ic.sendCopy(r, body, 0)
 	}
-	resp, err := tp.next.RoundTrip(r)
-	how = tp.c.steps.hit(step, after, tp.node, to, jobs...)
-	if how.loseReply && err == nil {
+	resp, err := ic.next.RoundTrip(r)
+	fault = ic.c.steps.onStep(step, after, ic.node, to, jobs...)
+	if fault.loseReply && err == nil {
 		_ = resp.Body.Close()
 		return nil, errNoReply
 	}
@@ -489,14 +489,14 @@
 }
 
 // sendLate sends a copy of a message after a time; nobody waits for its reply.
-func (tp *tap) sendLate(r *http.Request, body []byte, after time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), after+5*time.Second)
+func (ic *interceptor) sendCopy(r *http.Request, body []byte, delay time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), delay+5*time.Second)
 	dup := r.Clone(ctx)
 	dup.Body = io.NopCloser(bytes.NewReader(body))
 	go func() {
 		defer cancel()
-		sleep(ctx, after)
-		if resp, err := tp.c.wire.RoundTrip(dup); err == nil {
+		sleep(ctx, delay)
+		if resp, err := ic.c.copyTransport.RoundTrip(dup); err == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 		}
@@ -515,7 +515,7 @@
 	case peer.PathRequest:
 		return stepForward
 	case peer.PathKeyBegin:
-		return stepKeyBeginMsg
+		return stepKeyBeginCall
 	case "/":
 		return stepDispatch
 	case "/worker/v1/contact":
--- a/matrix/confirm_test.go
+++ b/matrix/confirm_test.go
@@ -18,7 +18,7 @@
 // bundle because the other one has it too.
 func TestCutOffNodesConfirmNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(t, node.Guards{}, standinworker.Config{})
+		c := newCluster(t, node.Guards{}, standinworker.Config{})
 		ctx, stop := context.WithCancel(context.Background())
 		c.ctx = ctx
 		if _, _, err := c.accept(ctx, c.nodes["n0"].client, "first", 1); err != nil {
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sleep(ctx, time.Until(at.Add(bundleWithin)))
+		sleep(ctx, time.Until(at.Add(bundleDeadline)))
 		c.net.SetPartitioned("n0", "n1", false)
 		for range 10 {
 			sleep(ctx, 500*time.Millisecond)
@@ -49,6 +49,6 @@
 		}
 		stop()
 		c.close()
-		time.Sleep(wrapUp)
+		time.Sleep(shutdownTimeout)
 	})
 }
--- /dev/null
+++ b/matrix/guarantees_test.go
@@ -0,0 +1,204 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package matrix_test
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"switchbank.example/switchbank/internal/api"
+	standinworker "switchbank.example/switchbank/standin/worker"
+)
+
+// The promises of the brief, in its order, and that everything goes on after a fault.
+const (
+	guaranteeCapacity    = "1 room"
+	guaranteeOnePlace    = "2 one place"
+	guaranteeOwnAnswer   = "3 own answer"
+	guaranteeNotRun      = "4 not run"
+	guaranteeOnce        = "5 once"
+	guaranteeLeaving     = "6 leaving"
+	guaranteePlannedStop = "7 planned stop"
+	guaranteeBundle      = "8 bundle"
+	guaranteeProgress    = "goes on"
+)
+
+var guarantees = []string{
+	guaranteeCapacity, guaranteeOnePlace, guaranteeOwnAnswer, guaranteeNotRun, guaranteeOnce, guaranteeLeaving, guaranteePlannedStop, guaranteeBundle, guaranteeProgress,
+}
+
+const (
+	leavingDeadline = 5 * time.Second
+	bundleDeadline  = 7 * time.Second
+)
+
+// breach is a promise that was broken, and how.
+type violation struct{ guarantee, detail string }
+
+// judge holds what was seen from outside against the promises.
+func (s *scenario) findViolations(cutsAnswers bool) []violation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var found []violation
+	add := func(promise, format string, args ...any) {
+		found = append(found, violation{promise, fmt.Sprintf(format, args...)})
+	}
+	events := s.c.events()
+	slices.SortStableFunc(events, func(x, y standinworker.Event) int { return x.At.Compare(y.At) })
+	s.checkTasks(events, add)
+	checkOwners(events, add)
+	s.checkKeys(events, add)
+	s.checkCalls(events, cutsAnswers, add)
+	s.checkBundles(add)
+	for _, st := range s.stuck {
+		add(guaranteeProgress, "%s", st)
+	}
+	return found
+}
+
+type taskKey struct {
+	job  string
+	task int
+}
+
+func (s *scenario) checkTasks(events []standinworker.Event, add func(string, string, ...any)) {
+	running, started := make(map[taskKey]int), make(map[taskKey]int)
+	for _, e := range events {
+		name := taskKey{e.Attempt.Job, e.Attempt.Task}
+		switch e.Kind {
+		case standinworker.EventStart:
+			running[name]++
+			started[name]++
+			if running[name] > 1 {
+				add(guaranteeOnePlace, "%s runs in two places at %s", e.Attempt, e.At.Format("05.000"))
+			}
+			if started[name] > 1 && name.job == "once" {
+				add(guaranteeOnce, "%s started again", e.Attempt)
+			}
+			if at, ok := s.cancelled[name.job]; ok && e.At.After(at) {
+				add(guaranteeNotRun, "%s started %s after it was cancelled", e.Attempt, e.At.Sub(at))
+			}
+			s.checkLeaving(e, add)
+		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLapsed:
+			running[name]--
+		case standinworker.EventOverload:
+			add(guaranteeCapacity, "worker %s was given %s beyond its room", e.Worker, e.Attempt)
+		case standinworker.EventRequest:
+			s.checkLeaving(e, add)
+		case standinworker.EventSlotsExceeded:
+			add(guaranteeCapacity, "instance %s was given a request beyond its slots", e.Attempt)
+		case standinworker.EventCheckpoint, standinworker.EventThrottle, standinworker.EventNewOwner:
+		}
+	}
+}
+
+// judgeOwners holds what the workers saw against a model of ownership: each epoch
+// of a shard has one owner, and at one worker epochs only rise.
+func checkOwners(events []standinworker.Event, add func(string, string, ...any)) {
+	type shardEpoch struct {
+		shard string
+		epoch int64
+	}
+	owners, highest := make(map[shardEpoch]string), make(map[string]int64)
+	for _, e := range events {
+		if e.Kind != standinworker.EventNewOwner {
+			continue
+		}
+		k := shardEpoch{e.Shard, e.Epoch}
+		if previous, ok := owners[k]; ok && previous != e.Owner {
+			add(guaranteeOnePlace, "shard %s has two owners under epoch %d: %s and %s", e.Shard, e.Epoch, previous, e.Owner)
+		}
+		owners[k] = e.Owner
+		if e.Epoch < highest[e.Worker] {
+			add(guaranteeOnePlace, "worker %s took epoch %d after %d", e.Worker, e.Epoch, highest[e.Worker])
+		}
+		highest[e.Worker] = max(highest[e.Worker], e.Epoch)
+	}
+}
+
+// judgeKeys holds the arrivals of each key against a model of it: it runs at most
+// once, and who was told that it is done was told so of a run.
+func (s *scenario) checkKeys(events []standinworker.Event, add func(string, string, ...any)) {
+	runs := make(map[string]int)
+	for _, e := range events {
+		if e.Kind == standinworker.EventRequest {
+			runs[e.Body]++
+		}
+	}
+	for _, cl := range s.calls {
+		if cl.key == "" {
+			continue
+		}
+		if runs[cl.body] > 1 {
+			add(guaranteeOnce, "%s ran %d times", cl.key, runs[cl.body])
+		}
+		if cl.outcome == string(api.OutcomeDone) && runs[cl.body] == 0 {
+			add(guaranteeOwnAnswer, "%s was said to be done, and never ran", cl.key)
+		}
+	}
+}
+
+func (s *scenario) checkLeaving(e standinworker.Event, add func(string, string, ...any)) {
+	if at, ok := s.leaving[e.Worker]; ok && e.At.Sub(at) > leavingDeadline {
+		add(guaranteeLeaving, "worker %s got a %s %s after it began to leave", e.Worker, e.Kind, e.At.Sub(at))
+	}
+}
+
+func (s *scenario) checkCalls(events []standinworker.Event, cutsAnswers bool, add func(string, string, ...any)) {
+	runs := make(map[string]int)
+	for _, e := range events {
+		if e.Kind == standinworker.EventRequest {
+			runs[e.Body]++
+		}
+	}
+	notRun := make(map[string]bool)
+	for _, cl := range s.calls {
+		if _, ok := notRun[cl.body]; !ok {
+			notRun[cl.body] = true
+		}
+		if cl.outcome != string(api.OutcomeNotRun) && cl.outcome != string(api.OutcomeRefused) {
+			notRun[cl.body] = false
+		}
+		if cl.wrongAnswer {
+			add(guaranteeOwnAnswer, "%q got another's answer", cl.body)
+		}
+		s.checkPlannedStop(cl, cutsAnswers, add)
+	}
+	for body, allNotRun := range notRun {
+		if allNotRun && runs[body] > 0 {
+			add(guaranteeNotRun, "%q was said not to have run, and ran", body)
+		}
+	}
+	for body, n := range runs {
+		if n > 1 && body != "last" {
+			add(guaranteeOnce, "%q ran %d times", body, n)
+		}
+	}
+}
+
+// judgeStop looks at requests that were in flight while a node stopped as planned.
+func (s *scenario) checkPlannedStop(cl call, cutsAnswers bool, add func(string, string, ...any)) {
+	at := cl.node.drained
+	if at.IsZero() || cutsAnswers || cl.sentAt.After(at) || cl.answeredAt.Before(at) {
+		return
+	}
+	if cl.outcome == "cut" {
+		add(guaranteePlannedStop, "%q was cut off when %s stopped", cl.body, cl.node.name)
+	}
+}
+
+func (s *scenario) checkBundles(add func(string, string, ...any)) {
+	highest := make(map[*clusterNode]int64)
+	for _, v := range s.versions {
+		if v.version < highest[v.node] {
+			add(guaranteeBundle, "%s went back from version %d to %d", v.node.name, highest[v.node], v.version)
+		}
+		highest[v.node] = max(highest[v.node], v.version)
+		for version, at := range s.accepted {
+			if v.ready && v.version < version && v.at.Sub(at) > bundleDeadline {
+				add(guaranteeBundle, "%s serves version %d %s after %d was accepted", v.node.name, v.version, v.at.Sub(at), version)
+			}
+		}
+	}
+}
--- a/matrix/guards_test.go
+++ b/matrix/guards_test.go
@@ -14,83 +14,83 @@
 type guardCase struct {
 	name string
 	// promises are those that the guard keeps; one of them must be seen broken.
-	promises []string
-	guards   node.Guards
-	ignore   standinworker.Config
-	rows     []string
-	steps    []string
-	phases   []phase
+	guarantees   []string
+	guards       node.Guards
+	workerConfig standinworker.Config
+	rows         []string
+	steps        []string
+	phases       []phase
 	// skips are the occurrences of the step at which the fault is tried.
 	skips []int
 	// ownerOf names a job whose shard's owner is the only node hit.
-	ownerOf string
+	ownerOfJob string
 	// job is the only one whose messages to workers are hit.
 	job string
 }
 
 var guardCases = []guardCase{
 	{
-		name: "slot count", promises: []string{promiseRoom}, guards: node.Guards{AllowOvercommit: true},
+		name: "slot count", guarantees: []string{guaranteeCapacity}, guards: node.Guards{AllowOvercommit: true},
 		rows: []string{"requests rush"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
-		name: "ticket", promises: []string{promisePlace}, ignore: standinworker.Config{IgnoreTickets: true},
+		name: "ticket", guarantees: []string{guaranteeOnePlace}, workerConfig: standinworker.Config{IgnoreTickets: true},
 		rows: []string{"worker cut from its owner only", "message doubled, the second late"},
 		// A task of "again" outlasts the outage: its second copy still runs when the
 		// late message starts the first one.
 		steps: []string{stepStart}, phases: []phase{before}, skips: []int{0, 1, 2, 3}, job: "again",
 	},
 	{
-		name: "epoch check", promises: []string{promisePlace}, ignore: standinworker.Config{IgnoreEpochs: true},
+		name: "epoch check", guarantees: []string{guaranteeOnePlace}, workerConfig: standinworker.Config{IgnoreEpochs: true},
 		rows:  []string{"owner killed, its message arrives after the takeover"},
 		steps: []string{stepStart}, phases: []phase{before}, skips: []int{0, 1, 2, 3, 4, 5, 6, 7},
 	},
 	{
-		name: "journal before start", promises: []string{promisePlace, promiseOnce}, guards: node.Guards{StartBeforeJournal: true},
-		rows: []string{"node cut from the store only"}, steps: []string{stepPlace}, phases: []phase{before}, ownerOf: "again",
+		name: "journal before start", guarantees: []string{guaranteeOnePlace, guaranteeOnce}, guards: node.Guards{StartBeforeJournal: true},
+		rows: []string{"node cut from the store only"}, steps: []string{stepPlace}, phases: []phase{before}, ownerOfJob: "again",
 	},
 	{
-		name: "answer check", promises: []string{promiseAnswer}, guards: node.Guards{SkipRequestIDCheck: true},
+		name: "answer check", guarantees: []string{guaranteeOwnAnswer}, guards: node.Guards{SkipRequestIDCheck: true},
 		rows: []string{"answers swapped"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
-		name: "unknown told as unknown", promises: []string{promiseNotRun}, guards: node.Guards{AssumeNotRun: true},
+		name: "unknown told as unknown", guarantees: []string{guaranteeNotRun}, guards: node.Guards{AssumeNotRun: true},
 		rows: []string{"all workers die in a rush"}, steps: []string{stepDispatch}, phases: []phase{after}, skips: []int{0, 8},
 	},
 	{
-		name: "key intent", promises: []string{promiseOnce}, guards: node.Guards{SkipKeyJournal: true},
+		name: "key intent", guarantees: []string{guaranteeOnce}, guards: node.Guards{SkipKeyJournal: true},
 		rows: []string{"job that can never run"}, steps: []string{stepDispatch}, phases: []phase{before},
 	},
 	{
-		name: "leaving workers", promises: []string{promiseLeaving}, guards: node.Guards{IgnoreLeaving: true},
+		name: "leaving workers", guarantees: []string{guaranteeLeaving}, guards: node.Guards{IgnoreLeaving: true},
 		rows: []string{"worker leaving"}, steps: []string{stepDispatch}, phases: []phase{after}, skips: []int{0, 5},
 	},
 	{
-		name: "drain wait", promises: []string{promiseStop}, guards: node.Guards{NoDrain: true},
+		name: "drain wait", guarantees: []string{guaranteePlannedStop}, guards: node.Guards{NoDrain: true},
 		rows: []string{"planned stop"}, steps: []string{stepDispatch, stepForward}, phases: []phase{before}, skips: []int{0, 5, 10},
 	},
 	{
-		name: "confirmed bundle", promises: []string{promiseBundle}, guards: node.Guards{ServeStaleBundle: true},
+		name: "confirmed bundle", guarantees: []string{guaranteeBundle}, guards: node.Guards{ServeStaleBundle: true},
 		rows: []string{"node cut from store and peers"}, steps: []string{stepApply}, phases: []phase{before}, skips: []int{0, 1, 2},
 	},
 }
 
 // specs returns the cells of a case, with its guard off or on.
-func (g guardCase) specs(off bool) []spec {
+func (g guardCase) specs(off bool) []cellSpec {
 	if len(g.skips) == 0 {
 		g.skips = []int{0}
 	}
 	var fs []fault
 	for _, row := range g.rows {
-		fs = append(fs, faultNamed(row))
+		fs = append(fs, faultByName(row))
 	}
-	var specs []spec
+	var specs []cellSpec
 	for _, step := range g.steps {
 		for _, ph := range g.phases {
 			for _, skip := range g.skips {
-				sp := spec{row: g.name, faults: fs, step: step, phase: ph, skip: skip, calm: true, ownerOf: g.ownerOf, job: g.job}
+				sp := cellSpec{row: g.name, faults: fs, step: step, phase: ph, skip: skip, skipJoin: true, ownerOfJob: g.ownerOfJob, job: g.job}
 				if off {
-					sp.guards, sp.ignore = g.guards, g.ignore
+					sp.guards, sp.workerConfig = g.guards, g.workerConfig
 				}
 				specs = append(specs, sp)
 			}
@@ -107,16 +107,16 @@
 			t.Parallel()
 			var seen []string
 			for _, sp := range g.specs(true) {
-				for _, b := range sp.run(t).breaches {
-					seen = append(seen, b.promise)
+				for _, b := range sp.run(t).violations {
+					seen = append(seen, b.guarantee)
 				}
 			}
-			if !slices.ContainsFunc(seen, func(p string) bool { return slices.Contains(g.promises, p) }) {
-				t.Errorf("with the guard off, no cell breaks promise %v; broken: %v", g.promises, seen)
+			if !slices.ContainsFunc(seen, func(p string) bool { return slices.Contains(g.guarantees, p) }) {
+				t.Errorf("with the guard off, no cell breaks promise %v; broken: %v", g.guarantees, seen)
 			}
 			for _, sp := range g.specs(false) {
-				for _, b := range sp.run(t).breaches {
-					t.Errorf("with the guard on, at %s: promise %s: %s", sp.step, b.promise, b.how)
+				for _, b := range sp.run(t).violations {
+					t.Errorf("with the guard on, at %s: promise %s: %s", sp.step, b.guarantee, b.detail)
 				}
 			}
 		})
--- a/matrix/histories_test.go
+++ b/matrix/histories_test.go
@@ -23,12 +23,12 @@
 
 // decode reads one fault of a history from a number, so that a failing history
 // shrinks to a shorter one of smaller numbers.
-func decode(n int) spec {
+func decodeFault(n int) cellSpec {
 	f := faults[n%len(faults)]
 	n /= len(faults)
 	step := allSteps[n%len(allSteps)]
 	n /= len(allSteps)
-	return spec{row: f.name, faults: []fault{f}, step: step, phase: phase(n % 2), skip: n / 2 % maxSkip}
+	return cellSpec{row: f.name, faults: []fault{f}, step: step, phase: phase(n % 2), skip: n / 2 % maxSkip}
 }
 
 // TestHistories runs random sequences of faults, each at a random step, and
@@ -42,23 +42,23 @@
 	t.Logf("seed %d, %d histories", historySeed, params.MinSuccessfulTests)
 	props := gopter.NewProperties(params)
 	props.Property("the promises hold", prop.ForAll(func(history []int) string {
-		var told []string
-		var more []spec
+		var descriptions []string
+		var specs []cellSpec
 		for _, n := range history {
-			sp := decode(n)
-			told = append(told, fmt.Sprintf("%s at %s, phase %d, occurrence %d", sp.row, sp.step, sp.phase, sp.skip))
-			more = append(more, sp)
+			sp := decodeFault(n)
+			descriptions = append(descriptions, fmt.Sprintf("%s at %s, phase %d, occurrence %d", sp.row, sp.step, sp.phase, sp.skip))
+			specs = append(specs, sp)
 		}
-		if len(more) == 0 {
+		if len(specs) == 0 {
 			return ""
 		}
-		first := more[0]
-		first.then = more[1:]
+		first := specs[0]
+		first.followUps = specs[1:]
 		out := first.run(t)
-		if len(out.breaches) == 0 {
+		if len(out.violations) == 0 {
 			return ""
 		}
-		return strings.Join(told, "; then ") + ": " + fmt.Sprint(out.breaches)
+		return strings.Join(descriptions, "; then ") + ": " + fmt.Sprint(out.violations)
 	}, gen.SliceOfN(historyLen, gen.IntRange(0, len(faults)*len(allSteps)*2*maxSkip-1))))
 	props.TestingRun(t)
 }
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -18,55 +18,55 @@
 )
 
 // wrapUp is the virtual time that a cell's last calls are given to end.
-const wrapUp = 2 * time.Minute
+const shutdownTimeout = 2 * time.Minute
 
 // outcome is what became of one cell of the matrix.
-type outcome struct {
-	row, step string
-	phase     phase
-	reached   bool
-	breaches  []breach
+type cellResult struct {
+	row, step  string
+	phase      phase
+	reached    bool
+	violations []violation
 }
 
 // spec says what a cell of the matrix is.
-type spec struct {
-	row    string
-	faults []fault
-	step   string
-	phase  phase
-	skip   int
-	calm   bool
+type cellSpec struct {
+	row      string
+	faults   []fault
+	step     string
+	phase    phase
+	skip     int
+	skipJoin bool
 	// ownerOf names a job whose shard's owner is the only node hit; empty means any.
-	ownerOf string
+	ownerOfJob string
 	// job is the only one whose messages to workers are hit; empty means any.
-	job    string
-	guards node.Guards
-	ignore standinworker.Config
+	job          string
+	guards       node.Guards
+	workerConfig standinworker.Config
 	// then are further faults of the same cell, each at its own step.
-	then []spec
+	followUps []cellSpec
 }
 
 // arm makes the faults of sp come when its step is reached.
-func (sp spec) arm(c *cell, s *scenario) {
-	c.steps.arm(trigger{step: sp.step, phase: sp.phase, skip: sp.skip, node: ownerOf(sp.ownerOf), job: sp.job, fire: func(node, to string) handling {
-		var how handling
+func (sp cellSpec) arm(c *cluster, s *scenario) {
+	c.steps.arm(trigger{step: sp.step, phase: sp.phase, skip: sp.skip, node: initialOwner(sp.ownerOfJob), job: sp.job, fire: func(node, to string) messageFault {
+		var combined messageFault
 		for _, f := range sp.faults {
-			h := f.inject(c, s, node, to)
-			how = handling{max(how.delay, h.delay), max(how.late, h.late), how.twice || h.twice, how.loseReply || h.loseReply}
+			effect := f.inject(c, s, node, to)
+			combined = messageFault{max(combined.delay, effect.delay), max(combined.copyDelay, effect.copyDelay), combined.sendTwice || effect.sendTwice, combined.loseReply || effect.loseReply}
 		}
-		return how
+		return combined
 	}})
 }
 
 // cuts reports whether a fault of the cell may leave requests unknown.
-func (sp spec) cuts() bool {
+func (sp cellSpec) mayCutAnswers() bool {
 	for _, f := range sp.faults {
 		if f.cutsAnswers {
 			return true
 		}
 	}
-	for _, next := range sp.then {
-		if next.cuts() {
+	for _, next := range sp.followUps {
+		if next.mayCutAnswers() {
 			return true
 		}
 	}
@@ -74,58 +74,58 @@
 }
 
 // run runs one cell in a bubble of virtual time.
-func (sp spec) run(t *testing.T) outcome {
-	out := outcome{row: sp.row, step: sp.step, phase: sp.phase}
+func (sp cellSpec) run(t *testing.T) cellResult {
+	out := cellResult{row: sp.row, step: sp.step, phase: sp.phase}
 	synctest.Test(t, func(t *testing.T) {
-		c := newCell(t, sp.guards, sp.ignore)
+		c := newCluster(t, sp.guards, sp.workerConfig)
 		ctx, stop := context.WithCancel(context.Background())
 		c.ctx = ctx
 		s := newScenario(c)
-		s.calm = sp.calm
+		s.skipJoin = sp.skipJoin
 		if _, _, err := c.accept(ctx, c.nodes["n0"].client, "first", 1); err != nil {
 			t.Fatal(err)
 		}
 		sleep(ctx, 2*time.Second)
 		sp.arm(c, s)
-		for _, next := range sp.then {
+		for _, next := range sp.followUps {
 			next.arm(c, s)
 		}
 		s.run()
 		out.reached = c.steps.pending() == 0
-		out.breaches = s.judge(sp.cuts())
+		out.violations = s.findViolations(sp.mayCutAnswers())
 		stop()
 		c.close()
 		// Every goroutine ends within the timeouts of the calls under way.
-		time.Sleep(wrapUp)
+		time.Sleep(shutdownTimeout)
 	})
 	return out
 }
 
 // cells returns the cells of the matrix: all of them, or a sample in which each
 // row and each step comes up.
-func cells(full bool) []spec {
-	var specs []spec
+func cellSpecs(full bool) []cellSpec {
+	var specs []cellSpec
 	for r, f := range faults {
 		for i, step := range allSteps {
-			if f.needsMessage && !isMessage(step) || f.doubles && step == stepDispatch {
+			if f.needsMessage && !isMessage(step) || f.duplicates && step == stepDispatch {
 				continue
 			}
 			for _, ph := range []phase{before, after} {
 				if !full && (i+int(ph)*7)%len(faults) != r {
 					continue
 				}
-				specs = append(specs, spec{row: f.name, faults: []fault{f}, step: step, phase: ph})
+				specs = append(specs, cellSpec{row: f.name, faults: []fault{f}, step: step, phase: ph})
 			}
 		}
 	}
-	specs = append(specs, twice(full)...)
-	for p, pair := range pairs {
+	specs = append(specs, repeatedFaultSpecs(full)...)
+	for p, pair := range faultPairs {
 		for i, step := range allSteps {
 			if !full && i != p*3 {
 				continue
 			}
-			specs = append(specs, spec{
-				row: pair[0] + " + " + pair[1], faults: []fault{faultNamed(pair[0]), faultNamed(pair[1])}, step: step, phase: after,
+			specs = append(specs, cellSpec{
+				row: pair[0] + " + " + pair[1], faults: []fault{faultByName(pair[0]), faultByName(pair[1])}, step: step, phase: after,
 			})
 		}
 	}
@@ -134,18 +134,18 @@
 
 // twice returns cells in which a fault comes twice, the second time at a later
 // occurrence of the same step.
-func twice(full bool) []spec {
-	const every = 4
-	var specs []spec
+func repeatedFaultSpecs(full bool) []cellSpec {
+	const stride = 4
+	var specs []cellSpec
 	for r, f := range faults {
 		for i, step := range allSteps {
-			if f.needsMessage || i%every != r%every || (!full && i != r%every) {
+			if f.needsMessage || i%stride != r%stride || (!full && i != r%stride) {
 				continue
 			}
-			sp := spec{row: f.name + ", twice", faults: []fault{f}, step: step, phase: after}
+			sp := cellSpec{row: f.name + ", twice", faults: []fault{f}, step: step, phase: after}
 			again := sp
 			again.skip = 2
-			sp.then = []spec{again}
+			sp.followUps = []cellSpec{again}
 			specs = append(specs, sp)
 		}
 	}
@@ -154,44 +154,44 @@
 
 // TestMatrix runs every fault at every step when MATRIX is "full", else a sample.
 func TestMatrix(t *testing.T) {
-	specs := cells(os.Getenv("MATRIX") == "full")
+	specs := cellSpecs(os.Getenv("MATRIX") == "full")
 	var mu sync.Mutex
-	var outs []outcome
+	var results []cellResult
 	t.Run("cell", func(t *testing.T) {
 		for _, sp := range specs {
 			t.Run(fmt.Sprintf("%s at %s %d", sp.row, sp.step, sp.phase), func(t *testing.T) {
 				t.Parallel()
 				out := sp.run(t)
 				mu.Lock()
-				outs = append(outs, out)
+				results = append(results, out)
 				mu.Unlock()
-				for _, b := range out.breaches {
-					t.Errorf("promise %s: %s", b.promise, b.how)
+				for _, b := range out.violations {
+					t.Errorf("promise %s: %s", b.guarantee, b.detail)
 				}
 			})
 		}
 	})
-	writeGrid(t, outs)
+	writeGrid(t, results)
 }
 
 // writeGrid writes the grid, promise by fault, to the file that MATRIX_OUT names.
-func writeGrid(t *testing.T, outs []outcome) {
+func writeGrid(t *testing.T, results []cellResult) {
 	name := os.Getenv("MATRIX_OUT")
 	if name == "" {
 		return
 	}
-	if err := os.WriteFile(name, []byte(grid(outs)), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(formatGrid(results)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // unreached names the steps that no cell came to.
-func unreached(outs []outcome) string {
+func unreachedSteps(results []cellResult) string {
 	var b strings.Builder
 	for _, step := range allSteps {
 		for _, ph := range []phase{before, after} {
 			cells, reached := 0, 0
-			for _, o := range outs {
+			for _, o := range results {
 				if o.step == step && o.phase == ph {
 					cells++
 					if o.reached {
@@ -207,17 +207,17 @@
 	return b.String()
 }
 
-func grid(outs []outcome) string {
+func formatGrid(results []cellResult) string {
 	var b strings.Builder
 	var rows []string
-	for _, o := range outs {
+	for _, o := range results {
 		if !slices.Contains(rows, o.row) {
 			rows = append(rows, o.row)
 		}
 	}
 	slices.Sort(rows)
 	fmt.Fprintf(&b, "%-66s %6s %8s", "fault", "cells", "reached")
-	for _, p := range promises {
+	for _, p := range guarantees {
 		fmt.Fprintf(&b, " %14s", p)
 	}
 	b.WriteString("\n")
@@ -225,7 +225,7 @@
 	for _, row := range rows {
 		n, reached := 0, 0
 		broken := make(map[string]int)
-		for _, o := range outs {
+		for _, o := range results {
 			if o.row != row {
 				continue
 			}
@@ -233,21 +233,21 @@
 			if o.reached {
 				reached++
 			}
-			if len(o.breaches) == 0 {
+			if len(o.violations) == 0 {
 				passed++
 			} else {
 				failed++
 			}
 			seen := make(map[string]bool)
-			for _, br := range o.breaches {
-				if !seen[br.promise] {
-					seen[br.promise] = true
-					broken[br.promise]++
+			for _, br := range o.violations {
+				if !seen[br.guarantee] {
+					seen[br.guarantee] = true
+					broken[br.guarantee]++
 				}
 			}
 		}
 		fmt.Fprintf(&b, "%-66s %6d %8d", row, n, reached)
-		for _, p := range promises {
+		for _, p := range guarantees {
 			mark := "held"
 			if broken[p] > 0 {
 				mark = fmt.Sprintf("BROKEN %d", broken[p])
@@ -256,7 +256,7 @@
 		}
 		b.WriteString("\n")
 	}
-	b.WriteString(unreached(outs))
+	b.WriteString(unreachedSteps(results))
 	fmt.Fprintf(&b, "%d passed, %d failed\n", passed, failed)
 	return b.String()
 }
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -18,71 +18,75 @@
 )
 
 const (
-	callEvery   = 250 * time.Millisecond
-	callTimeout = 2 * time.Second
-	keyEvery    = 4
-	runLimit    = 150 * time.Second
+	callInterval      = 250 * time.Millisecond
+	callTimeout       = 2 * time.Second
+	keyedCallInterval = 4
+	scenarioTimeout   = 150 * time.Second
 )
 
 // call is one request of a caller and what it was told.
 type call struct {
 	body, key string
-	node      *cellNode
+	node      *clusterNode
 	outcome   string
 	// wrong is set when the answer was not that of the request.
-	wrong    bool
-	sent, at time.Time
+	wrongAnswer        bool
+	sentAt, answeredAt time.Time
 }
 
 // scenario is the load of a cell: workloads, requests, a roll-out, a node that
 // joins and one that stops.
 type scenario struct {
-	c    *cell
+	c    *cluster
 	done chan struct{}
 	// calm leaves out the node that joins and stops.
-	calm bool
-	wg   sync.WaitGroup
-
-	mu        sync.Mutex
-	calls     []call
-	cancelled map[string]time.Time
-	leaving   map[string]time.Time
-	accepted  map[int64]time.Time
-	versions  []sample
-	fails     bool
-	stuck     []string
-	admitted  bool
-	rushes    int
+	skipJoin bool
+	wg       sync.WaitGroup
+
+	mu                 sync.Mutex
+	calls              []call
+	cancelled          map[string]time.Time
+	leaving            map[string]time.Time
+	accepted           map[int64]time.Time
+	versions           []versionSample
+	failuresAllowed    bool
+	stuck              []string
+	impossibleAccepted bool
+	bursts             int
 }
 
 // sample is the bundle version that a node applied at a time.
-type sample struct {
-	node    *cellNode
+type versionSample struct {
+	node    *clusterNode
 	ready   bool
 	version int64
 	at      time.Time
 }
 
-func newScenario(c *cell) *scenario {
+func newScenario(c *cluster) *scenario {
 	return &scenario{
 		c: c, done: make(chan struct{}), cancelled: make(map[string]time.Time),
 		leaving: make(map[string]time.Time), accepted: make(map[int64]time.Time),
 	}
 }
 
-func (s *scenario) mayFail() { s.mu.Lock(); s.fails = true; s.mu.Unlock() }
+func (s *scenario) allowFailures() { s.mu.Lock(); s.failuresAllowed = true; s.mu.Unlock() }
 
-func (s *scenario) leaves(w string, at time.Time) { s.mu.Lock(); s.leaving[w] = at; s.mu.Unlock() }
+func (s *scenario) recordLeaving(w string, at time.Time) {
+	s.mu.Lock()
+	s.leaving[w] = at
+	s.mu.Unlock()
+}
 
 // any returns a node that serves, another one for each i.
-func (s *scenario) any(i int) *cellNode {
+func (s *scenario) liveNode(i int) *clusterNode {
 	live := s.c.live()
 	for len(live) == 0 {
 		// All are down; one comes back after the outage.
 		sleep(s.c.ctx, 500*time.Millisecond)
 		live = s.c.live()
 	}
-	slices.SortFunc(live, func(a, b *cellNode) int { return len(a.name) - len(b.name) })
+	slices.SortFunc(live, func(a, b *clusterNode) int { return len(a.name) - len(b.name) })
 	return live[i%len(live)]
 }
 
@@ -90,22 +94,22 @@
 func workloads() []api.Workload {
 	small := resource.Amount{CPUMilli: 500, MemoryMB: 500}
 	base := api.Workload{Team: "inkasoft", Class: "notice", Size: small, Command: []string{"sleep", "2s"}, MaxAttempts: 20}
-	service, once, again, whole, standing := base, base, base, base, base
+	service, once, retryable, gang, longRunning := base, base, base, base, base
 	service.ID, service.Kind, service.Tasks, service.Class = "svc", api.KindService, 2, "counter"
 	service.Service, service.Slots, service.Command = "svc", 4, []string{"serve"}
 	once.ID, once.Kind, once.Tasks, once.AtMostOnce, once.MaxAttempts = "once", api.KindBatch, 4, true, 0
-	again.ID, again.Kind, again.Tasks = "again", api.KindBatch, 4
-	again.Command = []string{"sleep", "12s"}
-	whole.ID, whole.Kind, whole.Tasks = "whole", api.KindAllAtOnce, 3
-	standing.ID, standing.Kind, standing.Tasks, standing.Command = "standing", api.KindBatch, 2, []string{"sleep", "1h"}
-	return []api.Workload{service, once, again, whole, standing}
+	retryable.ID, retryable.Kind, retryable.Tasks = "again", api.KindBatch, 4
+	retryable.Command = []string{"sleep", "12s"}
+	gang.ID, gang.Kind, gang.Tasks = "whole", api.KindAllAtOnce, 3
+	longRunning.ID, longRunning.Kind, longRunning.Tasks, longRunning.Command = "standing", api.KindBatch, 2, []string{"sleep", "1h"}
+	return []api.Workload{service, once, retryable, gang, longRunning}
 }
 
 // run drives the scenario to its end: everything settled, or the limit reached.
 func (s *scenario) run() {
 	began := time.Now()
-	s.wg.Go(s.callers)
-	s.wg.Go(s.watchVersions)
+	s.wg.Go(s.sendRequests)
+	s.wg.Go(s.sampleVersions)
 	for i, w := range workloads() {
 		s.wg.Go(func() { s.submit(i, w) })
 	}
@@ -114,49 +118,49 @@
 	sleep(s.c.ctx, time.Second)
 	s.wg.Go(func() { s.rollOut("second", 2) })
 	sleep(s.c.ctx, 2*time.Second)
-	if !s.calm {
-		joined := s.c.startNode(joiner())
+	if !s.skipJoin {
+		joined := s.c.startNode(joiningNode())
 		sleep(s.c.ctx, 6*time.Second)
 		s.c.drain(joined)
 	}
-	for time.Since(began) < outage+12*time.Second || (!s.settled() && time.Since(began) < runLimit) {
+	for time.Since(began) < outage+12*time.Second || (!s.converged() && time.Since(began) < scenarioTimeout) {
 		sleep(s.c.ctx, 500*time.Millisecond)
 	}
 	// A fault that came late is healed, and recovered from, before the end is judged.
 	s.c.steps.disarm()
-	for late := time.Now(); s.c.ailing.Load() > 0 || (!s.staysSettled() && time.Since(late) < runLimit); {
+	for healStart := time.Now(); s.c.unhealed.Load() > 0 || (!s.staysConverged() && time.Since(healStart) < scenarioTimeout); {
 		sleep(s.c.ctx, 500*time.Millisecond)
 	}
 	close(s.done)
 	s.wg.Wait()
-	s.checkEnd()
+	s.recordStuck()
 }
 
 // firstNodes are the nodes that a cell starts with.
-func firstNodes() []lease.Node {
+func initialNodeList() []lease.Node {
 	var nodes []lease.Node
-	for i := range cellNodes {
+	for i := range initialNodes {
 		nodes = append(nodes, lease.Node{ID: fmt.Sprintf("n%d", i), DataCentre: dataCentre})
 	}
 	return nodes
 }
 
 // ownerOf returns the node that owns a job's shard once the cell has settled.
-func ownerOf(job string) string {
+func initialOwner(job string) string {
 	if job == "" {
 		return ""
 	}
-	owner, _ := shard.PreferredOwner(shard.JobKey(job, cellJobShards), firstNodes())
+	owner, _ := shard.PreferredOwner(shard.JobKey(job, jobShardCount), initialNodeList())
 	return owner.ID
 }
 
 // joiner returns the name of a node that takes shards of both kinds when it joins.
-func joiner() string {
-	nodes := firstNodes()
+func joiningNode() string {
+	nodes := initialNodeList()
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("joiner%d", i)
 		taken := make(map[shard.Kind]int)
-		for _, key := range shard.Layout(cellJobShards, []shard.DataCentre{{Name: dataCentre, WorkerShards: cellWorkerShards}}) {
+		for _, key := range shard.Layout(jobShardCount, []shard.DataCentre{{Name: dataCentre, WorkerShards: workerShardCount}}) {
 			if want, _ := shard.PreferredOwner(key, append(nodes, lease.Node{ID: id, DataCentre: dataCentre})); want.ID == id {
 				taken[key.Kind()]++
 			}
@@ -171,7 +175,7 @@
 func (s *scenario) submit(i int, w api.Workload) {
 	for n := 0; s.running(); n++ {
 		ctx, cancel := timeout(s.c, 5*time.Second)
-		_, err := s.any(i+n).client.Create(ctx, w)
+		_, err := s.liveNode(i+n).client.Create(ctx, w)
 		cancel()
 		if err == nil {
 			return
@@ -193,7 +197,7 @@
 func (s *scenario) cancel(id string) {
 	for n := 0; s.running(); n++ {
 		ctx, cancel := timeout(s.c, 8*time.Second)
-		_, err := s.any(n).client.Cancel(ctx, id)
+		_, err := s.liveNode(n).client.Cancel(ctx, id)
 		cancel()
 		if err == nil {
 			s.mu.Lock()
@@ -205,19 +209,19 @@
 	}
 }
 
-func (s *scenario) cancelWave() {
+func (s *scenario) cancelSeveral() {
 	for _, id := range []string{"again", "whole"} {
 		s.cancel(id)
 	}
 }
 
 // rollOut puts a bundle in force by way of any node.
-func (s *scenario) rollOut(change string, mark int) {
-	ctx, cancel := timeout(s.c, runLimit)
+func (s *scenario) rollOut(change string, variant int) {
+	ctx, cancel := timeout(s.c, scenarioTimeout)
 	defer cancel()
 	for n := 0; s.running() && ctx.Err() == nil; n++ {
-		try, stop := timeout(s.c, 3*time.Second)
-		version, at, err := s.c.accept(try, s.any(n).client, change, mark)
+		attemptCtx, stop := timeout(s.c, 3*time.Second)
+		version, at, err := s.c.accept(attemptCtx, s.liveNode(n).client, change, variant)
 		stop()
 		if err == nil {
 			s.mu.Lock()
@@ -231,7 +235,7 @@
 	}
 }
 
-func (s *scenario) rivalOperator() { s.rollOut("rival", 3) }
+func (s *scenario) rollOutConcurrently() { s.rollOut("rival", 3) }
 
 // submitImpossible declares what no worker has room for; it must be refused.
 func (s *scenario) submitImpossible() {
@@ -239,20 +243,20 @@
 	w.ID, w.Size.CPUMilli = "impossible", 1_000_000
 	ctx, cancel := timeout(s.c, 5*time.Second)
 	defer cancel()
-	if _, err := s.any(0).client.Create(ctx, w); err == nil {
+	if _, err := s.liveNode(0).client.Create(ctx, w); err == nil {
 		s.mu.Lock()
-		s.admitted = true
+		s.impossibleAccepted = true
 		s.mu.Unlock()
 	}
 }
 
 // callers send requests all the time, to one node after the other.
-func (s *scenario) callers() {
+func (s *scenario) sendRequests() {
 	var wg sync.WaitGroup
 	for i := 0; s.running(); i++ {
-		sleep(s.c.ctx, callEvery)
+		sleep(s.c.ctx, callInterval)
 		cl := call{body: fmt.Sprintf("sleep 20ms #%d", i)}
-		if i%keyEvery == 0 {
+		if i%keyedCallInterval == 0 {
 			cl.key = fmt.Sprintf("key-%d", i)
 		}
 		created := time.Now()
@@ -268,13 +272,13 @@
 }
 
 func (s *scenario) call(cl call, i int, created time.Time) {
-	cl.node, cl.sent = s.any(i), time.Now()
+	cl.node, cl.sentAt = s.liveNode(i), time.Now()
 	ctx, cancel := timeout(s.c, callTimeout+time.Second)
 	defer cancel()
 	ans, err := cl.node.client.Request(ctx, client.Request{
 		Service: "svc", Body: []byte(cl.body), Timeout: callTimeout, Key: cl.key, KeyCreated: created,
 	})
-	cl.at = time.Now()
+	cl.answeredAt = time.Now()
 	cl.outcome = string(api.OutcomeDone)
 	if err != nil {
 		cl.outcome = "cut"
@@ -283,7 +287,7 @@
 		}
 	} else {
 		var a standinworker.Answer
-		cl.wrong = json.Unmarshal(ans.Body, &a) != nil || a.Echo != cl.body
+		cl.wrongAnswer = json.Unmarshal(ans.Body, &a) != nil || a.Echo != cl.body
 	}
 	s.mu.Lock()
 	s.calls = append(s.calls, cl)
@@ -291,19 +295,19 @@
 }
 
 // rush sends more requests at once than there are slots.
-func (s *scenario) rush() {
+func (s *scenario) burst() {
 	const n = 60
 	s.mu.Lock()
-	s.rushes++
-	rush := s.rushes
+	s.bursts++
+	burst := s.bursts
 	s.mu.Unlock()
 	for i := range n {
-		s.wg.Go(func() { s.call(call{body: fmt.Sprintf("sleep 100ms rush %d #%d", rush, i)}, i, time.Now()) })
+		s.wg.Go(func() { s.call(call{body: fmt.Sprintf("sleep 100ms rush %d #%d", burst, i)}, i, time.Now()) })
 	}
 }
 
 // watchVersions samples which bundle each node applies.
-func (s *scenario) watchVersions() {
+func (s *scenario) sampleVersions() {
 	for s.running() {
 		for _, n := range s.c.live() {
 			ctx, cancel := timeout(s.c, time.Second)
@@ -311,7 +315,7 @@
 			cancel()
 			if err == nil {
 				s.mu.Lock()
-				s.versions = append(s.versions, sample{n, st.Ready, st.Bundle.Version, time.Now()})
+				s.versions = append(s.versions, versionSample{n, st.Ready, st.Bundle.Version, time.Now()})
 				s.mu.Unlock()
 			}
 		}
@@ -320,17 +324,17 @@
 }
 
 // settled reports whether all workloads have come to where they must.
-func (s *scenario) settled() bool { return len(s.unsettled()) == 0 }
+func (s *scenario) converged() bool { return len(s.notConverged()) == 0 }
 
 // settledFor is how long all must stay settled before the end is judged: a task
 // that was lost in the fault shows once its worker's report has reached the next
 // owner, which takes a few tries of two seconds.
-const settledFor = 8 * time.Second
+const stableFor = 8 * time.Second
 
 // staysSettled reports whether all is settled, and still is after settledFor.
-func (s *scenario) staysSettled() bool {
-	for began := time.Now(); time.Since(began) < settledFor; {
-		if !s.settled() {
+func (s *scenario) staysConverged() bool {
+	for began := time.Now(); time.Since(began) < stableFor; {
+		if !s.converged() {
 			return false
 		}
 		sleep(s.c.ctx, 500*time.Millisecond)
@@ -338,15 +342,15 @@
 	return true
 }
 
-func (s *scenario) unsettled() []string {
-	var open []string
-	cl := s.any(0).client
+func (s *scenario) notConverged() []string {
+	var problems []string
+	cl := s.liveNode(0).client
 	for _, w := range workloads() {
 		ctx, cancel := timeout(s.c, 2*time.Second)
 		st, err := cl.Get(ctx, w.ID, 0, false)
 		cancel()
 		if err != nil {
-			open = append(open, fmt.Sprintf("%s: %v", w.ID, err))
+			problems = append(problems, fmt.Sprintf("%s: %v", w.ID, err))
 			continue
 		}
 		ok := st.State.Final()
@@ -354,35 +358,35 @@
 			ok = st.Counts.Running == w.Tasks
 		}
 		if !ok {
-			open = append(open, fmt.Sprintf("%s: %s %+v %s", w.ID, st.State, st.Counts, st.Waits))
+			problems = append(problems, fmt.Sprintf("%s: %s %+v %s", w.ID, st.State, st.Counts, st.Waits))
 		}
 	}
-	return append(open, s.silent()...)
+	return append(problems, s.nodesNotAnswering()...)
 }
 
 // silent returns the nodes that do not get a request answered.
-func (s *scenario) silent() []string {
-	var open []string
+func (s *scenario) nodesNotAnswering() []string {
+	var failed []string
 	for _, n := range s.c.live() {
 		ctx, cancel := timeout(s.c, 3*time.Second)
 		_, err := n.client.Request(ctx, client.Request{Service: "svc", Body: []byte("last"), Timeout: callTimeout})
 		cancel()
 		if err != nil {
-			open = append(open, n.name+": "+err.Error())
+			failed = append(failed, n.name+": "+err.Error())
 		}
 	}
-	return open
+	return failed
 }
 
 // checkEnd notes what is stuck, and what became of a job that can never run.
-func (s *scenario) checkEnd() {
-	s.stuck = s.unsettled()
-	if !s.admitted {
+func (s *scenario) recordStuck() {
+	s.stuck = s.notConverged()
+	if !s.impossibleAccepted {
 		return
 	}
 	ctx, cancel := timeout(s.c, 3*time.Second)
 	defer cancel()
-	st, err := s.any(0).client.Get(ctx, "impossible", 0, false)
+	st, err := s.liveNode(0).client.Get(ctx, "impossible", 0, false)
 	if err != nil || st.State != api.JobFailed {
 		s.stuck = append(s.stuck, fmt.Sprintf("a job that can never run: %s, %v", st.State, err))
 	}
--- a/matrix/steps_test.go
+++ b/matrix/steps_test.go
@@ -11,38 +11,38 @@
 
 // The steps of a request, of a task, of an ownership change and of a roll-out.
 const (
-	stepNone        = ""
-	stepForward     = "request: hand over"
-	stepDispatch    = "request: dispatch"
-	stepKeyBeginMsg = "key: ask home"
-	stepKeyBegin    = "key: intent kept"
-	stepKeyFinish   = "key: outcome kept"
-	stepAdmit       = "task: admit"
-	stepReserve     = "task: reserve"
-	stepPlace       = "task: place kept"
-	stepConfirm     = "task: confirm"
-	stepStart       = "task: start"
-	stepStarted     = "task: started kept"
-	stepRenew       = "task: renew"
-	stepEvents      = "task: tell end"
-	stepEnded       = "task: end kept"
-	stepAck         = "task: acknowledge"
-	stepCancel      = "task: cancel kept"
-	stepStop        = "task: stop"
-	stepLease       = "owner: renew lease"
-	stepTake        = "owner: take shard"
-	stepOpen        = "owner: read journal"
-	stepInventory   = "owner: ask worker"
-	stepSnapshot    = "owner: snapshot"
-	stepHandOver    = "owner: hand over"
-	stepPropose     = "bundle: propose"
-	stepStage       = "bundle: stage"
-	stepAccept      = "bundle: accept"
-	stepApply       = "bundle: apply"
+	stepNone         = ""
+	stepForward      = "request: hand over"
+	stepDispatch     = "request: dispatch"
+	stepKeyBeginCall = "key: ask home"
+	stepKeyBegin     = "key: intent kept"
+	stepKeyFinish    = "key: outcome kept"
+	stepAdmit        = "task: admit"
+	stepReserve      = "task: reserve"
+	stepPlace        = "task: place kept"
+	stepConfirm      = "task: confirm"
+	stepStart        = "task: start"
+	stepStarted      = "task: started kept"
+	stepRenew        = "task: renew"
+	stepEvents       = "task: tell end"
+	stepEnded        = "task: end kept"
+	stepAck          = "task: acknowledge"
+	stepCancel       = "task: cancel kept"
+	stepStop         = "task: stop"
+	stepLease        = "owner: renew lease"
+	stepTake         = "owner: take shard"
+	stepOpen         = "owner: read journal"
+	stepInventory    = "owner: ask worker"
+	stepSnapshot     = "owner: snapshot"
+	stepHandOver     = "owner: hand over"
+	stepPropose      = "bundle: propose"
+	stepStage        = "bundle: stage"
+	stepAccept       = "bundle: accept"
+	stepApply        = "bundle: apply"
 )
 
 var allSteps = []string{
-	stepForward, stepDispatch, stepKeyBeginMsg, stepKeyBegin, stepKeyFinish,
+	stepForward, stepDispatch, stepKeyBeginCall, stepKeyBegin, stepKeyFinish,
 	stepAdmit, stepReserve, stepPlace, stepConfirm, stepStart, stepStarted, stepRenew, stepEvents, stepEnded, stepAck, stepCancel, stepStop,
 	stepLease, stepTake, stepOpen, stepInventory, stepSnapshot, stepHandOver,
 	stepPropose, stepStage, stepAccept, stepApply,
@@ -57,11 +57,11 @@
 )
 
 // handling is what happens to the message that triggers a fault.
-type handling struct {
+type messageFault struct {
 	// delay holds the message back; late sends a copy of it that much later.
-	delay, late time.Duration
-	twice       bool
-	loseReply   bool
+	delay, copyDelay time.Duration
+	sendTwice        bool
+	loseReply        bool
 }
 
 // trigger waits for the n-th time that a step is reached.
@@ -74,26 +74,26 @@
 	// job is the only one whose messages to workers count; empty means any.
 	job string
 	// fire is called once, with the node and the worker or peer of the message.
-	fire func(node, to string) handling
+	fire func(node, to string) messageFault
 }
 
 // stepper counts the steps and fires the armed triggers.
-type stepper struct {
-	mu    sync.Mutex
-	armed []*trigger
-	seen  map[string]int
-	fired []string
+type stepTracker struct {
+	mu     sync.Mutex
+	armed  []*trigger
+	counts map[string]int
+	fired  []string
 }
 
-func newStepper() *stepper { return &stepper{seen: make(map[string]int)} }
+func newStepTracker() *stepTracker { return &stepTracker{counts: make(map[string]int)} }
 
-func (s *stepper) arm(t trigger) {
+func (s *stepTracker) arm(t trigger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armed = append(s.armed, &t)
 }
 
-func (s *stepper) disarm() {
+func (s *stepTracker) disarm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armed = nil
@@ -101,12 +101,12 @@
 
 // hit tells that a step is reached; it returns how to handle its message. The jobs
 // are those whose tasks the message starts.
-func (s *stepper) hit(step string, ph phase, node, to string, jobs ...string) handling {
+func (s *stepTracker) onStep(step string, ph phase, node, to string, jobs ...string) messageFault {
 	if step == stepNone {
-		return handling{}
+		return messageFault{}
 	}
 	s.mu.Lock()
-	s.seen[step]++
+	s.counts[step]++
 	var due *trigger
 	for i, t := range s.armed {
 		if t.step != step || t.phase != ph || (t.node != "" && t.node != node) || (t.job != "" && !slices.Contains(jobs, t.job)) {
@@ -123,13 +123,13 @@
 	}
 	s.mu.Unlock()
 	if due == nil {
-		return handling{}
+		return messageFault{}
 	}
 	return due.fire(node, to)
 }
 
 // pending returns how many triggers have not fired.
-func (s *stepper) pending() int {
+func (s *stepTracker) pending() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.armed)
