--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -60,11 +60,11 @@
 
 // The bounds of a workload.
 const (
-	MaxTasks    = 20_000
-	MaxCommand  = 64
-	MaxArgument = 4096
-	MaxAttempts = 100
-	MaxSlots    = 1024
+	MaxTasks         = 20_000
+	MaxCommandArgs   = 64
+	MaxArgumentBytes = 4096
+	MaxAttempts      = 100
+	MaxSlots         = 1024
 
 	defaultAttempts = 3
 	defaultSlots    = 8
@@ -156,11 +156,11 @@
 }
 
 func (w Workload) checkCommand() error {
-	if len(w.Command) < 1 || len(w.Command) > MaxCommand {
+	if len(w.Command) < 1 || len(w.Command) > MaxCommandArgs {
 		return httpx.FieldProblem("command", "want 1 to 64 arguments")
 	}
 	for _, arg := range w.Command {
-		if len(arg) > MaxArgument {
+		if len(arg) > MaxArgumentBytes {
 			return httpx.FieldProblem("command", "want arguments of at most 4096 bytes")
 		}
 	}
@@ -256,11 +256,11 @@
 	Submitted time.Time  `json:"submitted"`
 	Revision  int64      `json:"revision"`
 	Counts    TaskCounts `json:"counts"`
-	// Waits says why tasks wait, as the scheduler last saw it.
-	Waits string `json:"waits,omitempty"`
-	// Ahead are the first of the jobs that were placed or tried before this one.
-	Ahead []string     `json:"ahead,omitempty"`
-	Tasks []TaskStatus `json:"tasks,omitempty"`
+	// WaitReason says why tasks wait, as the scheduler last saw it.
+	WaitReason string `json:"waits,omitempty"`
+	// JobsAhead are the first of the jobs that were placed or tried before this one.
+	JobsAhead []string     `json:"ahead,omitempty"`
+	Tasks     []TaskStatus `json:"tasks,omitempty"`
 }
 
 // StatusList is the answer to a list of workloads.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -298,8 +298,8 @@
 	return call[bundle.Head](ctx, c, "bundle accept", http.MethodPost, c.operator(node.PathBundleAccept), node.AcceptRequest{Change: change})
 }
 
-// AcceptSoon accepts once every live node has staged the bundle.
-func (c *Client) AcceptSoon(ctx context.Context, change string) (bundle.Head, error) {
+// AcceptWhenStaged accepts once every live node has staged the bundle.
+func (c *Client) AcceptWhenStaged(ctx context.Context, change string) (bundle.Head, error) {
 	const again = 200 * time.Millisecond
 	for {
 		head, err := c.Accept(ctx, change)
--- a/internal/ctl/bundle.go
+++ b/internal/ctl/bundle.go
@@ -194,7 +194,7 @@
 func accept(env *Env, cl *client.Client, change string, wait bool) error {
 	call := cl.Accept
 	if wait {
-		call = cl.AcceptSoon
+		call = cl.AcceptWhenStaged
 	}
 	head, err := call(env.ctx, change)
 	if err != nil {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -225,8 +225,8 @@
 		say(w, "%s (%s, team %s): %s %s", st.Workload.ID, st.Workload.Kind, st.Workload.Team, st.State, st.Reason)
 		say(w, "tasks: %d waiting, %d placed, %d running, %d done, %d failed, %d unknown, %d cancelled",
 			c.Waiting, c.Placed, c.Running, c.Done, c.Failed, c.Unknown, c.Cancelled)
-		if st.Waits != "" {
-			say(w, "waits: %s", st.Waits)
+		if st.WaitReason != "" {
+			say(w, "waits: %s", st.WaitReason)
 		}
 		for _, t := range st.Tasks {
 			say(w, "  task %d attempt %d: %s %s %s", t.Task, t.Attempt, t.State, t.Worker, t.Reason)
@@ -320,12 +320,12 @@
 			say(w, "task %d: %s %s", t.Task, t.State, t.Reason)
 		}
 	}
-	if st.Waits == "" {
+	if st.WaitReason == "" {
 		return
 	}
-	say(w, "tasks wait: %s", st.Waits)
-	if len(st.Ahead) > 0 {
-		say(w, "these go first: %s", strings.Join(st.Ahead, ", "))
+	say(w, "tasks wait: %s", st.WaitReason)
+	if len(st.JobsAhead) > 0 {
+		say(w, "these go first: %s", strings.Join(st.JobsAhead, ", "))
 	}
 	say(w, "they start once a worker has %d thousandths of a core, %d MB and %d accelerators free for each",
 		st.Workload.Size.CPUMilli, st.Workload.Size.MemoryMB, st.Workload.Size.Accelerators)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -76,7 +76,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		httpx.WriteJSON(w, http.StatusOK, api.Status{
 			Workload: api.Workload{ID: "j", Team: "a", Class: "notice", Size: resource.Amount{CPUMilli: 4000, MemoryMB: 100}},
-			State:    api.JobRunning, Waits: "no room: 1 tasks still wait", Ahead: []string{"urgent-1"},
+			State:    api.JobRunning, WaitReason: "no room: 1 tasks still wait", JobsAhead: []string{"urgent-1"},
 			Tasks: []api.TaskStatus{
 				{Task: 0, State: api.TaskRunning, Attempt: 2, Worker: "w7"},
 				{Task: 1, State: api.TaskWaiting, Attempt: 1, Reason: "preempted for urgent-1 of class counter"},
--- a/internal/jobs/shard.go
+++ b/internal/jobs/shard.go
@@ -209,7 +209,7 @@
 			return api.Status{}, &Error{"get", KindNotFound, errors.New(id)}
 		}
 		st := j.Status(tasks)
-		st.Waits, st.Ahead = sh.waitStatuses[id].reason, sh.waitStatuses[id].ahead
+		st.WaitReason, st.JobsAhead = sh.waitStatuses[id].reason, sh.waitStatuses[id].ahead
 		sh.mu.Unlock()
 		if st.Revision > since || ctx.Err() != nil {
 			return st, waitDurableBriefly(ctx, pending)
@@ -243,7 +243,7 @@
 	for id, j := range sh.state.Jobs {
 		if team == "" || j.Spec.Team == team {
 			st := j.Status(false)
-			st.Waits = sh.waitStatuses[id].reason
+			st.WaitReason = sh.waitStatuses[id].reason
 			list = append(list, st)
 		}
 	}
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -104,7 +104,7 @@
 		{"a good proposal", func(ctx context.Context) error {
 			return proposeError(op.Propose(ctx, next, bundle.Proposal{Base: 1, Change: "good", Operator: "o"}))
 		}, 0},
-		{"accepted", func(ctx context.Context) error { return acceptError(op.AcceptSoon(ctx, "good")) }, 0},
+		{"accepted", func(ctx context.Context) error { return acceptError(op.AcceptWhenStaged(ctx, "good")) }, 0},
 		{"accepted again", func(ctx context.Context) error { return acceptError(op.Accept(ctx, "good")) }, 0},
 	}
 	for _, tt := range tests {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -113,7 +113,7 @@
 	if _, err := op.Propose(ctx, b, bundle.Proposal{Change: "c", Operator: "o"}); err != nil {
 		t.Fatal(err)
 	}
-	head, err := op.AcceptSoon(ctx, "c")
+	head, err := op.AcceptWhenStaged(ctx, "c")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -358,7 +358,7 @@
 			ok = st.Counts.Running == w.Tasks
 		}
 		if !ok {
-			problems = append(problems, fmt.Sprintf("%s: %s %+v %s", w.ID, st.State, st.Counts, st.Waits))
+			problems = append(problems, fmt.Sprintf("%s: %s %+v %s", w.ID, st.State, st.Counts, st.WaitReason))
 		}
 	}
 	return append(problems, s.nodesNotAnswering()...)
--- a/standin/local/example.go
+++ b/standin/local/example.go
@@ -73,7 +73,7 @@
 	if _, err := c.Propose(ctx, b, p); err != nil {
 		return bundle.Head{}, err
 	}
-	return c.AcceptSoon(ctx, change)
+	return c.AcceptWhenStaged(ctx, change)
 }
 
 // Workload returns one of the example's workloads.
@@ -139,8 +139,8 @@
 		}
 		c := st.Counts
 		writeLine(out, "%-14s %-8s waiting %d, placed %d, running %d, done %d", name, st.State, c.Waiting, c.Placed, c.Running, c.Done)
-		if st.Waits != "" {
-			writeLine(out, "    waits: %s", st.Waits)
+		if st.WaitReason != "" {
+			writeLine(out, "    waits: %s", st.WaitReason)
 		}
 		for _, t := range st.Tasks {
 			if t.State.Active() {
