--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -225,7 +225,7 @@
 // setFaults sets the faults of the stand-in platform.
 func (c *cell) setFaults(f standin.Faults) {
 	c.t.Helper()
-	if _, err := httpx.Call[standin.Faults, httpx.None](c.ctx, http.DefaultClient, c.platform+"/standin/v1/faults", f); err != nil {
+	if _, err := httpx.Call[standin.Faults, httpx.Empty](c.ctx, http.DefaultClient, c.platform+"/standin/v1/faults", f); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -238,7 +238,7 @@
 		if w.dead {
 			continue
 		}
-		reply, err := httpx.Call[httpx.None, worker.EventsReply](c.ctx, http.DefaultClient, "http://"+w.address+"/standin/v1/evidence", httpx.None{})
+		reply, err := httpx.Call[httpx.Empty, worker.EventsReply](c.ctx, http.DefaultClient, "http://"+w.address+"/standin/v1/evidence", httpx.Empty{})
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/bundle/load.go
+++ b/internal/bundle/load.go
@@ -92,7 +92,7 @@
 	return &b, nil
 }
 
-func (f *file) at(path, detail string) error { return yamlx.At(f.name, f.data, path, detail) }
+func (f *file) at(path, detail string) error { return yamlx.ErrorAt(f.name, f.data, path, detail) }
 
 // named checks that a name is well formed and used once for its kind of thing.
 func (f *file) named(seen map[string]string, kind, name, path string) error {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -279,7 +279,7 @@
 
 // Drain begins a planned stop of the node.
 func (c *Client) Drain(ctx context.Context) (node.DrainReply, error) {
-	return call[node.DrainReply](ctx, c, "drain", http.MethodPost, c.operator(node.PathDrain), httpx.None{})
+	return call[node.DrainReply](ctx, c, "drain", http.MethodPost, c.operator(node.PathDrain), httpx.Empty{})
 }
 
 // Bundle returns the bundle in force and the proposal that waits.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -204,7 +204,7 @@
 func (c *Config) check(file string, data []byte) error {
 	for _, r := range c.rules() {
 		if !r.ok {
-			return yamlx.At(file, data, "$."+r.key, r.detail)
+			return yamlx.ErrorAt(file, data, "$."+r.key, r.detail)
 		}
 	}
 	return nil
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -33,8 +33,8 @@
 	maxReplyBytes  = 16 << 20
 )
 
-// None is an empty message.
-type None struct{}
+// Empty is an empty message.
+type Empty struct{}
 
 // Problem is an error as RFC 9457 describes it, with switchbank's own members.
 type Problem struct {
@@ -248,10 +248,10 @@
 	_, _ = w.Write(body)
 }
 
-// Call posts req to url and reads a Resp; a None request is sent as GET.
+// Call posts req to url and reads a Resp; an Empty request is sent as GET.
 func Call[Req, Resp any](ctx context.Context, c *http.Client, url string, req Req) (Resp, error) {
 	method, payload := http.MethodPost, io.Reader(nil)
-	if _, none := any(req).(None); none {
+	if _, none := any(req).(Empty); none {
 		method = http.MethodGet
 	} else {
 		body, err := json.Marshal(req)
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -45,7 +45,7 @@
 	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: otherShard, Placements: places}); reason != peer.ReasonNotOwner {
 		t.Errorf("confirm in a shard of another owner: %q", reason)
 	}
-	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
+	if _, reason := callPeer[peer.EventsRequest, httpx.Empty](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
 		t.Errorf("events for a shard of another owner: %q", reason)
 	}
 	if _, reason := callPeer[peer.KeyBegin, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBegin{Shard: "job/999"}); reason != peer.ReasonNotOwner {
@@ -58,7 +58,7 @@
 	}
 	// An event of an unknown job is accepted, so that its sender does not retry it forever.
 	ev := peer.EventsRequest{Shard: "job/000", Events: []peer.Event{{Kind: peer.EventLost, Attempt: a}}}
-	if _, reason := callPeer[peer.EventsRequest, httpx.None](t, r, peer.PathEvents, ev); reason != "" {
+	if _, reason := callPeer[peer.EventsRequest, httpx.Empty](t, r, peer.PathEvents, ev); reason != "" {
 		t.Errorf("event of an unknown job: %q", reason)
 	}
 	req := requests.Request{ID: "once", Service: "none", Team: "inkasoft", TimeoutMS: 100}
@@ -69,10 +69,10 @@
 	if _, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req); reason != "handed_over_before" {
 		t.Errorf("duplicate of a forwarded request: %q", reason)
 	}
-	if sum, reason := callPeer[httpx.None, peer.Summary](t, r, peer.PathSummary, httpx.None{}); reason != "" || sum.Node != "entry-1" || sum.Head != 1 {
+	if sum, reason := callPeer[httpx.Empty, peer.Summary](t, r, peer.PathSummary, httpx.Empty{}); reason != "" || sum.Node != "entry-1" || sum.Head != 1 {
 		t.Errorf("summary: %+v %s", sum, reason)
 	}
-	if head, reason := callPeer[httpx.None, node.HeadReply](t, r, peer.PathHead, httpx.None{}); reason != "" || head.Bundle.Digest() != head.Head.Digest {
+	if head, reason := callPeer[httpx.Empty, node.HeadReply](t, r, peer.PathHead, httpx.Empty{}); reason != "" || head.Bundle.Digest() != head.Head.Digest {
 		t.Errorf("head: %+v %s", head.Head, reason)
 	}
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(f.n.runCtx, callTimeout)
 	defer cancel()
-	reply, err := httpx.Call[httpx.None, HeadReply](ctx, f.n.peerHTTP, "http://"+address+peer.PathHead, httpx.None{})
+	reply, err := httpx.Call[httpx.Empty, HeadReply](ctx, f.n.peerHTTP, "http://"+address+peer.PathHead, httpx.Empty{})
 	if err != nil || reply.Bundle == nil || reply.Bundle.Digest() != reply.Head.Digest {
 		return
 	}
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.n.cfg.Requests.Load)
 	defer cancel()
 	sentAt := time.Now()
-	sum, err := httpx.Call[httpx.None, peer.Summary](ctx, l.n.peerHTTP, "http://"+node.PeerAddress+peer.PathSummary, httpx.None{})
+	sum, err := httpx.Call[httpx.Empty, peer.Summary](ctx, l.n.peerHTTP, "http://"+node.PeerAddress+peer.PathSummary, httpx.Empty{})
 	if err != nil || sum.Node != node.ID {
 		return
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -162,7 +162,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (n *Node) status(context.Context, httpx.None) (Status, error) {
+func (n *Node) status(context.Context, httpx.Empty) (Status, error) {
 	head, _ := n.follower.state()
 	st := Status{
 		Node: n.cfg.Node, DataCentre: n.cfg.DataCentre, Ready: true, LeaseHeld: n.lease.Held(), StoreDown: n.journal.Down(),
@@ -183,12 +183,12 @@
 	return list
 }
 
-func (n *Node) serveDrain(context.Context, httpx.None) (DrainReply, error) {
+func (n *Node) serveDrain(context.Context, httpx.Empty) (DrainReply, error) {
 	n.Drain()
 	return DrainReply{Node: n.cfg.Node, Draining: true}, nil
 }
 
-func (n *Node) bundleStatus(ctx context.Context, _ httpx.None) (BundleStatus, error) {
+func (n *Node) bundleStatus(ctx context.Context, _ httpx.Empty) (BundleStatus, error) {
 	head, b := n.follower.state()
 	st := BundleStatus{Head: head, Bundle: b, Nodes: n.nodeBundles()}
 	p, ok, err := n.bundles.PendingProposal(ctx)
@@ -250,7 +250,7 @@
 	return head, nil
 }
 
-func (n *Node) history(ctx context.Context, _ httpx.None) (HistoryReply, error) {
+func (n *Node) history(ctx context.Context, _ httpx.Empty) (HistoryReply, error) {
 	heads, err := n.bundles.History(ctx)
 	return HistoryReply{Heads: heads}, err
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -107,11 +107,11 @@
 	return n.entry.RunLocally(ctx, r), nil
 }
 
-func (n *Node) serveSummary(context.Context, httpx.None) (peer.Summary, error) {
+func (n *Node) serveSummary(context.Context, httpx.Empty) (peer.Summary, error) {
 	return n.load.ownSummary(), nil
 }
 
-func (n *Node) serveHead(context.Context, httpx.None) (HeadReply, error) {
+func (n *Node) serveHead(context.Context, httpx.Empty) (HeadReply, error) {
 	head, b := n.follower.state()
 	return HeadReply{Head: head, Bundle: b}, nil
 }
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -172,8 +172,8 @@
 	return err
 }
 
-func (n *Node) applyEvents(ctx context.Context, req peer.EventsRequest) (httpx.None, error) {
-	return httpx.None{}, n.jobs.Events(ctx, req)
+func (n *Node) applyEvents(ctx context.Context, req peer.EventsRequest) (httpx.Empty, error) {
+	return httpx.Empty{}, n.jobs.Events(ctx, req)
 }
 
 func (n *Node) jobKey(id string) shard.Key { return shard.JobKey(id, n.cfg.JobShards) }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -62,20 +62,20 @@
 // List returns the rows of a table whose key starts with prefix, in key order.
 func (c *Client) List(ctx context.Context, table, prefix string) ([]Row, error) {
 	q := url.Values{"table": {table}, "prefix": {prefix}}
-	res, err := call[httpx.None, Rows](ctx, c, "list", "/v1/table/rows?"+q.Encode(), httpx.None{})
+	res, err := call[httpx.Empty, Rows](ctx, c, "list", "/v1/table/rows?"+q.Encode(), httpx.Empty{})
 	return res.Rows, err
 }
 
 // Get returns a row; one that is not there has version 0.
 func (c *Client) Get(ctx context.Context, table, key string) (Row, error) {
 	q := url.Values{"table": {table}, "key": {key}}
-	return call[httpx.None, Row](ctx, c, "get", "/v1/table/row?"+q.Encode(), httpx.None{})
+	return call[httpx.Empty, Row](ctx, c, "get", "/v1/table/row?"+q.Encode(), httpx.Empty{})
 }
 
 // Hosts returns the hosts of a data centre.
 func (c *Client) Hosts(ctx context.Context, dataCentre string) ([]Host, error) {
 	q := url.Values{"data_centre": {dataCentre}}
-	res, err := call[httpx.None, Hosts](ctx, c, "hosts", "/v1/hosts?"+q.Encode(), httpx.None{})
+	res, err := call[httpx.Empty, Hosts](ctx, c, "hosts", "/v1/hosts?"+q.Encode(), httpx.Empty{})
 	return res.Hosts, err
 }
 
--- a/internal/yamlx/yamlx.go
+++ b/internal/yamlx/yamlx.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	err := yamlx.Decode("node.yaml", data, &cfg) // node.yaml:3: unknown field "prot"
-//	err = yamlx.At("node.yaml", data, "$.lease.ttl", "want a duration")
+//	err = yamlx.ErrorAt("node.yaml", data, "$.lease.ttl", "want a duration")
 package yamlx
 
 import (
@@ -104,8 +104,8 @@
 	return v
 }
 
-// At returns an error for the value at path, as $.a.b[0], with its line.
-func At(file string, data []byte, path, detail string) error {
+// ErrorAt returns an error for the value at path, as $.a.b[0], with its line.
+func ErrorAt(file string, data []byte, path, detail string) error {
 	return &Error{File: file, Line: line(data, path), Key: path, Detail: detail}
 }
 
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -65,24 +65,24 @@
 	if err == nil {
 		err = p.PutObject(r.Context(), r.PathValue("key"), data)
 	}
-	writeReply(w, httpx.None{}, err)
+	writeReply(w, httpx.Empty{}, err)
 }
 
 func (p *Platform) serveDeleteObject(w http.ResponseWriter, r *http.Request) {
-	writeReply(w, httpx.None{}, p.DeleteObject(r.Context(), r.PathValue("key")))
+	writeReply(w, httpx.Empty{}, p.DeleteObject(r.Context(), r.PathValue("key")))
 }
 
-func (p *Platform) serveFaults(_ context.Context, f Faults) (httpx.None, error) {
+func (p *Platform) serveFaults(_ context.Context, f Faults) (httpx.Empty, error) {
 	p.SetFaults(f)
-	return httpx.None{}, nil
+	return httpx.Empty{}, nil
 }
 
-func (p *Platform) serveSetHost(_ context.Context, h platform.Host) (httpx.None, error) {
+func (p *Platform) serveSetHost(_ context.Context, h platform.Host) (httpx.Empty, error) {
 	p.SetHost(h)
-	return httpx.None{}, nil
+	return httpx.Empty{}, nil
 }
 
-func (p *Platform) serveCounts(context.Context, httpx.None) (Counts, error) {
+func (p *Platform) serveCounts(context.Context, httpx.Empty) (Counts, error) {
 	return p.Counts(), nil
 }
 
--- a/standin/worker/instance.go
+++ b/standin/worker/instance.go
@@ -129,9 +129,9 @@
 	mux.HandleFunc("GET /standin/v1/evidence", func(rw http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(rw).Encode(EventsReply{Events: w.Events()})
 	})
-	mux.Handle("POST /standin/v1/switches", httpx.Handle(maxRequestBytes, func(_ context.Context, s Switches) (httpx.None, error) {
+	mux.Handle("POST /standin/v1/switches", httpx.Handle(maxRequestBytes, func(_ context.Context, s Switches) (httpx.Empty, error) {
 		w.SetLeaving(s.Leaving)
-		return httpx.None{}, nil
+		return httpx.Empty{}, nil
 	}))
 	return mux
 }
