--- a/matrix/cluster_test.go
+++ b/matrix/cluster_test.go
@@ -51,7 +51,7 @@
 	workerShardCount = 2
 )
 
-// cell is a platform, nodes and workers on an in-memory network.
+// cluster is a stand-in platform, nodes and stand-in workers on an in-memory network.
 type cluster struct {
 	t            *testing.T
 	ctx          context.Context
@@ -60,17 +60,19 @@
 	guards       node.Guards
 	workerConfig standinworker.Config
 	steps        *stepTracker
-	// wire sends what was already under way when its sender died or was cut off.
+	// copyTransport sends copies of messages. It is not the sender's own transport, since a
+	// message already on the network arrives even if its sender has died or was cut off.
 	copyTransport *http.Transport
-	// ailing counts the faults that last and have not been healed yet.
+	// unhealed counts the lasting faults that have not been healed yet.
 	unhealed atomic.Int64
 	nameSeq  atomic.Int64
 	mu       sync.Mutex
 	nodes    map[string]*clusterNode
 	workers  map[string]*clusterWorker
-	// started are all nodes that were ever started, also those whose name was taken.
+	// started are all nodes ever started. It includes those that nodes no longer holds
+	// because another node was started under their name.
 	started []*clusterNode
-	// sights of workers that were replaced.
+	// replacedEvents are the events of workers that were replaced.
 	replacedEvents []standinworker.Event
 }
 
@@ -81,7 +83,7 @@
 	done   chan struct{}
 	client *client.Client
 	http   *http.Transport
-	// killed, faulted and drained say from when the node is not judged as a healthy one.
+	// killed is set once the node is killed, and drained is when its planned stop began.
 	killed  bool
 	drained time.Time
 }
@@ -108,7 +110,7 @@
 	return c
 }
 
-// rackIn returns the name of a rack whose workers are in the i-th worker shard.
+// rackIn returns the name of a rack whose workers belong to the i-th worker shard.
 func rackIn(i int) string {
 	dc := shard.DataCentre{Name: dataCentre, WorkerShards: workerShardCount}
 	want := shard.Layout(0, []shard.DataCentre{dc})[i]
@@ -157,7 +159,7 @@
 	return cn
 }
 
-// testLog returns the log of the nodes: none, unless MATRIX_LOG is set.
+// testLogger returns the nodes' logger. It discards everything unless MATRIX_LOG is set.
 func testLogger() *zap.Logger {
 	if os.Getenv("MATRIX_LOG") == "" {
 		return zap.NewNop()
@@ -166,12 +168,13 @@
 	return log
 }
 
-// freshName returns a name that no node of the cell has had: a killed node's stays cut off.
+// unusedName returns a name that no node of the cluster has had. The name of a killed node
+// cannot be used again, since the network keeps it cut off.
 func (c *cluster) unusedName(prefix string) string {
 	return fmt.Sprintf("%s-%d", prefix, c.nameSeq.Add(1))
 }
 
-// live returns the nodes that were not killed or stopped.
+// live returns the nodes that were neither killed nor drained.
 func (c *cluster) live() []*clusterNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +187,8 @@
 	return live
 }
 
-// kill ends a node's process as far as anyone outside can tell.
+// kill cuts a node off from everyone for good. From outside that looks like the end of its
+// process.
 func (c *cluster) kill(name string) {
 	c.mu.Lock()
 	n := c.nodes[name]
@@ -234,7 +238,7 @@
 	go func() { _ = w.Serve(ctx, l) }()
 }
 
-// killWorker ends a worker and its tasks; the host list keeps it as live for lag.
+// killWorker ends a worker and its tasks. The host list reports it as live for lag longer.
 func (c *cluster) killWorker(id string, lag time.Duration) {
 	c.mu.Lock()
 	w := c.workers[id]
@@ -254,7 +258,7 @@
 	}()
 }
 
-// evidence returns what all workers saw.
+// events returns the events of all workers, including replaced ones.
 func (c *cluster) events() []standinworker.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,7 +269,7 @@
 	return all
 }
 
-// close ends everything, so that no goroutine is left in the bubble.
+// close stops the nodes and workers. A goroutine left behind would make synctest fail.
 func (c *cluster) close() {
 	c.plat.SetFaults(standin.Faults{})
 	c.steps.disarm()
@@ -289,7 +293,8 @@
 	c.net.ResetConnections("caller")
 }
 
-// bundle returns the example's bundle with a mark that tells versions apart.
+// testBundle returns the example's bundle with a timeout that differs by variant, so that
+// the variants have different digests.
 func testBundle(variant int) *bundle.Bundle {
 	sub, err := fs.Sub(examples.Bundle, "bundle")
 	if err != nil {
@@ -303,7 +308,8 @@
 	return b
 }
 
-// accept rolls a bundle out by way of a node; it returns when it was accepted.
+// accept proposes and accepts a bundle through a node, and tries again after failures. It
+// returns the bundle's version and when it was accepted.
 func (c *cluster) accept(ctx context.Context, cl *client.Client, change string, variant int) (int64, time.Time, error) {
 	var err error
 	for attempt := 0; attempt < 200 && ctx.Err() == nil; attempt++ {
@@ -330,7 +336,8 @@
 	return 0, time.Time{}, err
 }
 
-// nodePlatform is a node's way to the stand-in platform.
+// nodePlatform is a node's client of the stand-in platform. It applies the network's
+// faults and reports the steps that the calls belong to.
 type nodePlatform struct {
 	c    *cluster
 	node string
@@ -338,7 +345,8 @@
 
 var errNoReply = errors.New("no reply in time")
 
-// reach waits as a call over the network would, and fails when it does not get through.
+// waitReachable waits while the node is paused. If the node is cut off from the platform,
+// it returns an error after the platform's timeout, as a call over the network does.
 func (p *nodePlatform) waitReachable(ctx context.Context) error {
 	if err := p.c.net.WaitWhilePaused(p.node, ctx.Done()); err != nil {
 		return err
@@ -350,7 +358,8 @@
 	return nil
 }
 
-// platformCall makes one call with its steps before and after.
+// platformCall makes one call. It reports the step before and after the call takes effect,
+// so that a fault can lose the call or only its reply.
 func platformCall[T any](ctx context.Context, p *nodePlatform, step string, fn func(context.Context) (T, error)) (T, error) {
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
@@ -416,7 +425,7 @@
 	return err
 }
 
-// stepOfTxn names the step that a write belongs to.
+// stepOfTxn returns the step that a write belongs to.
 func stepOfTxn(t platform.Txn) string {
 	for _, put := range t.Put {
 		value := string(put.Value)
@@ -441,6 +450,7 @@
 	return stepNone
 }
 
+// stepOfRecords returns the step that an entry of the journal belongs to.
 func stepOfRecords(value string) string {
 	for _, c := range []struct{ pattern, step string }{
 		{`{"intent"`, stepKeyBegin}, {`{"finish"`, stepKeyFinish}, {`{"place"`, stepPlace}, {`{"admit"`, stepAdmit},
@@ -453,8 +463,8 @@
 	return stepNone
 }
 
-// tap goes around a node's HTTP clients: it sees each message and can delay it,
-// send it twice, or lose its reply.
+// interceptor wraps the transport of a node's HTTP clients. It reports the step of each
+// message, and delays the message, sends it twice or loses its reply if a fault asks for it.
 type interceptor struct {
 	c    *cluster
 	node string
@@ -488,7 +498,7 @@
 	return resp, err
 }
 
-// sendLate sends a copy of a message after a time; nobody waits for its reply.
+// sendCopy sends a copy of a message after a delay, and ignores the reply.
 func (ic *interceptor) sendCopy(r *http.Request, body []byte, delay time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), delay+5*time.Second)
 	dup := r.Clone(ctx)
@@ -503,7 +513,7 @@
 	}()
 }
 
-// stepOfMessage names the step that a message belongs to.
+// stepOfMessage returns the step that a message belongs to.
 func stepOfMessage(r *http.Request, body []byte) string {
 	switch r.URL.Path {
 	case peer.PathReserve:
@@ -537,6 +547,7 @@
 	return jobs
 }
 
+// stepOfContact returns the step that a message to a worker belongs to.
 func stepOfContact(body []byte) string {
 	var c worker.Contact
 	if json.Unmarshal(body, &c) != nil {
--- a/matrix/confirm_test.go
+++ b/matrix/confirm_test.go
@@ -12,10 +12,10 @@
 	standinworker "switchbank.example/switchbank/standin/worker"
 )
 
-// TestCutOffNodesConfirmNobody cuts two nodes off from the store and from all
-// others, lets a new bundle be accepted, and then heals only the link between the
-// two. Neither has been confirmed for a while, so that neither may serve its old
-// bundle because the other one has it too.
+// TestCutOffNodesConfirmNobody guards against two cut-off nodes that confirm an old bundle
+// to each other. Both are cut off from the store and from all nodes while a new bundle is
+// accepted; then only the link between the two is healed. Neither may serve the old bundle
+// just because the other one has it too.
 func TestCutOffNodesConfirmNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, node.Guards{}, standinworker.Config{})
@@ -28,7 +28,7 @@
 		for _, cut := range [][2]string{{"n0", "n1"}, {"n0", "n2"}, {"n1", "n2"}, {"n0", platformHost}, {"n1", platformHost}} {
 			c.net.SetPartitioned(cut[0], cut[1], true)
 		}
-		// The roll-out waits until the leases of the nodes that are cut off are over.
+		// The bundle is accepted only after the leases of the cut-off nodes have lapsed.
 		version, at, err := c.accept(ctx, c.nodes["n2"].client, "second", 2)
 		if err != nil {
 			t.Fatal(err)
--- a/matrix/doc.go
+++ b/matrix/doc.go
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package matrix holds the fault matrix: every fault at every step, judged from
-// what stand-in workers, instances and callers saw. It has only tests; they run
-// whole nodes on an in-memory network in virtual time.
+// Package matrix tests the scheduler's guarantees under faults. Each cell of the matrix
+// injects one fault at one step of the protocols into a cluster of whole nodes, which run
+// on an in-memory network in virtual time. The guarantees are checked from outside: from
+// the events of stand-in workers and instances and from the answers to callers. The
+// package holds only tests.
 //
 // # Usage
 //
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// outage is how long a fault lasts; it is beyond the leases of nodes and tasks.
-	outage        = 18 * time.Second
+	// outage is how long a fault lasts, longer than the leases of nodes and tasks.
+	outage = 18 * time.Second
+	// hostListDelay is how long the host list reports a dead worker as live.
 	hostListDelay = 5 * time.Second
-	// takeover is within the lease of a task, and after a dead node's shards have
-	// a new owner.
+	// takeoverDelay lies after the takeover of a dead node's shards and within the lease of
+	// a task, so that an order of the old owner arrives while its ticket is still valid.
 	takeoverDelay = 5500 * time.Millisecond
-	// rushing is when the requests of a rush are being worked on.
+	// burstDelay is the time after which the requests of a burst are being worked on.
 	burstDelay = 50 * time.Millisecond
 )
 
-// fault is a row of the matrix. Its inject is called where the step is reached,
-// by the node whose step it is; to is the worker or peer of the message.
+// fault is a row of the matrix. Its inject is called when the step is reached: node is the
+// node that reached it, and to the worker or peer that its message goes to, if any.
 type fault struct {
 	name   string
 	inject func(c *cluster, s *scenario, node, to string) messageFault
-	// cutsAnswers is set where a request in flight may end unknown.
+	// cutsAnswers means that requests in flight may end with an unknown outcome.
 	cutsAnswers bool
-	// needsMessage faults only concern steps that are messages.
+	// needsMessage means that the fault applies only to steps that are messages.
 	needsMessage bool
-	// doubles is set where a message comes twice. The call of an instance is left
-	// out: it is one exchange on one TCP connection, which nothing on the way doubles.
+	// duplicates means that the fault sends a message twice. Calls of an instance are left
+	// out: such a call is one exchange on one TCP connection, which the network cannot
+	// duplicate.
 	duplicates bool
 }
 
-// heal runs fn after the outage.
+// healAfterOutage runs fn, which ends a fault, after the outage.
 func healAfterOutage(c *cluster, fn func()) {
 	c.unhealed.Add(1)
 	go func() {
@@ -49,6 +51,8 @@
 	}()
 }
 
+// targetWorker returns the worker that a fault hits: the one that the message goes to, or
+// w0 if it goes elsewhere.
 func (c *cluster) targetWorker(to string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +193,7 @@
 		}},
 		{name: "planned stop", inject: func(c *cluster, _ *scenario, node, _ string) messageFault {
 			go func() {
-				// Another stop of the same node, or the last two, is left alone.
+				// A node that was stopped already is not stopped again, and two nodes stay.
 				if live := c.live(); len(live) > 2 {
 					for _, n := range live {
 						if n.name == node {
@@ -235,7 +239,7 @@
 	}
 }
 
-// pairs are faults that can interact; both come at the same step.
+// faultPairs are faults that can interact. Both are injected at the same step.
 var faultPairs = [][2]string{
 	{"store down", "node killed"},
 	{"node paused past its lease", "store reply lost"},
@@ -256,7 +260,7 @@
 	panic("no fault " + name)
 }
 
-// isMessage reports whether a step is a message between processes.
+// isMessage reports whether a step is a message to a node, a worker or an instance.
 func isMessage(step string) bool {
 	switch step {
 	case stepForward, stepDispatch, stepKeyBeginCall, stepReserve, stepConfirm, stepStart, stepRenew, stepEvents, stepAck, stepStop, stepInventory:
@@ -265,7 +269,7 @@
 	return false
 }
 
-// timeout bounds a call of the scenario.
+// timeout returns a context for a call of the scenario, which ends after d.
 func timeout(c *cluster, d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.ctx, d)
 }
--- a/matrix/guarantees_test.go
+++ b/matrix/guarantees_test.go
@@ -11,17 +11,29 @@
 	standinworker "switchbank.example/switchbank/standin/worker"
 )
 
-// The promises of the brief, in its order, and that everything goes on after a fault.
+// The guarantees that the matrix checks, by the names in its grid. The first eight are
+// safety properties; guaranteeProgress is that all work goes on after a fault.
 const (
-	guaranteeCapacity    = "1 room"
-	guaranteeOnePlace    = "2 one place"
-	guaranteeOwnAnswer   = "3 own answer"
-	guaranteeNotRun      = "4 not run"
-	guaranteeOnce        = "5 once"
-	guaranteeLeaving     = "6 leaving"
+	// guaranteeCapacity: no worker gets more tasks than it has capacity for, and no instance
+	// more requests than it has slots.
+	guaranteeCapacity = "1 room"
+	// guaranteeOnePlace: no task runs in two places, and no shard has two owners.
+	guaranteeOnePlace = "2 one place"
+	// guaranteeOwnAnswer: a caller gets the answer to its own request.
+	guaranteeOwnAnswer = "3 own answer"
+	// guaranteeNotRun: a request reported as not run never ran, and no task starts after its
+	// job was cancelled.
+	guaranteeNotRun = "4 not run"
+	// guaranteeOnce: no request, and no task that must run at most once, runs twice.
+	guaranteeOnce = "5 once"
+	// guaranteeLeaving: a leaving worker gets no tasks or requests after leavingDeadline.
+	guaranteeLeaving = "6 leaving"
+	// guaranteePlannedStop: a planned stop of a node cuts no request off.
 	guaranteePlannedStop = "7 planned stop"
-	guaranteeBundle      = "8 bundle"
-	guaranteeProgress    = "goes on"
+	// guaranteeBundle: no ready node applies an old bundle after bundleDeadline, and no node
+	// goes back to an older one.
+	guaranteeBundle   = "8 bundle"
+	guaranteeProgress = "goes on"
 )
 
 var guarantees = []string{
@@ -33,10 +45,11 @@
 	bundleDeadline  = 7 * time.Second
 )
 
-// breach is a promise that was broken, and how.
+// violation is a broken guarantee, with a detail that says how it was broken.
 type violation struct{ guarantee, detail string }
 
-// judge holds what was seen from outside against the promises.
+// findViolations checks the guarantees against what was observed from outside the nodes.
+// With cutsAnswers, an unknown outcome of a request in flight is no violation.
 func (s *scenario) findViolations(cutsAnswers bool) []violation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +96,7 @@
 		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLapsed:
 			running[name]--
 		case standinworker.EventOverload:
-			add(guaranteeCapacity, "worker %s was given %s beyond its room", e.Worker, e.Attempt)
+			add(guaranteeCapacity, "worker %s was given %s beyond its capacity", e.Worker, e.Attempt)
 		case standinworker.EventRequest:
 			s.checkLeaving(e, add)
 		case standinworker.EventSlotsExceeded:
@@ -93,8 +106,8 @@
 	}
 }
 
-// judgeOwners holds what the workers saw against a model of ownership: each epoch
-// of a shard has one owner, and at one worker epochs only rise.
+// checkOwners checks the contacts of owners against a model of ownership: each epoch of a
+// shard has one owner, and a worker never accepts an epoch lower than an earlier one.
 func checkOwners(events []standinworker.Event, add func(string, string, ...any)) {
 	type shardEpoch struct {
 		shard string
@@ -117,8 +130,8 @@
 	}
 }
 
-// judgeKeys holds the arrivals of each key against a model of it: it runs at most
-// once, and who was told that it is done was told so of a run.
+// checkKeys checks the requests with a key against a model of the key: the request runs at
+// most once, and is reported as done only if it ran.
 func (s *scenario) checkKeys(events []standinworker.Event, add func(string, string, ...any)) {
 	runs := make(map[string]int)
 	for _, e := range events {
@@ -134,7 +147,7 @@
 			add(guaranteeOnce, "%s ran %d times", cl.key, runs[cl.body])
 		}
 		if cl.outcome == string(api.OutcomeDone) && runs[cl.body] == 0 {
-			add(guaranteeOwnAnswer, "%s was said to be done, and never ran", cl.key)
+			add(guaranteeOwnAnswer, "%s was reported as done, but never ran", cl.key)
 		}
 	}
 }
@@ -161,13 +174,13 @@
 			notRun[cl.body] = false
 		}
 		if cl.wrongAnswer {
-			add(guaranteeOwnAnswer, "%q got another's answer", cl.body)
+			add(guaranteeOwnAnswer, "%q got the answer to another request", cl.body)
 		}
 		s.checkPlannedStop(cl, cutsAnswers, add)
 	}
 	for body, allNotRun := range notRun {
 		if allNotRun && runs[body] > 0 {
-			add(guaranteeNotRun, "%q was said not to have run, and ran", body)
+			add(guaranteeNotRun, "%q was reported as not run, but ran", body)
 		}
 	}
 	for body, n := range runs {
@@ -177,7 +190,7 @@
 	}
 }
 
-// judgeStop looks at requests that were in flight while a node stopped as planned.
+// checkPlannedStop checks a request that was in flight when its node began a planned stop.
 func (s *scenario) checkPlannedStop(cl call, cutsAnswers bool, add func(string, string, ...any)) {
 	at := cl.node.drained
 	if at.IsZero() || cutsAnswers || cl.sentAt.After(at) || cl.answeredAt.Before(at) {
--- a/matrix/guards_test.go
+++ b/matrix/guards_test.go
@@ -10,21 +10,22 @@
 	standinworker "switchbank.example/switchbank/standin/worker"
 )
 
-// guardCase is a safeguard that is switched off, and the cells that must see it.
+// guardCase is a safeguard to switch off, and the cells that must detect that it is missing.
 type guardCase struct {
 	name string
-	// promises are those that the guard keeps; one of them must be seen broken.
+	// guarantees depend on the safeguard; without it, a violation of one must be found.
 	guarantees   []string
 	guards       node.Guards
 	workerConfig standinworker.Config
 	rows         []string
 	steps        []string
 	phases       []phase
-	// skips are the occurrences of the step at which the fault is tried.
+	// skips are the occurrences of the step at which the faults are injected, each in a cell
+	// of its own; empty means only the first.
 	skips []int
-	// ownerOf names a job whose shard's owner is the only node hit.
+	// ownerOfJob restricts the faults to the owner of this job's shard, if set.
 	ownerOfJob string
-	// job is the only one whose messages to workers are hit.
+	// job restricts the faults to messages that start tasks of this job, if set.
 	job string
 }
 
@@ -36,8 +37,8 @@
 	{
 		name: "ticket", guarantees: []string{guaranteeOnePlace}, workerConfig: standinworker.Config{IgnoreTickets: true},
 		rows: []string{"worker cut from its owner only", "message doubled, the second late"},
-		// A task of "again" outlasts the outage: its second copy still runs when the
-		// late message starts the first one.
+		// A task of "again" runs long: its second attempt, on another worker, still runs
+		// when the late copy of the message starts the first one.
 		steps: []string{stepStart}, phases: []phase{before}, skips: []int{0, 1, 2, 3}, job: "again",
 	},
 	{
@@ -75,7 +76,7 @@
 	},
 }
 
-// specs returns the cells of a case, with its guard off or on.
+// specs returns the cells of a case, with its safeguard off or on.
 func (g guardCase) specs(off bool) []cellSpec {
 	if len(g.skips) == 0 {
 		g.skips = []int{0}
@@ -99,8 +100,8 @@
 	return specs
 }
 
-// TestMatrixCanFail switches one safeguard off for each promise: the cells that
-// rest on it must go red, and be green with it.
+// TestMatrixCanFail guards against a matrix that cannot fail. It switches off one safeguard
+// at a time: the cells that depend on it must find a violation without it, and none with it.
 func TestMatrixCanFail(t *testing.T) {
 	for _, g := range guardCases {
 		t.Run(g.name, func(t *testing.T) {
@@ -112,11 +113,11 @@
 				}
 			}
 			if !slices.ContainsFunc(seen, func(p string) bool { return slices.Contains(g.guarantees, p) }) {
-				t.Errorf("with the guard off, no cell breaks promise %v; broken: %v", g.guarantees, seen)
+				t.Errorf("with the guard off, no cell breaks guarantee %v; broken: %v", g.guarantees, seen)
 			}
 			for _, sp := range g.specs(false) {
 				for _, b := range sp.run(t).violations {
-					t.Errorf("with the guard on, at %s: promise %s: %s", sp.step, b.guarantee, b.detail)
+					t.Errorf("with the guard on, at %s: guarantee %s: %s", sp.step, b.guarantee, b.detail)
 				}
 			}
 		})
--- a/matrix/histories_test.go
+++ b/matrix/histories_test.go
@@ -21,8 +21,8 @@
 	maxSkip     = 8
 )
 
-// decode reads one fault of a history from a number, so that a failing history
-// shrinks to a shorter one of smaller numbers.
+// decodeFault maps a number to a fault at a step. Since a history is a list of numbers,
+// gopter can shrink a failing one.
 func decodeFault(n int) cellSpec {
 	f := faults[n%len(faults)]
 	n /= len(faults)
@@ -31,8 +31,8 @@
 	return cellSpec{row: f.name, faults: []fault{f}, step: step, phase: phase(n % 2), skip: n / 2 % maxSkip}
 }
 
-// TestHistories runs random sequences of faults, each at a random step, and
-// holds what was seen against the promises. HISTORIES sets how many.
+// TestHistories injects random sequences of faults, each at a random step, and checks the
+// guarantees. HISTORIES sets the number of sequences.
 func TestHistories(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(historySeed)
 	params.MinSuccessfulTests = histories
@@ -41,7 +41,7 @@
 	}
 	t.Logf("seed %d, %d histories", historySeed, params.MinSuccessfulTests)
 	props := gopter.NewProperties(params)
-	props.Property("the promises hold", prop.ForAll(func(history []int) string {
+	props.Property("the guarantees hold", prop.ForAll(func(history []int) string {
 		var descriptions []string
 		var specs []cellSpec
 		for _, n := range history {
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -17,36 +17,41 @@
 	standinworker "switchbank.example/switchbank/standin/worker"
 )
 
-// wrapUp is the virtual time that a cell's last calls are given to end.
+// shutdownTimeout is the virtual time in which the last calls of a cell must end.
 const shutdownTimeout = 2 * time.Minute
 
-// outcome is what became of one cell of the matrix.
+// cellResult is the result of one cell of the matrix.
 type cellResult struct {
-	row, step  string
-	phase      phase
+	row, step string
+	phase     phase
+	// reached is set if the faults of the cell were all injected.
 	reached    bool
 	violations []violation
 }
 
-// spec says what a cell of the matrix is.
+// cellSpec describes a cell of the matrix: which faults are injected, and where.
 type cellSpec struct {
-	row      string
-	faults   []fault
-	step     string
-	phase    phase
-	skip     int
+	// row is the name of the row in the grid.
+	row    string
+	faults []fault
+	step   string
+	phase  phase
+	// skip is the number of occurrences of the step to skip before the faults come.
+	skip int
+	// skipJoin leaves out the node that joins and stops.
 	skipJoin bool
-	// ownerOf names a job whose shard's owner is the only node hit; empty means any.
+	// ownerOfJob restricts the faults to the owner of this job's shard, if set.
 	ownerOfJob string
-	// job is the only one whose messages to workers are hit; empty means any.
-	job          string
+	// job restricts the faults to messages that start tasks of this job, if set.
+	job string
+	// guards and workerConfig switch safeguards of the nodes and the workers off.
 	guards       node.Guards
 	workerConfig standinworker.Config
-	// then are further faults of the same cell, each at its own step.
+	// followUps are further faults of the same cell, each at its own step.
 	followUps []cellSpec
 }
 
-// arm makes the faults of sp come when its step is reached.
+// arm sets the faults of sp up to be injected when its step is reached.
 func (sp cellSpec) arm(c *cluster, s *scenario) {
 	c.steps.arm(trigger{step: sp.step, phase: sp.phase, skip: sp.skip, node: initialOwner(sp.ownerOfJob), job: sp.job, fire: func(node, to string) messageFault {
 		var combined messageFault
@@ -58,7 +63,8 @@
 	}})
 }
 
-// cuts reports whether a fault of the cell may leave requests unknown.
+// mayCutAnswers reports whether a fault of the cell may leave the outcome of requests
+// unknown.
 func (sp cellSpec) mayCutAnswers() bool {
 	for _, f := range sp.faults {
 		if f.cutsAnswers {
@@ -95,14 +101,14 @@
 		out.violations = s.findViolations(sp.mayCutAnswers())
 		stop()
 		c.close()
-		// Every goroutine ends within the timeouts of the calls under way.
+		// The goroutines of calls under way end with the timeouts of the calls.
 		time.Sleep(shutdownTimeout)
 	})
 	return out
 }
 
-// cells returns the cells of the matrix: all of them, or a sample in which each
-// row and each step comes up.
+// cellSpecs returns all cells of the matrix, or a sample in which each row and each step
+// occurs.
 func cellSpecs(full bool) []cellSpec {
 	var specs []cellSpec
 	for r, f := range faults {
@@ -132,8 +138,8 @@
 	return specs
 }
 
-// twice returns cells in which a fault comes twice, the second time at a later
-// occurrence of the same step.
+// repeatedFaultSpecs returns cells in which a fault is injected twice, the second time at
+// a later occurrence of the same step.
 func repeatedFaultSpecs(full bool) []cellSpec {
 	const stride = 4
 	var specs []cellSpec
@@ -152,7 +158,7 @@
 	return specs
 }
 
-// TestMatrix runs every fault at every step when MATRIX is "full", else a sample.
+// TestMatrix runs every fault at every step if MATRIX is "full", and a sample otherwise.
 func TestMatrix(t *testing.T) {
 	specs := cellSpecs(os.Getenv("MATRIX") == "full")
 	var mu sync.Mutex
@@ -166,7 +172,7 @@
 				results = append(results, out)
 				mu.Unlock()
 				for _, b := range out.violations {
-					t.Errorf("promise %s: %s", b.guarantee, b.detail)
+					t.Errorf("guarantee %s: %s", b.guarantee, b.detail)
 				}
 			})
 		}
@@ -174,7 +180,8 @@
 	writeGrid(t, results)
 }
 
-// writeGrid writes the grid, promise by fault, to the file that MATRIX_OUT names.
+// writeGrid writes the grid, with a row for each fault and a column for each guarantee, to
+// the file named by MATRIX_OUT.
 func writeGrid(t *testing.T, results []cellResult) {
 	name := os.Getenv("MATRIX_OUT")
 	if name == "" {
@@ -185,7 +192,8 @@
 	}
 }
 
-// unreached names the steps that no cell came to.
+// unreachedSteps returns a line for each step and phase that some cell did not reach: such
+// a cell tested nothing.
 func unreachedSteps(results []cellResult) string {
 	var b strings.Builder
 	for _, step := range allSteps {
@@ -207,6 +215,7 @@
 	return b.String()
 }
 
+// formatGrid returns the grid as text.
 func formatGrid(results []cellResult) string {
 	var b strings.Builder
 	var rows []string
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -24,27 +24,30 @@
 	scenarioTimeout   = 150 * time.Second
 )
 
-// call is one request of a caller and what it was told.
+// call is one request of a caller and its result.
 type call struct {
 	body, key string
 	node      *clusterNode
-	outcome   string
-	// wrong is set when the answer was not that of the request.
+	// outcome is the outcome that the node reported, or "cut" if it reported none.
+	outcome string
+	// wrongAnswer is set if the answer belongs to another request.
 	wrongAnswer        bool
 	sentAt, answeredAt time.Time
 }
 
-// scenario is the load of a cell: workloads, requests, a roll-out, a node that
-// joins and one that stops.
+// scenario is what happens in a cell besides its faults: workloads run and one is cancelled,
+// callers send requests, a bundle is rolled out, and a node joins and stops again.
 type scenario struct {
 	c    *cluster
 	done chan struct{}
-	// calm leaves out the node that joins and stops.
+	// skipJoin leaves out the node that joins and stops.
 	skipJoin bool
 	wg       sync.WaitGroup
 
-	mu                 sync.Mutex
-	calls              []call
+	mu    sync.Mutex
+	calls []call
+	// cancelled, leaving and accepted are the times at which a workload was cancelled, a
+	// worker began to leave, and a bundle version was accepted.
 	cancelled          map[string]time.Time
 	leaving            map[string]time.Time
 	accepted           map[int64]time.Time
@@ -55,7 +58,7 @@
 	bursts             int
 }
 
-// sample is the bundle version that a node applied at a time.
+// versionSample is the bundle version that a node applied at a time.
 type versionSample struct {
 	node    *clusterNode
 	ready   bool
@@ -78,11 +81,11 @@
 	s.mu.Unlock()
 }
 
-// any returns a node that serves, another one for each i.
+// liveNode returns a live node, another one for each i in turn.
 func (s *scenario) liveNode(i int) *clusterNode {
 	live := s.c.live()
 	for len(live) == 0 {
-		// All are down; one comes back after the outage.
+		// All nodes are down; one comes back after the outage.
 		sleep(s.c.ctx, 500*time.Millisecond)
 		live = s.c.live()
 	}
@@ -90,7 +93,8 @@
 	return live[i%len(live)]
 }
 
-// workloads are what the scenario runs.
+// workloads returns the workloads of the scenario: a service, a batch that must run at most
+// once, one that may run again, an all-at-once job, and a batch that runs until cancelled.
 func workloads() []api.Workload {
 	small := resource.Amount{CPUMilli: 500, MemoryMB: 500}
 	base := api.Workload{Team: "inkasoft", Class: "notice", Size: small, Command: []string{"sleep", "2s"}, MaxAttempts: 20}
@@ -105,7 +109,7 @@
 	return []api.Workload{service, once, retryable, gang, longRunning}
 }
 
-// run drives the scenario to its end: everything settled, or the limit reached.
+// run runs the scenario until the cluster has converged, or until scenarioTimeout is over.
 func (s *scenario) run() {
 	began := time.Now()
 	s.wg.Go(s.sendRequests)
@@ -126,7 +130,8 @@
 	for time.Since(began) < outage+12*time.Second || (!s.converged() && time.Since(began) < scenarioTimeout) {
 		sleep(s.c.ctx, 500*time.Millisecond)
 	}
-	// A fault that came late is healed, and recovered from, before the end is judged.
+	// A fault that was injected late has to be healed, and the cluster has to recover from
+	// it, before the final state is checked.
 	s.c.steps.disarm()
 	for healStart := time.Now(); s.c.unhealed.Load() > 0 || (!s.staysConverged() && time.Since(healStart) < scenarioTimeout); {
 		sleep(s.c.ctx, 500*time.Millisecond)
@@ -136,7 +141,7 @@
 	s.recordStuck()
 }
 
-// firstNodes are the nodes that a cell starts with.
+// initialNodeList returns the nodes that a cluster starts with.
 func initialNodeList() []lease.Node {
 	var nodes []lease.Node
 	for i := range initialNodes {
@@ -145,7 +150,8 @@
 	return nodes
 }
 
-// ownerOf returns the node that owns a job's shard once the cell has settled.
+// initialOwner returns the node that owns a job's shard once the cluster has started, or ""
+// for no job.
 func initialOwner(job string) string {
 	if job == "" {
 		return ""
@@ -154,7 +160,7 @@
 	return owner.ID
 }
 
-// joiner returns the name of a node that takes shards of both kinds when it joins.
+// joiningNode returns the name of a node that takes over shards of both kinds when it joins.
 func joiningNode() string {
 	nodes := initialNodeList()
 	for i := 0; ; i++ {
@@ -171,7 +177,7 @@
 	}
 }
 
-// submit declares a workload until it is taken in.
+// submit tries to create a workload until a node accepts it.
 func (s *scenario) submit(i int, w api.Workload) {
 	for n := 0; s.running(); n++ {
 		ctx, cancel := timeout(s.c, 5*time.Second)
@@ -193,7 +199,7 @@
 	}
 }
 
-// cancel ends a workload until that is taken in, and notes when.
+// cancel tries to cancel a workload until a node accepts it, and records when it did.
 func (s *scenario) cancel(id string) {
 	for n := 0; s.running(); n++ {
 		ctx, cancel := timeout(s.c, 8*time.Second)
@@ -215,7 +221,8 @@
 	}
 }
 
-// rollOut puts a bundle in force by way of any node.
+// rollOut tries to get a bundle accepted through one node after the other. It gives up if
+// another operator's bundle was accepted first.
 func (s *scenario) rollOut(change string, variant int) {
 	ctx, cancel := timeout(s.c, scenarioTimeout)
 	defer cancel()
@@ -237,7 +244,8 @@
 
 func (s *scenario) rollOutConcurrently() { s.rollOut("rival", 3) }
 
-// submitImpossible declares what no worker has room for; it must be refused.
+// submitImpossible tries to create a job whose tasks fit no worker. If a node accepts the
+// job, it must end as failed.
 func (s *scenario) submitImpossible() {
 	w := workloads()[2]
 	w.ID, w.Size.CPUMilli = "impossible", 1_000_000
@@ -250,7 +258,8 @@
 	}
 }
 
-// callers send requests all the time, to one node after the other.
+// sendRequests sends requests until the scenario ends, to one node after the other. Those
+// with a key are sent twice, through two nodes.
 func (s *scenario) sendRequests() {
 	var wg sync.WaitGroup
 	for i := 0; s.running(); i++ {
@@ -294,7 +303,7 @@
 	s.mu.Unlock()
 }
 
-// rush sends more requests at once than there are slots.
+// sendBurst sends more requests at once than there are slots.
 func (s *scenario) burst() {
 	const n = 60
 	s.mu.Lock()
@@ -306,7 +315,7 @@
 	}
 }
 
-// watchVersions samples which bundle each node applies.
+// sampleVersions records periodically which bundle version each live node applies.
 func (s *scenario) sampleVersions() {
 	for s.running() {
 		for _, n := range s.c.live() {
@@ -323,15 +332,16 @@
 	}
 }
 
-// settled reports whether all workloads have come to where they must.
+// converged reports whether all workloads are in their expected state and all live nodes
+// answer requests.
 func (s *scenario) converged() bool { return len(s.notConverged()) == 0 }
 
-// settledFor is how long all must stay settled before the end is judged: a task
-// that was lost in the fault shows once its worker's report has reached the next
-// owner, which takes a few tries of two seconds.
+// stableFor is how long the cluster must stay converged before the final state is checked.
+// A task lost in a fault is noticed only when its worker's report reaches the next owner,
+// which takes a few attempts of two seconds each.
 const stableFor = 8 * time.Second
 
-// staysSettled reports whether all is settled, and still is after settledFor.
+// staysConverged reports whether the cluster is converged throughout stableFor.
 func (s *scenario) staysConverged() bool {
 	for began := time.Now(); time.Since(began) < stableFor; {
 		if !s.converged() {
@@ -342,6 +352,7 @@
 	return true
 }
 
+// notConverged describes the workloads and nodes that are not in their expected state.
 func (s *scenario) notConverged() []string {
 	var problems []string
 	cl := s.liveNode(0).client
@@ -364,7 +375,7 @@
 	return append(problems, s.nodesNotAnswering()...)
 }
 
-// silent returns the nodes that do not get a request answered.
+// nodesNotAnswering describes the live nodes through which a request fails.
 func (s *scenario) nodesNotAnswering() []string {
 	var failed []string
 	for _, n := range s.c.live() {
@@ -378,7 +389,8 @@
 	return failed
 }
 
-// checkEnd notes what is stuck, and what became of a job that can never run.
+// recordStuck records what has not converged at the end, and a job that can never run if it
+// was accepted and has not failed.
 func (s *scenario) recordStuck() {
 	s.stuck = s.notConverged()
 	if !s.impossibleAccepted {
--- a/matrix/steps_test.go
+++ b/matrix/steps_test.go
@@ -9,7 +9,9 @@
 	"time"
 )
 
-// The steps of a request, of a task, of an ownership change and of a roll-out.
+// The steps of a request, a key, a task, a change of ownership and the roll-out of a bundle,
+// at which faults are injected. A step "kept" is a write to the journal; stepKeyBeginCall is
+// the call to the owner of a key's shard, and stepEvents the report that a task has ended.
 const (
 	stepNone         = ""
 	stepForward      = "request: hand over"
@@ -48,7 +50,8 @@
 	stepPropose, stepStage, stepAccept, stepApply,
 }
 
-// phase is before a step takes effect, or after it and before its reply.
+// phase says whether a fault is injected before a step takes effect, or after it and before
+// the reply.
 type phase int
 
 const (
@@ -56,28 +59,30 @@
 	after
 )
 
-// handling is what happens to the message that triggers a fault.
+// messageFault says what happens to the message whose step triggered a fault.
 type messageFault struct {
-	// delay holds the message back; late sends a copy of it that much later.
+	// delay holds the message back, and copyDelay sends a copy of it that much later.
 	delay, copyDelay time.Duration
 	sendTwice        bool
 	loseReply        bool
 }
 
-// trigger waits for the n-th time that a step is reached.
+// trigger injects a fault when a step is reached.
 type trigger struct {
 	step  string
 	phase phase
-	skip  int
-	// node is the only one at which the step counts; empty means any.
+	// skip is the number of occurrences of the step to skip.
+	skip int
+	// node restricts the trigger to steps of this node, if set.
 	node string
-	// job is the only one whose messages to workers count; empty means any.
+	// job restricts the trigger to messages that start tasks of this job, if set.
 	job string
-	// fire is called once, with the node and the worker or peer of the message.
+	// fire is called once, with the node that reached the step and the worker or peer that
+	// its message goes to.
 	fire func(node, to string) messageFault
 }
 
-// stepper counts the steps and fires the armed triggers.
+// stepTracker counts the steps reached and fires the armed triggers.
 type stepTracker struct {
 	mu     sync.Mutex
 	armed  []*trigger
@@ -99,8 +104,9 @@
 	s.armed = nil
 }
 
-// hit tells that a step is reached; it returns how to handle its message. The jobs
-// are those whose tasks the message starts.
+// onStep is called whenever a node reaches a step. It fires the first armed trigger that
+// matches, and returns what to do with the step's message. The jobs are those whose tasks
+// the message starts.
 func (s *stepTracker) onStep(step string, ph phase, node, to string, jobs ...string) messageFault {
 	if step == stepNone {
 		return messageFault{}
