--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -70,22 +70,22 @@
 
 // Lease sets the times of the node's lease and of the reading of shards.
 type Lease struct {
-	TTL    time.Duration `yaml:"ttl"`
-	Margin time.Duration `yaml:"margin"`
-	Every  time.Duration `yaml:"every"`
+	TTL           time.Duration `yaml:"ttl"`
+	Margin        time.Duration `yaml:"margin"`
+	RenewInterval time.Duration `yaml:"every"`
 }
 
 // Tasks sets the times of tasks on workers.
 type Tasks struct {
-	Lease       time.Duration `yaml:"lease"`
-	Margin      time.Duration `yaml:"margin"`
-	Grace       time.Duration `yaml:"grace"`
-	Reservation time.Duration `yaml:"reservation"`
-	Hosts       time.Duration `yaml:"hosts"`
-	SetAside    time.Duration `yaml:"set_aside"`
-	Every       time.Duration `yaml:"every"`
-	Ask         time.Duration `yaml:"ask"`
-	Retention   time.Duration `yaml:"retention"`
+	Lease          time.Duration `yaml:"lease"`
+	Margin         time.Duration `yaml:"margin"`
+	Grace          time.Duration `yaml:"grace"`
+	Reservation    time.Duration `yaml:"reservation"`
+	HostInterval   time.Duration `yaml:"hosts"`
+	SetAside       time.Duration `yaml:"set_aside"`
+	RoundInterval  time.Duration `yaml:"every"`
+	VerifyInterval time.Duration `yaml:"ask"`
+	Retention      time.Duration `yaml:"retention"`
 }
 
 // Requests sets the times of requests and their keys.
@@ -94,7 +94,7 @@
 	KeyMargin      time.Duration `yaml:"key_margin"`
 	KeyAnswerBytes int           `yaml:"key_answer_bytes"`
 	Linger         time.Duration `yaml:"linger"`
-	Load           time.Duration `yaml:"load"`
+	LoadInterval   time.Duration `yaml:"load"`
 	// DrainDelay is how long a stopping node goes on taking requests, for the
 	// balancer to notice.
 	DrainDelay   time.Duration `yaml:"drain_delay"`
@@ -156,15 +156,15 @@
 	return Config{
 		JobShards: 16,
 		Platform:  Platform{Timeout: 2 * time.Second},
-		Lease:     Lease{TTL: 4 * time.Second, Margin: 500 * time.Millisecond, Every: time.Second},
+		Lease:     Lease{TTL: 4 * time.Second, Margin: 500 * time.Millisecond, RenewInterval: time.Second},
 		Tasks: Tasks{
 			Lease: 15 * time.Second, Margin: time.Second, Grace: 10 * time.Minute, Reservation: 10 * time.Second,
-			Hosts: 3 * time.Second, SetAside: 30 * time.Second, Every: 250 * time.Millisecond, Ask: 2 * time.Second,
+			HostInterval: 3 * time.Second, SetAside: 30 * time.Second, RoundInterval: 250 * time.Millisecond, VerifyInterval: 2 * time.Second,
 			Retention: time.Hour,
 		},
 		Requests: Requests{
 			KeyWindow: 24 * time.Hour, KeyMargin: time.Minute, KeyAnswerBytes: 64 << 10, Linger: 5 * time.Second,
-			Load: time.Second, DrainDelay: 3 * time.Second, DrainTimeout: 30 * time.Second,
+			LoadInterval: time.Second, DrainDelay: 3 * time.Second, DrainTimeout: 30 * time.Second,
 		},
 		Journal: Journal{Spacing: 25 * time.Millisecond, DownAfter: time.Second, SnapshotEvery: 256},
 		Limits:  Limits{HeaderBytes: 16 << 10, Connections: 4096, InFlight: 4096, Keys: 50_000, Workloads: 20_000, MemoryMB: 256},
@@ -228,7 +228,7 @@
 		{"limits.memory_mb", c.Limits.MemoryMB >= 16, "want 16 MB or more"},
 		{"requests.key_answer_bytes", c.Requests.KeyAnswerBytes >= 0, "want 0 or more"},
 		{"journal.snapshot_every", c.Journal.SnapshotEvery > 0, "want 1 or more"},
-		{"lease.ttl", c.Lease.TTL > c.Lease.Margin+2*c.Lease.Every, "want more than margin and two times every"},
+		{"lease.ttl", c.Lease.TTL > c.Lease.Margin+2*c.Lease.RenewInterval, "want more than margin and two times every"},
 		{"tasks.lease", c.Tasks.Lease > 2*c.Lease.TTL, "want more than two times lease.ttl, so that tasks outlive a takeover"},
 	}
 	rules = append(rules, c.addressRules()...)
@@ -254,12 +254,12 @@
 		value time.Duration
 	}{
 		{"platform.timeout", c.Platform.Timeout},
-		{"lease.ttl", c.Lease.TTL}, {"lease.margin", c.Lease.Margin}, {"lease.every", c.Lease.Every},
+		{"lease.ttl", c.Lease.TTL}, {"lease.margin", c.Lease.Margin}, {"lease.every", c.Lease.RenewInterval},
 		{"tasks.lease", c.Tasks.Lease}, {"tasks.margin", c.Tasks.Margin}, {"tasks.grace", c.Tasks.Grace},
-		{"tasks.reservation", c.Tasks.Reservation}, {"tasks.hosts", c.Tasks.Hosts}, {"tasks.set_aside", c.Tasks.SetAside},
-		{"tasks.every", c.Tasks.Every}, {"tasks.ask", c.Tasks.Ask}, {"tasks.retention", c.Tasks.Retention},
+		{"tasks.reservation", c.Tasks.Reservation}, {"tasks.hosts", c.Tasks.HostInterval}, {"tasks.set_aside", c.Tasks.SetAside},
+		{"tasks.every", c.Tasks.RoundInterval}, {"tasks.ask", c.Tasks.VerifyInterval}, {"tasks.retention", c.Tasks.Retention},
 		{"requests.key_window", c.Requests.KeyWindow}, {"requests.key_margin", c.Requests.KeyMargin},
-		{"requests.linger", c.Requests.Linger}, {"requests.load", c.Requests.Load},
+		{"requests.linger", c.Requests.Linger}, {"requests.load", c.Requests.LoadInterval},
 		{"requests.drain_delay", c.Requests.DrainDelay}, {"requests.drain_timeout", c.Requests.DrainTimeout},
 		{"journal.spacing", c.Journal.Spacing}, {"journal.down_after", c.Journal.DownAfter},
 	} {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -65,11 +65,11 @@
 type Options struct {
 	TTL    time.Duration
 	Margin time.Duration
-	// Every is the time between renewals.
-	Every time.Duration
-	// NoCheck takes the lease for held whatever the clock says, to show that
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// IgnoreExpiry takes the lease for held whatever the clock says, to show that
 	// tests see it.
-	NoCheck bool
+	IgnoreExpiry bool
 }
 
 // Kind tells apart the errors of this package.
@@ -141,7 +141,7 @@
 
 // Run renews the lease and reads the others' until ctx ends or the lease is replaced.
 func (l *Lease) Run(ctx context.Context) error {
-	t := time.NewTicker(l.opts.Every)
+	t := time.NewTicker(l.opts.RenewInterval)
 	defer t.Stop()
 	for {
 		if err := l.Renew(ctx); err != nil {
@@ -163,8 +163,8 @@
 	}
 }
 
-// Wake makes Run renew at once, so that a change of the row is seen soon.
-func (l *Lease) Wake() {
+// RenewSoon makes Run renew at once, so that a change of the row is seen soon.
+func (l *Lease) RenewSoon() {
 	select {
 	case l.renewed <- struct{}{}:
 	default:
@@ -242,7 +242,7 @@
 	held := !l.until.IsZero()
 	if n.Incarnation == l.self.Incarnation || !held {
 		l.version = row.Version
-		l.Wake()
+		l.RenewSoon()
 		return &Error{"renew", KindStore, errors.New("the row has moved; trying again")}
 	}
 	l.until = time.Time{}.Add(1)
@@ -296,7 +296,7 @@
 }
 
 func (l *Lease) heldLocked() bool {
-	return time.Now().Before(l.until) || (l.opts.NoCheck && l.version != 0)
+	return time.Now().Before(l.until) || (l.opts.IgnoreExpiry && l.version != 0)
 }
 
 // Generation returns the lease's generation, and whether the lease is held.
@@ -320,14 +320,14 @@
 	return l.self
 }
 
-// SetBundles publishes the bundle that the node has staged and the version that it applies.
-func (l *Lease) SetBundles(staged string, inForce int64) {
+// SetBundleState publishes the bundle that the node has staged and the version that it applies.
+func (l *Lease) SetBundleState(staged string, inForce int64) {
 	l.mu.Lock()
 	changed := l.self.Staged != staged || l.self.InForce != inForce
 	l.self.Staged, l.self.InForce = staged, inForce
 	l.mu.Unlock()
 	if changed {
-		l.Wake()
+		l.RenewSoon()
 	}
 }
 
@@ -336,7 +336,7 @@
 	l.mu.Lock()
 	l.self.Draining = true
 	l.mu.Unlock()
-	l.Wake()
+	l.RenewSoon()
 }
 
 // Live returns the nodes whose row moved within the time to live plus the margin, by id.
@@ -358,8 +358,8 @@
 	return live
 }
 
-// Known returns every node as last read, live or not, but for this one.
-func (l *Lease) Known() []Node {
+// OtherNodes returns every node as last read, live or not, but for this one.
+func (l *Lease) OtherNodes() []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var known []Node
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,7 +14,7 @@
 	standin "switchbank.example/switchbank/standin/platform"
 )
 
-var opts = lease.Options{TTL: 3 * time.Second, Margin: 500 * time.Millisecond, Every: time.Second}
+var opts = lease.Options{TTL: 3 * time.Second, Margin: 500 * time.Millisecond, RenewInterval: time.Second}
 
 func newLease(p *standin.Platform, id string) *lease.Lease {
 	return lease.New(p, lease.Node{ID: id}, opts, zap.NewNop())
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -410,7 +410,7 @@
 // listAllNodes asks every node for the workloads of a team. The list is partial if a
 // node did not answer.
 func (n *Node) listAllNodes(ctx context.Context, team string) api.StatusList {
-	nodes := n.lease.Known()
+	nodes := n.lease.OtherNodes()
 	parts := make([]api.StatusList, len(nodes)+1)
 	parts[len(nodes)].Workloads = n.jobs.List(team)
 	var g errgroup.Group
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -79,7 +79,7 @@
 	f.mu.Lock()
 	staged, version := f.stagedDigest, f.head.Version
 	f.mu.Unlock()
-	f.n.lease.SetBundles(staged, version)
+	f.n.lease.SetBundleState(staged, version)
 }
 
 // advance fetches and applies the bundle of head, if its version is higher than the
@@ -116,7 +116,7 @@
 	f.head, f.bundle = head, b
 	staged := f.stagedDigest
 	f.mu.Unlock()
-	f.n.lease.SetBundles(staged, head.Version)
+	f.n.lease.SetBundleState(staged, head.Version)
 	f.n.log.Info("bundle in force", events.BundleInForce, zap.Int64("version", head.Version), zap.String("digest", head.Digest))
 }
 
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -52,7 +52,7 @@
 }
 
 func (l *cellLoad) run(ctx context.Context) error {
-	t := time.NewTicker(l.n.cfg.Requests.Load)
+	t := time.NewTicker(l.n.cfg.Requests.LoadInterval)
 	defer t.Stop()
 	for {
 		l.exchange(ctx)
@@ -84,7 +84,7 @@
 func (l *cellLoad) exchange(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentExchanges)
-	for _, node := range l.n.lease.Known() {
+	for _, node := range l.n.lease.OtherNodes() {
 		g.Go(func() error {
 			l.fetchSummary(ctx, node)
 			return nil
@@ -101,10 +101,12 @@
 	}
 }
 
-func (l *cellLoad) summaryLifetime() time.Duration { return summaryIntervals * l.n.cfg.Requests.Load }
+func (l *cellLoad) summaryLifetime() time.Duration {
+	return summaryIntervals * l.n.cfg.Requests.LoadInterval
+}
 
 func (l *cellLoad) fetchSummary(ctx context.Context, node lease.Node) {
-	ctx, cancel := context.WithTimeout(ctx, l.n.cfg.Requests.Load)
+	ctx, cancel := context.WithTimeout(ctx, l.n.cfg.Requests.LoadInterval)
 	defer cancel()
 	sentAt := time.Now()
 	sum, err := httpx.Call[httpx.Empty, peer.Summary](ctx, l.n.peerHTTP, "http://"+node.PeerAddress+peer.PathSummary, httpx.Empty{})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -185,7 +185,7 @@
 		PeerAddress:     cfg.PeerAddress(n.deps.Peers.Addr().String()),
 		OperatorAddress: cfg.OperatorAddress(n.deps.Operators.Addr().String()),
 	}, lease.Options{
-		TTL: cfg.Lease.TTL, Margin: cfg.Lease.Margin, Every: cfg.Lease.Every, NoCheck: n.deps.Guards.NoLeaseCheck,
+		TTL: cfg.Lease.TTL, Margin: cfg.Lease.Margin, RenewInterval: cfg.Lease.RenewInterval, IgnoreExpiry: n.deps.Guards.NoLeaseCheck,
 	}, n.log)
 	n.journal = journal.New(p, p, journal.Options{
 		MinWriteInterval: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.SkipConditions,
@@ -207,11 +207,11 @@
 		Weights:   func() policy.Weights { return n.bundle().Weights() },
 	}, pool.Options{
 		Lease: cfg.Tasks.Lease, Margin: cfg.Tasks.Margin, Grace: cfg.Tasks.Grace,
-		Reservation: cfg.Tasks.Reservation, HostInterval: cfg.Tasks.Hosts, SetAside: cfg.Tasks.SetAside,
+		Reservation: cfg.Tasks.Reservation, HostInterval: cfg.Tasks.HostInterval, SetAside: cfg.Tasks.SetAside,
 		IgnoreLeaving: n.deps.Guards.IgnoreLeaving,
 	}, n.log)
 	n.jobs = jobs.NewSet(jobs.Deps{Journal: n.journal, Pools: poolRouter{n}, Load: n.load, Bundle: n.bundle}, jobs.Options{
-		RoundInterval: cfg.Tasks.Every, VerifyInterval: cfg.Tasks.Ask, Retention: cfg.Tasks.Retention,
+		RoundInterval: cfg.Tasks.RoundInterval, VerifyInterval: cfg.Tasks.VerifyInterval, Retention: cfg.Tasks.Retention,
 		KeyWindow: cfg.Requests.KeyWindow, KeyMargin: cfg.Requests.KeyMargin, KeyAnswerBytes: cfg.Requests.KeyAnswerBytes,
 		MaxKeys: cfg.Limits.Keys, MaxJobs: cfg.Limits.Workloads,
 		SnapshotEvery: cfg.Journal.SnapshotEvery, WorkerShards: workerShards(cfg), StartBeforeJournal: n.deps.Guards.StartBeforeJournal,
@@ -219,7 +219,7 @@
 	n.shardKeys = shard.Layout(cfg.JobShards, cfg.DataCentres)
 	handlers := map[shard.Kind]shard.Handler{shard.KindJob: n.jobs, shard.KindWorker: n.pools}
 	n.shards = shard.New(n.deps.Platform, n.lease, n.shardKeys, handlers, shard.Options{
-		PollInterval: cfg.Lease.Every / 2, ReleaseTimeout: cfg.Requests.DrainTimeout, NoEpochs: n.deps.Guards.NoEpochs,
+		PollInterval: cfg.Lease.RenewInterval / 2, ReleaseTimeout: cfg.Requests.DrainTimeout, NoEpochs: n.deps.Guards.NoEpochs,
 	}, n.log)
 	n.shards.OnOwnerChange(n.shardChanged)
 }
--- a/matrix/cluster_test.go
+++ b/matrix/cluster_test.go
@@ -126,7 +126,7 @@
 	cfg.Node, cfg.DataCentre = name, dataCentre
 	cfg.DataCentres = []shard.DataCentre{{Name: dataCentre, WorkerShards: workerShardCount}}
 	cfg.JobShards = jobShardCount
-	cfg.Lease = config.Lease{TTL: 2500 * time.Millisecond, Margin: 500 * time.Millisecond, Every: 500 * time.Millisecond}
+	cfg.Lease = config.Lease{TTL: 2500 * time.Millisecond, Margin: 500 * time.Millisecond, RenewInterval: 500 * time.Millisecond}
 	cfg.Tasks.Lease, cfg.Tasks.Grace, cfg.Tasks.Reservation = 6*time.Second, 20*time.Second, 4*time.Second
 	cfg.Tasks.SetAside = 2 * time.Second
 	cfg.Requests.DrainDelay, cfg.Requests.DrainTimeout = time.Second, 8*time.Second
