--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -65,7 +65,7 @@
 
 // KeyBegin returns whether a request may run, or else the outcome of an earlier arrival
 // with the same key. It waits while an earlier arrival may be running.
-func (s *Set) KeyBegin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
+func (s *Set) KeyBegin(ctx context.Context, req peer.KeyBeginRequest) (peer.KeyReply, error) {
 	sh, err := s.ownedShard("begin key", req.Shard)
 	if err != nil {
 		return peer.KeyReply{}, err
@@ -87,7 +87,7 @@
 
 // keyBegin makes one attempt at KeyBegin. If it returns a channel, the caller must try
 // again once the channel is closed.
-func (sh *Shard) keyBegin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, <-chan struct{}, error) {
+func (sh *Shard) keyBegin(ctx context.Context, req peer.KeyBeginRequest) (peer.KeyReply, <-chan struct{}, error) {
 	now := time.Now()
 	id := KeyName(req.Team, req.Key)
 	sh.mu.Lock()
@@ -116,19 +116,19 @@
 
 // decideKey returns the reply to a request with a key, and the records that must be
 // journalled before the reply is sent. k is nil if the key is new.
-func decideKey(k *RequestKey, req peer.KeyBegin, now time.Time, opts Options) (peer.KeyState, *peer.Answer, []Record) {
+func decideKey(k *RequestKey, req peer.KeyBeginRequest, now time.Time, opts Options) (peer.KeyState, *peer.Answer, []Record) {
 	id := KeyName(req.Team, req.Key)
 	switch {
 	case k != nil && k.Digest != req.Digest:
-		return peer.KeyClash, nil, nil
+		return peer.KeyConflict, nil, nil
 	case k == nil || k.Outcome == api.OutcomeNotRun:
 		timeout := time.Duration(req.TimeoutMS) * time.Millisecond
-		return peer.KeyGo, nil, []Record{{Intent: &Intent{
+		return peer.KeyRun, nil, []Record{{Intent: &Intent{
 			ID: id, Token: req.Token, Digest: req.Digest,
 			PendingUntil: now.Add(timeout + opts.KeyMargin), RetainUntil: req.Created.Add(opts.KeyWindow + opts.KeyMargin),
 		}}}
 	case k.Outcome == "" && k.Token == req.Token:
-		return peer.KeyGo, nil, nil
+		return peer.KeyRun, nil, nil
 	case k.Outcome == "":
 		return peer.KeyUnknown, nil, []Record{{Finish: &KeyResult{ID: id, Token: k.Token, Outcome: api.OutcomeUnknown}}}
 	case k.Outcome == api.OutcomeDone:
@@ -140,7 +140,7 @@
 
 // KeyFinish journals the outcome of a request with a key. An answer that is too large is
 // stored without its body.
-func (s *Set) KeyFinish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
+func (s *Set) KeyFinish(ctx context.Context, req peer.KeyFinishRequest) (peer.KeyReply, error) {
 	sh, err := s.ownedShard("finish key", req.Shard)
 	if err != nil {
 		return peer.KeyReply{}, err
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -48,7 +48,7 @@
 	if _, reason := callPeer[peer.EventsRequest, httpx.Empty](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
 		t.Errorf("events for a shard of another owner: %q", reason)
 	}
-	if _, reason := callPeer[peer.KeyBegin, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBegin{Shard: "job/999"}); reason != peer.ReasonNotOwner {
+	if _, reason := callPeer[peer.KeyBeginRequest, peer.KeyReply](t, r, peer.PathKeyBegin, peer.KeyBeginRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
 		t.Errorf("key in a shard of another owner: %q", reason)
 	}
 	const ownShard = "worker/kosice-1/000"
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -53,7 +53,7 @@
 	handlePeer(mux, peer.PathReserve, n.pools.Reserve)
 	handlePeer(mux, peer.PathConfirm, n.pools.Confirm)
 	handlePeer(mux, peer.PathStop, n.pools.Stop)
-	handlePeer(mux, peer.PathLetGo, n.pools.CancelReservations)
+	handlePeer(mux, peer.PathCancelReservations, n.pools.CancelReservations)
 	handlePeer(mux, peer.PathEvents, n.applyEvents)
 	handlePeer(mux, peer.PathKeyBegin, n.jobs.KeyBegin)
 	handlePeer(mux, peer.PathKeyFinish, n.jobs.KeyFinish)
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -153,7 +153,7 @@
 
 // CancelReservations releases reservations that are not needed.
 func (r poolRouter) CancelReservations(ctx context.Context, req peer.StopRequest) (peer.ConfirmReply, error) {
-	return callPoolOwner(ctx, r.n, req.Shard, peer.PathLetGo, req, r.n.pools.CancelReservations)
+	return callPoolOwner(ctx, r.n, req.Shard, peer.PathCancelReservations, req, r.n.pools.CancelReservations)
 }
 
 // eventSink delivers task events to the owners of job shards.
@@ -182,7 +182,7 @@
 type keyRouter struct{ n *Node }
 
 // Begin asks whether a request with a key may run.
-func (r keyRouter) Begin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error) {
+func (r keyRouter) Begin(ctx context.Context, req peer.KeyBeginRequest) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
 	reply, err := callOwnerRetrying(ctx, r.n, key, peer.PathKeyBegin, req, r.n.jobs.KeyBegin)
@@ -190,7 +190,7 @@
 }
 
 // Finish journals the outcome of a request with a key.
-func (r keyRouter) Finish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
+func (r keyRouter) Finish(ctx context.Context, req peer.KeyFinishRequest) (peer.KeyReply, error) {
 	key := r.n.jobKey(jobs.KeyName(req.Team, req.Key))
 	req.Shard = string(key)
 	return callOwnerRetrying(ctx, r.n, key, peer.PathKeyFinish, req, r.n.jobs.KeyFinish)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,20 +19,20 @@
 
 // The paths of the peers' listener.
 const (
-	PathReserve   = "/peer/v1/reserve"
-	PathConfirm   = "/peer/v1/confirm"
-	PathStop      = "/peer/v1/stop"
-	PathLetGo     = "/peer/v1/let-go"
-	PathEvents    = "/peer/v1/events"
-	PathKeyBegin  = "/peer/v1/keys/begin"
-	PathKeyFinish = "/peer/v1/keys/finish"
-	PathSummary   = "/peer/v1/summary"
-	PathJobCreate = "/peer/v1/jobs/create"
-	PathJobGet    = "/peer/v1/jobs/get"
-	PathJobCancel = "/peer/v1/jobs/cancel"
-	PathJobList   = "/peer/v1/jobs/list"
-	PathRequest   = "/peer/v1/request"
-	PathHead      = "/peer/v1/head"
+	PathReserve            = "/peer/v1/reserve"
+	PathConfirm            = "/peer/v1/confirm"
+	PathStop               = "/peer/v1/stop"
+	PathCancelReservations = "/peer/v1/let-go"
+	PathEvents             = "/peer/v1/events"
+	PathKeyBegin           = "/peer/v1/keys/begin"
+	PathKeyFinish          = "/peer/v1/keys/finish"
+	PathSummary            = "/peer/v1/summary"
+	PathJobCreate          = "/peer/v1/jobs/create"
+	PathJobGet             = "/peer/v1/jobs/get"
+	PathJobCancel          = "/peer/v1/jobs/cancel"
+	PathJobList            = "/peer/v1/jobs/list"
+	PathRequest            = "/peer/v1/request"
+	PathHead               = "/peer/v1/head"
 )
 
 // ReasonNotOwner is the reason of a problem from a node that does not own the shard.
@@ -127,8 +127,8 @@
 	Events []Event `json:"events"`
 }
 
-// KeyBegin asks for the leave to run a request that must not be repeated.
-type KeyBegin struct {
+// KeyBeginRequest asks for the leave to run a request that must not be repeated.
+type KeyBeginRequest struct {
 	Shard string `json:"shard"`
 	Team  string `json:"team"`
 	Key   string `json:"key"`
@@ -147,14 +147,14 @@
 
 // The states of a key.
 const (
-	// KeyGo gives the leave to run the request, once.
-	KeyGo KeyState = "go"
+	// KeyRun gives the leave to run the request, once.
+	KeyRun KeyState = "go"
 	// KeyDone is a request that has run; its answer comes along when it was kept.
 	KeyDone KeyState = "done"
 	// KeyUnknown is a request of which it is not known whether it ran; it never runs again.
 	KeyUnknown KeyState = "unknown"
-	// KeyClash is a key that was used for a request with another digest.
-	KeyClash KeyState = "clash"
+	// KeyConflict is a key that was used for a request with another digest.
+	KeyConflict KeyState = "clash"
 )
 
 // Answer is an upstream's answer, whole.
@@ -166,14 +166,14 @@
 	Dropped bool `json:"dropped,omitempty"`
 }
 
-// KeyReply answers a KeyBegin.
+// KeyReply answers a KeyBeginRequest or a KeyFinishRequest.
 type KeyReply struct {
 	State  KeyState `json:"state"`
 	Answer *Answer  `json:"answer,omitempty"`
 }
 
-// KeyFinish tells a key's home how its request ended.
-type KeyFinish struct {
+// KeyFinishRequest tells a key's home how its request ended.
+type KeyFinishRequest struct {
 	Shard string `json:"shard"`
 	Team  string `json:"team"`
 	Key   string `json:"key"`
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -51,8 +51,8 @@
 
 // Keys reaches the homes of the keys of requests that must not be repeated.
 type Keys interface {
-	Begin(ctx context.Context, req peer.KeyBegin) (peer.KeyReply, error)
-	Finish(ctx context.Context, req peer.KeyFinish) (peer.KeyReply, error)
+	Begin(ctx context.Context, req peer.KeyBeginRequest) (peer.KeyReply, error)
+	Finish(ctx context.Context, req peer.KeyFinishRequest) (peer.KeyReply, error)
 }
 
 // Deps are the dependencies of an Entry.
@@ -112,7 +112,7 @@
 	if age > e.opts.KeyWindow {
 		return unknown(KindKeyTooOld, fmt.Sprintf("the key is older than %s", e.opts.KeyWindow))
 	}
-	reply, err := e.deps.Keys.Begin(ctx, peer.KeyBegin{
+	reply, err := e.deps.Keys.Begin(ctx, peer.KeyBeginRequest{
 		Team: r.Team, Key: r.Key, Token: r.ID, Digest: r.digest(), TimeoutMS: remaining(ctx), Created: r.KeyCreated,
 	})
 	if err != nil {
@@ -124,10 +124,10 @@
 		return refused(KindKeyStoreUnavailable, "the key could not be journalled: "+err.Error(), storeRetryIn)
 	}
 	switch reply.State {
-	case peer.KeyGo:
+	case peer.KeyRun:
 	case peer.KeyDone:
 		return keptAnswer(reply.Answer)
-	case peer.KeyClash:
+	case peer.KeyConflict:
 		return refused(KindKeyReused, "the key was used for another request", 0)
 	default:
 		return unknown(KindKeyOutcomeUnknown, "an earlier arrival of the key ended without its outcome being known")
@@ -150,7 +150,7 @@
 	if outcome == api.OutcomeRefused {
 		outcome = api.OutcomeNotRun
 	}
-	msg := peer.KeyFinish{Team: r.Team, Key: r.Key, Token: r.ID, Outcome: string(outcome), Answer: res.Answer}
+	msg := peer.KeyFinishRequest{Team: r.Team, Key: r.Key, Token: r.ID, Outcome: string(outcome), Answer: res.Answer}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
 	defer cancel()
 	wait := retryFirstWait
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -235,11 +235,11 @@
 	done  chan string
 }
 
-func (k fixedKeys) Begin(context.Context, peer.KeyBegin) (peer.KeyReply, error) {
+func (k fixedKeys) Begin(context.Context, peer.KeyBeginRequest) (peer.KeyReply, error) {
 	return k.reply, k.err
 }
 
-func (k fixedKeys) Finish(_ context.Context, req peer.KeyFinish) (peer.KeyReply, error) {
+func (k fixedKeys) Finish(_ context.Context, req peer.KeyFinishRequest) (peer.KeyReply, error) {
 	select {
 	case k.done <- req.Outcome:
 	default:
@@ -305,12 +305,12 @@
 		reason  requests.Kind
 		runs    int64
 	}{
-		{"first", fixedKeys{reply: peer.KeyReply{State: peer.KeyGo}}, 0, api.OutcomeDone, "", 1},
+		{"first", fixedKeys{reply: peer.KeyReply{State: peer.KeyRun}}, 0, api.OutcomeDone, "", 1},
 		{"second", fixedKeys{reply: peer.KeyReply{State: peer.KeyDone, Answer: kept}}, 0, api.OutcomeDone, "", 0},
 		{"unknown", fixedKeys{reply: peer.KeyReply{State: peer.KeyUnknown}}, 0, api.OutcomeUnknown, requests.KindKeyOutcomeUnknown, 0},
-		{"clash", fixedKeys{reply: peer.KeyReply{State: peer.KeyClash}}, 0, api.OutcomeRefused, requests.KindKeyReused, 0},
+		{"clash", fixedKeys{reply: peer.KeyReply{State: peer.KeyConflict}}, 0, api.OutcomeRefused, requests.KindKeyReused, 0},
 		{"store down", fixedKeys{err: errors.New("down")}, 0, api.OutcomeRefused, requests.KindKeyStoreUnavailable, 0},
-		{"old", fixedKeys{reply: peer.KeyReply{State: peer.KeyGo}}, -2 * time.Hour, api.OutcomeUnknown, requests.KindKeyTooOld, 0},
+		{"old", fixedKeys{reply: peer.KeyReply{State: peer.KeyRun}}, -2 * time.Hour, api.OutcomeUnknown, requests.KindKeyTooOld, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
