--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -513,8 +513,8 @@
 	for _, c := range reply.Items {
 		ev := peer.Event{Attempt: c.Attempt, Worker: workers[c.Attempt]}
 		switch c.State {
-		case peer.ConfirmVoid:
-			ev.Kind, ev.Reason = peer.EventVoid, "the reservation has run out"
+		case peer.ConfirmNeverRan:
+			ev.Kind, ev.Reason = peer.EventNeverRan, "the reservation has run out"
 		case peer.ConfirmLost:
 			ev.Kind, ev.Reason = peer.EventLost, "its worker is gone or was restarted"
 		default:
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -240,7 +240,7 @@
 	case peer.EventStarted:
 		t.Address = ev.Address
 		j.setTaskState(t, api.TaskRunning, "")
-	case peer.EventVoid:
+	case peer.EventNeverRan:
 		// Other tasks of an all-at-once job may run or have ended without this one.
 		j.Restarting = j.Spec.Kind == api.KindAllAtOnce
 		j.requeue(t, ev.Attempt, r.At.Add(voidRetryDelay), ev.Reason)
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -68,7 +68,7 @@
 	applyEvent(st, peer.EventLost, 0, 1, "")
 	applyPlace(st, 0, 2)
 	applyEvent(st, peer.EventEnded, 0, 1, worker.ResultDone)
-	applyEvent(st, peer.EventVoid, 0, 1, "")
+	applyEvent(st, peer.EventNeverRan, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskPlaced || s.Tasks[0].Attempt != 2 {
 		t.Errorf("an event of an old attempt was applied: %+v", s.Tasks[0])
 	}
@@ -79,7 +79,7 @@
 	w.AtMostOnce = true
 	st := newStateWith(w.WithDefaults())
 	applyPlace(st, 0, 1)
-	applyEvent(st, peer.EventVoid, 0, 1, "")
+	applyEvent(st, peer.EventNeverRan, 0, 1, "")
 	if s := st.Jobs["j"].Status(true); s.Tasks[0].State != api.TaskWaiting {
 		t.Errorf("a task that never ran was not requeued: %+v", s.Tasks[0])
 	}
@@ -208,7 +208,7 @@
 	case 7:
 		applyEvent(st, peer.EventLost, task, n, "")
 	case 8:
-		applyEvent(st, peer.EventVoid, task, n, "")
+		applyEvent(st, peer.EventNeverRan, task, n, "")
 	default:
 		if op == 999 {
 			st.Apply(jobs.Record{Cancel: &jobs.Cancel{Job: "j", At: at}})
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -69,7 +69,7 @@
 	if _, reason := callPeer[requests.Request, requests.Result](t, r, peer.PathRequest, req); reason != "handed_over_before" {
 		t.Errorf("duplicate of a forwarded request: %q", reason)
 	}
-	if sum, reason := callPeer[httpx.Empty, peer.Summary](t, r, peer.PathSummary, httpx.Empty{}); reason != "" || sum.Node != "entry-1" || sum.Head != 1 {
+	if sum, reason := callPeer[httpx.Empty, peer.Summary](t, r, peer.PathSummary, httpx.Empty{}); reason != "" || sum.Node != "entry-1" || sum.BundleVersion != 1 {
 		t.Errorf("summary: %+v %s", sum, reason)
 	}
 	if head, reason := callPeer[httpx.Empty, node.HeadReply](t, r, peer.PathHead, httpx.Empty{}); reason != "" || head.Bundle.Digest() != head.Head.Digest {
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -116,7 +116,7 @@
 	l.mu.Lock()
 	l.peers[node.ID] = &peerState{node, sum, time.Now()}
 	l.mu.Unlock()
-	l.n.follower.observePeer(node.PeerAddress, sum.Head, sum.Confirmed, sentAt)
+	l.n.follower.observePeer(node.PeerAddress, sum.BundleVersion, sum.Confirmed, sentAt)
 }
 
 // hasExchanged reports whether the node has completed an exchange while it held its
@@ -132,7 +132,7 @@
 	pools, teams := l.n.pools.Summaries()
 	head, _ := l.n.follower.state()
 	return peer.Summary{
-		Node: l.n.cfg.Node, Head: head.Version, Confirmed: l.n.follower.confirmsPeers(), Pools: pools, Teams: teams, Services: l.n.balancer.ServiceSummaries(),
+		Node: l.n.cfg.Node, BundleVersion: head.Version, Confirmed: l.n.follower.confirmsPeers(), Pools: pools, Teams: teams, Services: l.n.balancer.ServiceSummaries(),
 	}
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -75,12 +75,12 @@
 const (
 	// ConfirmAccepted is a task that is or will be started; events follow.
 	ConfirmAccepted ConfirmState = "accepted"
-	// ConfirmVoid is a task that never ran and never will under this attempt.
-	ConfirmVoid ConfirmState = "void"
+	// ConfirmNeverRan is a task that never ran and never will under this attempt.
+	ConfirmNeverRan ConfirmState = "void"
 	// ConfirmLost is a task that does not run any more and whose end is not known.
 	ConfirmLost ConfirmState = "lost"
-	// ConfirmLater is a task of which nothing certain is known yet.
-	ConfirmLater ConfirmState = "later"
+	// ConfirmPending is a task of which nothing certain is known yet.
+	ConfirmPending ConfirmState = "later"
 )
 
 // Confirmed is the answer for one placement.
@@ -105,10 +105,10 @@
 
 // The kinds of event.
 const (
-	EventStarted EventKind = "started"
-	EventEnded   EventKind = "ended"
-	EventVoid    EventKind = "void"
-	EventLost    EventKind = "lost"
+	EventStarted  EventKind = "started"
+	EventEnded    EventKind = "ended"
+	EventNeverRan EventKind = "void"
+	EventLost     EventKind = "lost"
 )
 
 // Event tells a job shard's owner what happened to a task.
@@ -213,8 +213,8 @@
 
 // Summary is what a node tells its peers of its load.
 type Summary struct {
-	Node string `json:"node"`
-	Head int64  `json:"head"`
+	Node          string `json:"node"`
+	BundleVersion int64  `json:"head"`
 	// Confirmed is set if the node heard a moment ago that its bundle is in force;
 	// only then does what it says confirm the bundle of another node.
 	Confirmed bool             `json:"confirmed,omitempty"`
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -333,7 +333,7 @@
 	}
 	if t.state == reserved {
 		if t.reservation != pl.Reservation {
-			return peer.ConfirmVoid
+			return peer.ConfirmNeverRan
 		}
 		t.state = starting
 		delete(p.reservations, pl.Attempt)
@@ -355,7 +355,7 @@
 	w, ok := p.workers[pl.Worker]
 	if ok && w.fenced {
 		if w.incarnation == pl.Incarnation {
-			return peer.ConfirmVoid
+			return peer.ConfirmNeverRan
 		}
 		return peer.ConfirmLost
 	}
@@ -363,7 +363,7 @@
 	if gone && time.Since(p.acquiredAt) > p.opts.Grace+p.opts.Lease+p.opts.Margin && p.grant.Held() {
 		return peer.ConfirmLost
 	}
-	return peer.ConfirmLater
+	return peer.ConfirmPending
 }
 
 // stopTask ends a task: a reservation at once, and a started task by an order to its worker. It
@@ -374,7 +374,7 @@
 	t, ok := p.tasks[pl.Attempt]
 	switch {
 	case ok && t.state == reserved:
-		p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "stopped before it was started"})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventNeverRan, Reason: "stopped before it was started"})
 		return peer.ConfirmAccepted
 	case ok && t.state == ended:
 		p.queueEventLocked(t)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -196,7 +196,7 @@
 	runInVirtualTime(t, 1, func(h *harness) {
 		pls := h.reserve(false, newSpec("a", 1))
 		time.Sleep(10 * time.Second)
-		if got := h.confirm(pls[0]); got != peer.ConfirmVoid {
+		if got := h.confirm(pls[0]); got != peer.ConfirmNeverRan {
 			t.Errorf("a confirm after the reservation has expired returned %s, want void", got)
 		}
 		if h.fakes.hasEvent(peer.EventStarted, pls[0].Attempt) {
@@ -212,7 +212,7 @@
 		time.Sleep(10 * time.Second)
 		// The task has ended, and its end was acknowledged. Both messages are repeated.
 		again := h.reserve(false, sp)
-		if got := h.confirm(first); got != peer.ConfirmVoid {
+		if got := h.confirm(first); got != peer.ConfirmNeverRan {
 			t.Errorf("the repeated confirm returned %s, want void", got)
 		}
 		if len(again) == 1 && again[0].Reservation == first.Reservation {
@@ -260,7 +260,7 @@
 		}
 		never := pl
 		never.Attempt.Job = "b"
-		if got := h.confirm(never); got != peer.ConfirmVoid {
+		if got := h.confirm(never); got != peer.ConfirmNeverRan {
 			t.Errorf("a confirm of a task that was never started returned %s, want void", got)
 		}
 		never.Incarnation = "another incarnation"
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -308,7 +308,7 @@
 	for _, t := range w.tasks {
 		p.log.Warn("task lost", events.TaskLost, zap.Stringer("attempt", t.spec.Attempt), zap.String("worker", w.host.ID))
 		if t.state == reserved {
-			p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker is silent"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventNeverRan, Reason: "the worker is silent"})
 			continue
 		}
 		p.endTaskLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker is silent and its lease has run out"})
@@ -370,7 +370,7 @@
 func (p *Pool) handleRestartLocked(w *workerState) {
 	for _, t := range w.tasks {
 		if t.state == reserved {
-			p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker was restarted"})
+			p.endTaskLocked(t, peer.Event{Kind: peer.EventNeverRan, Reason: "the worker was restarted"})
 			continue
 		}
 		p.endTaskLocked(t, peer.Event{Kind: peer.EventLost, Reason: "the worker was restarted"})
@@ -393,7 +393,7 @@
 		p.endTaskLocked(t, peer.Event{Kind: peer.EventEnded, Result: worker.ResultStopped, Reason: "stopped before it was started"})
 	default:
 		w.needsInventory = true
-		p.endTaskLocked(t, peer.Event{Kind: peer.EventVoid, Reason: "the worker refused it: " + string(s.Refused)})
+		p.endTaskLocked(t, peer.Event{Kind: peer.EventNeverRan, Reason: "the worker refused it: " + string(s.Refused)})
 	}
 }
 
