--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -15,20 +15,20 @@
 func TestMeasure(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "seed %d\n", seed)
-	for _, w := range []workload{morningRush(), noticeSurge(), rivalRush(true), rivalRush(false), slice()} {
+	for _, w := range []workload{morningPeak(), batchSurge(), peakOfOtherTeam(true), peakOfOtherTeam(false), largeCellSlice()} {
 		fmt.Fprintf(&out, "\n%s: %d jobs\n", w.name, len(w.jobs))
 		fmt.Fprintf(&out, "%-32s %11s %11s %11s %11s %13s %8s %8s %9s %12s\n", "", "counter p50", "counter p99", "notice p50", "notice p99",
 			"rival p99", "packing", "late", "redone", "us/decision")
-		for _, d := range deciders(w.weights) {
-			res := newSim(d, w).runAll(w)
+		for _, d := range strategies(w.weights) {
+			res := newSimulation(d, w).run(w)
 			if res.decisions == 0 {
 				t.Errorf("%s under %s: nothing was decided", w.name, d.name)
 			}
 			fmt.Fprintf(&out, "%-32s %11s %11s %11s %11s %13s %7.1f%% %8d %9s %12.2f\n", d.name,
-				short(quantile(res.waits["counter"], 0.5)), short(quantile(res.waits["counter"], 0.99)),
-				short(quantile(res.waits["notice"], 0.5)), short(quantile(res.waits["notice"], 0.99)),
-				short(quantile(res.waits[w.rival], 0.99)), 100*res.used/max(res.room, 1e-9), res.late, short(res.lost),
-				float64(res.spent.Microseconds())/float64(max(res.decisions, 1)))
+				formatDuration(quantile(res.waits["counter"], 0.5)), formatDuration(quantile(res.waits["counter"], 0.99)),
+				formatDuration(quantile(res.waits["notice"], 0.5)), formatDuration(quantile(res.waits["notice"], 0.99)),
+				formatDuration(quantile(res.waits[w.protectedClass], 0.99)), 100*res.usedShareSeconds/max(res.waitingSeconds, 1e-9), res.deadlinesMissed, formatDuration(res.redone),
+				float64(res.decisionTime.Microseconds())/float64(max(res.decisions, 1)))
 		}
 	}
 	t.Log("\n" + out.String())
@@ -39,6 +39,6 @@
 	}
 }
 
-func short(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	return d.Round(10 * time.Millisecond).String()
 }
--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -14,146 +14,146 @@
 
 // job is a batch, or one urgent task, of a seeded workload.
 type job struct {
-	at       time.Duration
-	team     int
-	class    string
-	priority int
-	preempt  bool
-	tasks    int
-	size     resource.Amount
+	submitted   time.Duration
+	team        int
+	class       string
+	priority    int
+	preemptible bool
+	tasks       int
+	size        resource.Amount
 	// run is how long a task really runs, and declared what was said.
-	run, declared time.Duration
-	deadline      time.Duration
+	runTime, declaredRunTime time.Duration
+	deadline                 time.Duration
 }
 
 // pending is a job with tasks that wait.
-type pending struct {
+type waitingJob struct {
 	job
-	left  int
-	since []time.Duration
+	remaining    int
+	waitingSince []time.Duration
 }
 
 // running is a task on a worker.
-type running struct {
-	job    *job
-	worker int
-	start  time.Duration
-	end    time.Duration
-	gone   bool
-	n      int
+type runningTask struct {
+	job       *job
+	worker    int
+	start     time.Duration
+	end       time.Duration
+	preempted bool
+	attempt   int
 }
 
 // decider is a way to order jobs and to place tasks.
-type decider struct {
-	name    string
-	order   func(now time.Duration, jobs []*pending, teams []policy.Team, total resource.Amount) []int
-	place   func(size resource.Amount, cs []policy.Candidate) (int, bool)
-	preempt bool
+type strategy struct {
+	name       string
+	order      func(now time.Duration, jobs []*waitingJob, teams []policy.Team, total resource.Amount) []int
+	place      func(size resource.Amount, cs []policy.Candidate) (int, bool)
+	canPreempt bool
 	// blocks ends a round at the first job that does not fit.
-	blocks bool
+	headBlocks bool
 }
 
 // sim is one workload under one decider; time is virtual.
-type sim struct {
-	d       decider
-	teams   []policy.Team
-	total   resource.Amount
-	workers []policy.Candidate
-	on      [][]*running
-	queue   []*pending
-	ends    endHeap
-	now     time.Duration
+type simulation struct {
+	strat         strategy
+	teams         []policy.Team
+	total         resource.Amount
+	workers       []policy.Candidate
+	tasksByWorker [][]*runningTask
+	queue         []*waitingJob
+	running       runningHeap
+	now           time.Duration
 	// rounds is when the last round was, and due tells that one is owed.
-	rounds time.Duration
-	due    bool
-	res    result
+	lastRound time.Duration
+	roundDue  bool
+	res       result
 }
 
 // roundEvery is the least time between two rounds of decisions.
-const roundEvery = 50 * time.Millisecond
+const roundInterval = 50 * time.Millisecond
 
 // result is what a run measured.
 type result struct {
-	waits    map[string][]time.Duration
-	late     int
-	deadline int
+	waits           map[string][]time.Duration
+	deadlinesMissed int
+	deadlinesDue    int
 	// used and room add up, over the time in which work waited, what was in use and what there was.
-	used, room float64
-	lost       time.Duration
-	decisions  int
-	spent      time.Duration
-	finished   time.Duration
+	usedShareSeconds, waitingSeconds float64
+	redone                           time.Duration
+	decisions                        int
+	decisionTime                     time.Duration
+	endedAt                          time.Duration
 }
 
-type endHeap []*running
+type runningHeap []*runningTask
 
-func (h endHeap) Len() int           { return len(h) }
-func (h endHeap) Less(i, j int) bool { return h[i].end < h[j].end }
-func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *endHeap) Push(x any)        { *h = append(*h, x.(*running)) }
-func (h *endHeap) Pop() any {
+func (h runningHeap) Len() int           { return len(h) }
+func (h runningHeap) Less(i, j int) bool { return h[i].end < h[j].end }
+func (h runningHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *runningHeap) Push(x any)        { *h = append(*h, x.(*runningTask)) }
+func (h *runningHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return r
 }
 
-func newSim(d decider, w workload) *sim {
-	s := &sim{d: d, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
+func newSimulation(d strategy, w workload) *simulation {
+	s := &simulation{strat: d, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
 	for range w.workers {
 		s.workers = append(s.workers, policy.Candidate{Free: w.capacity, Capacity: w.capacity})
 		s.total = s.total.Add(w.capacity)
 	}
-	s.on = make([][]*running, w.workers)
+	s.tasksByWorker = make([][]*runningTask, w.workers)
 	return s
 }
 
 // runAll drives a workload to its end.
-func (s *sim) runAll(w workload) result {
+func (s *simulation) run(w workload) result {
 	next := 0
-	for next < len(w.jobs) || len(s.ends) > 0 || len(s.queue) > 0 {
+	for next < len(w.jobs) || len(s.running) > 0 || len(s.queue) > 0 {
 		at := time.Duration(1<<63 - 1)
 		if next < len(w.jobs) {
-			at = w.jobs[next].at
+			at = w.jobs[next].submitted
 		}
-		if len(s.ends) > 0 {
-			at = min(at, s.ends[0].end)
+		if len(s.running) > 0 {
+			at = min(at, s.running[0].end)
 		}
-		if s.due {
-			at = min(at, max(s.now, s.rounds+roundEvery))
+		if s.roundDue {
+			at = min(at, max(s.now, s.lastRound+roundInterval))
 		}
 		if at == 1<<63-1 {
 			break
 		}
 		s.advance(at)
-		for next < len(w.jobs) && w.jobs[next].at <= s.now {
+		for next < len(w.jobs) && w.jobs[next].submitted <= s.now {
 			j := w.jobs[next]
-			p := &pending{job: j, left: j.tasks}
+			p := &waitingJob{job: j, remaining: j.tasks}
 			for range j.tasks {
-				p.since = append(p.since, s.now)
+				p.waitingSince = append(p.waitingSince, s.now)
 			}
 			s.queue = append(s.queue, p)
-			s.due = true
+			s.roundDue = true
 			next++
 		}
-		for len(s.ends) > 0 && s.ends[0].end <= s.now {
-			s.finish(heap.Pop(&s.ends).(*running))
-			s.due = true
+		for len(s.running) > 0 && s.running[0].end <= s.now {
+			s.taskEnded(heap.Pop(&s.running).(*runningTask))
+			s.roundDue = true
 		}
-		if s.now < s.rounds+roundEvery {
+		if s.now < s.lastRound+roundInterval {
 			continue
 		}
-		s.rounds, s.due = s.now, false
+		s.lastRound, s.roundDue = s.now, false
 		began := time.Now()
-		s.round()
-		s.res.spent += time.Since(began)
+		s.placeWaiting()
+		s.res.decisionTime += time.Since(began)
 	}
-	s.res.finished = s.now
+	s.res.endedAt = s.now
 	return s.res
 }
 
 // advance moves the time, and adds up the packing while work waits.
-func (s *sim) advance(to time.Duration) {
+func (s *simulation) advance(to time.Duration) {
 	if len(s.queue) > 0 {
 		var all resource.Amount
 		for _, t := range s.teams {
@@ -161,108 +161,108 @@
 		}
 		used := all.DominantShare(s.total)
 		d := (to - s.now).Seconds()
-		s.res.used += used * d
-		s.res.room += d
+		s.res.usedShareSeconds += used * d
+		s.res.waitingSeconds += d
 	}
 	s.now = to
 }
 
-func (s *sim) finish(r *running) {
-	if r.gone {
+func (s *simulation) taskEnded(t *runningTask) {
+	if t.preempted {
 		return
 	}
-	s.free(r)
-	if r.job.deadline > 0 {
-		s.res.deadline++
-		if s.now > r.job.deadline {
-			s.res.late++
+	s.release(t)
+	if t.job.deadline > 0 {
+		s.res.deadlinesDue++
+		if s.now > t.job.deadline {
+			s.res.deadlinesMissed++
 		}
 	}
 }
 
-func (s *sim) free(r *running) {
-	s.workers[r.worker].Free = s.workers[r.worker].Free.Add(r.job.size)
-	s.teams[r.job.team].Used = s.teams[r.job.team].Used.Sub(r.job.size)
-	s.on[r.worker] = slices.DeleteFunc(s.on[r.worker], func(x *running) bool { return x == r })
+func (s *simulation) release(t *runningTask) {
+	s.workers[t.worker].Free = s.workers[t.worker].Free.Add(t.job.size)
+	s.teams[t.job.team].Used = s.teams[t.job.team].Used.Sub(t.job.size)
+	s.tasksByWorker[t.worker] = slices.DeleteFunc(s.tasksByWorker[t.worker], func(x *runningTask) bool { return x == t })
 }
 
 // round places what waits, in the decider's order.
-func (s *sim) round() {
+func (s *simulation) placeWaiting() {
 	if len(s.queue) == 0 {
 		return
 	}
-	var failed []*pending
-	for _, i := range s.d.order(s.now, s.queue, s.teams, s.total) {
+	var failed []*waitingJob
+	for _, i := range s.strat.order(s.now, s.queue, s.teams, s.total) {
 		p := s.queue[i]
 		// What is no smaller and no more urgent than what found no room finds none either.
-		if slices.ContainsFunc(failed, func(f *pending) bool { return p.size.Fits(f.size) && p.priority <= f.priority }) {
+		if slices.ContainsFunc(failed, func(f *waitingJob) bool { return p.size.Fits(f.size) && p.priority <= f.priority }) {
 			continue
 		}
-		for p.left > 0 && s.placeOne(p) {
-			p.left--
+		for p.remaining > 0 && s.placeTask(p) {
+			p.remaining--
 		}
-		if p.left > 0 {
+		if p.remaining > 0 {
 			failed = append(failed, p)
 		}
-		if p.left > 0 && s.d.blocks {
+		if p.remaining > 0 && s.strat.headBlocks {
 			break
 		}
 	}
-	s.queue = slices.DeleteFunc(s.queue, func(p *pending) bool { return p.left == 0 })
+	s.queue = slices.DeleteFunc(s.queue, func(p *waitingJob) bool { return p.remaining == 0 })
 }
 
-func (s *sim) placeOne(p *pending) bool {
+func (s *simulation) placeTask(p *waitingJob) bool {
 	s.res.decisions++
-	w, ok := s.d.place(p.size, s.workers)
-	if !ok && s.d.preempt {
-		w, ok = s.makeRoom(p)
+	w, ok := s.strat.place(p.size, s.workers)
+	if !ok && s.strat.canPreempt {
+		w, ok = s.preemptFor(p)
 	}
 	if !ok {
 		return false
 	}
-	since := p.since[len(p.since)-1]
-	p.since = p.since[:len(p.since)-1]
+	since := p.waitingSince[len(p.waitingSince)-1]
+	p.waitingSince = p.waitingSince[:len(p.waitingSince)-1]
 	s.res.waits[p.class] = append(s.res.waits[p.class], s.now-since)
 	key := p.class + " of " + s.teams[p.team].Name
 	s.res.waits[key] = append(s.res.waits[key], s.now-since)
-	r := &running{job: &p.job, worker: w, start: s.now, end: s.now + p.run, n: 1}
+	r := &runningTask{job: &p.job, worker: w, start: s.now, end: s.now + p.runTime, attempt: 1}
 	s.workers[w].Free = s.workers[w].Free.Sub(p.size)
 	s.teams[p.team].Used = s.teams[p.team].Used.Add(p.size)
-	s.on[w] = append(s.on[w], r)
-	heap.Push(&s.ends, r)
+	s.tasksByWorker[w] = append(s.tasksByWorker[w], r)
+	heap.Push(&s.running, r)
 	return true
 }
 
 // makeRoom preempts where the fewest tasks must go; they wait again for what
 // they have not run yet, since they were checkpointed.
-func (s *sim) makeRoom(p *pending) (int, bool) {
-	best, victims := -1, []int(nil)
+func (s *simulation) preemptFor(p *waitingJob) (int, bool) {
+	worker, victims := -1, []int(nil)
 	for w := range s.workers {
 		var tasks []policy.RunningTask
-		for _, r := range s.on[w] {
-			tasks = append(tasks, policy.RunningTask{Priority: r.job.priority, Size: r.job.size, Attempt: r.n, Preemptible: r.job.preempt})
+		for _, r := range s.tasksByWorker[w] {
+			tasks = append(tasks, policy.RunningTask{Priority: r.job.priority, Size: r.job.size, Attempt: r.attempt, Preemptible: r.job.preemptible})
 		}
 		chosen, ok := policy.Victims(p.size, s.workers[w].Free, p.priority, tasks)
-		if ok && (best < 0 || len(chosen) < len(victims)) {
-			best, victims = w, chosen
+		if ok && (worker < 0 || len(chosen) < len(victims)) {
+			worker, victims = w, chosen
 		}
 	}
-	if best < 0 {
+	if worker < 0 {
 		return 0, false
 	}
-	var gone []*running
+	var preempted []*runningTask
 	for _, v := range victims {
-		gone = append(gone, s.on[best][v])
+		preempted = append(preempted, s.tasksByWorker[worker][v])
 	}
-	for _, r := range gone {
-		s.free(r)
-		r.gone = true
-		rest := *r.job
-		rest.run, rest.tasks = r.end-s.now, 1
-		s.res.lost += checkpointLoss
-		s.queue = append(s.queue, &pending{job: rest, left: 1, since: []time.Duration{s.now}})
+	for _, r := range preempted {
+		s.release(r)
+		r.preempted = true
+		remainder := *r.job
+		remainder.runTime, remainder.tasks = r.end-s.now, 1
+		s.res.redone += checkpointLoss
+		s.queue = append(s.queue, &waitingJob{job: remainder, remaining: 1, waitingSince: []time.Duration{s.now}})
 	}
-	return best, true
+	return worker, true
 }
 
 // checkpointLoss is the work that a preempted task does again.
@@ -278,20 +278,20 @@
 
 // The deciders that are held beside each other.
 
-func ours(weights policy.Weights) decider {
-	return decider{
-		name: "switchbank", preempt: true,
-		order: func(now time.Duration, jobs []*pending, teams []policy.Team, total resource.Amount) []int {
+func switchbankStrategy(weights policy.Weights) strategy {
+	return strategy{
+		name: "switchbank", canPreempt: true,
+		order: func(now time.Duration, jobs []*waitingJob, teams []policy.Team, total resource.Amount) []int {
 			items := make([]policy.WaitingJob, len(jobs))
 			for i, p := range jobs {
 				items[i] = policy.WaitingJob{
-					TeamIndex: p.team, Priority: p.priority, RunTime: p.declared, Submitted: epoch.Add(p.at), TaskSize: p.size, Demand: p.size.Times(int64(p.left)),
+					TeamIndex: p.team, Priority: p.priority, RunTime: p.declaredRunTime, Submitted: startTime.Add(p.submitted), TaskSize: p.size, Demand: p.size.Times(int64(p.remaining)),
 				}
 				if p.deadline > 0 {
-					items[i].Deadline = epoch.Add(p.deadline)
+					items[i].Deadline = startTime.Add(p.deadline)
 				}
 			}
-			return policy.Order(epoch.Add(now), items, teams, total)
+			return policy.Order(startTime.Add(now), items, teams, total)
 		},
 		place: func(size resource.Amount, cs []policy.Candidate) (int, bool) {
 			return policy.Place(size, cs, policy.Constraints{}, weights)
@@ -299,14 +299,14 @@
 	}
 }
 
-var epoch = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-func byArrival(_ time.Duration, jobs []*pending, _ []policy.Team, _ resource.Amount) []int {
+func byArrival(_ time.Duration, jobs []*waitingJob, _ []policy.Team, _ resource.Amount) []int {
 	order := make([]int, len(jobs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(jobs[a].at, jobs[b].at) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(jobs[a].submitted, jobs[b].submitted) })
 	return order
 }
 
@@ -323,10 +323,10 @@
 	return policy.Place(size, cs, policy.Constraints{}, policy.Weights{Packing: 1})
 }
 
-func deciders(weights policy.Weights) []decider {
-	return []decider{
-		ours(weights),
-		{name: "first in, first out; first fit", order: byArrival, place: firstFit, blocks: true},
+func strategies(weights policy.Weights) []strategy {
+	return []strategy{
+		switchbankStrategy(weights),
+		{name: "first in, first out; first fit", order: byArrival, place: firstFit, headBlocks: true},
 		{name: "best fit without shares", order: byArrival, place: bestFit},
 	}
 }
