--- a/measure/doc.go
+++ b/measure/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package measure holds the measurement of the policy: seeded workloads drive
-// the real decision functions in virtual time, beside two baselines. It has only
-// tests.
+// Package measure compares the placement policy with two baselines: waiting times,
+// packing, missed deadlines and redone work. A simulation in virtual time runs seeded
+// workloads with the decision functions of package policy. The package holds only tests.
 //
 // # Usage
 //
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestMeasure runs each workload under each decider and writes a table; it fails
-// only where a run does not come to its end.
+// TestMeasure runs each workload under each strategy and writes a table, also to the file
+// named by MEASURE_OUT. It fails only if a run decides nothing.
 func TestMeasure(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "seed %d\n", seed)
--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -21,19 +21,21 @@
 	preemptible bool
 	tasks       int
 	size        resource.Amount
-	// run is how long a task really runs, and declared what was said.
+	// runTime is how long a task really runs, and declaredRunTime what its job declares.
 	runTime, declaredRunTime time.Duration
 	deadline                 time.Duration
 }
 
-// pending is a job with tasks that wait.
+// waitingJob is a job with tasks that wait to be placed.
 type waitingJob struct {
 	job
+	// remaining counts the waiting tasks, and waitingSince has a time for each of them.
 	remaining    int
 	waitingSince []time.Duration
 }
 
-// running is a task on a worker.
+// runningTask is a task on a worker. A preempted one stays in the heap of running tasks
+// until its end.
 type runningTask struct {
 	job       *job
 	worker    int
@@ -43,17 +45,19 @@
 	attempt   int
 }
 
-// decider is a way to order jobs and to place tasks.
+// strategy is a way to order jobs and to place tasks.
 type strategy struct {
-	name       string
-	order      func(now time.Duration, jobs []*waitingJob, teams []policy.Team, total resource.Amount) []int
+	name string
+	// order returns the indexes of the jobs in the order in which they are placed.
+	order func(now time.Duration, jobs []*waitingJob, teams []policy.Team, total resource.Amount) []int
+	// place returns the index of the worker for a task, or false if it fits none.
 	place      func(size resource.Amount, cs []policy.Candidate) (int, bool)
 	canPreempt bool
-	// blocks ends a round at the first job that does not fit.
+	// headBlocks ends a round at the first job that does not fit.
 	headBlocks bool
 }
 
-// sim is one workload under one decider; time is virtual.
+// simulation runs one workload under one strategy in virtual time.
 type simulation struct {
 	strat         strategy
 	teams         []policy.Team
@@ -63,21 +67,24 @@
 	queue         []*waitingJob
 	running       runningHeap
 	now           time.Duration
-	// rounds is when the last round was, and due tells that one is owed.
+	// lastRound is the time of the last round of decisions, and roundDue is set if jobs
+	// have arrived or tasks have ended since.
 	lastRound time.Duration
 	roundDue  bool
 	res       result
 }
 
-// roundEvery is the least time between two rounds of decisions.
+// roundInterval is the minimum time between two rounds of decisions.
 const roundInterval = 50 * time.Millisecond
 
-// result is what a run measured.
+// result holds the measurements of a run.
 type result struct {
+	// waits are the waiting times of the tasks, by class and by class and team.
 	waits           map[string][]time.Duration
 	deadlinesMissed int
 	deadlinesDue    int
-	// used and room add up, over the time in which work waited, what was in use and what there was.
+	// waitingSeconds is the time during which tasks waited, and usedShareSeconds the integral
+	// of the used share of the workers over that time. Their quotient is the packing.
 	usedShareSeconds, waitingSeconds float64
 	redone                           time.Duration
 	decisions                        int
@@ -85,6 +92,7 @@
 	endedAt                          time.Duration
 }
 
+// runningHeap is a heap of running tasks by their end.
 type runningHeap []*runningTask
 
 func (h runningHeap) Len() int           { return len(h) }
@@ -108,7 +116,7 @@
 	return s
 }
 
-// runAll drives a workload to its end.
+// run runs a workload until all tasks have ended, or nothing more can be placed.
 func (s *simulation) run(w workload) result {
 	next := 0
 	for next < len(w.jobs) || len(s.running) > 0 || len(s.queue) > 0 {
@@ -152,7 +160,7 @@
 	return s.res
 }
 
-// advance moves the time, and adds up the packing while work waits.
+// advance moves the time on, and adds to the packing's integral if tasks wait.
 func (s *simulation) advance(to time.Duration) {
 	if len(s.queue) > 0 {
 		var all resource.Amount
@@ -186,7 +194,7 @@
 	s.tasksByWorker[t.worker] = slices.DeleteFunc(s.tasksByWorker[t.worker], func(x *runningTask) bool { return x == t })
 }
 
-// round places what waits, in the decider's order.
+// placeWaiting runs a round of decisions: it places waiting tasks in the strategy's order.
 func (s *simulation) placeWaiting() {
 	if len(s.queue) == 0 {
 		return
@@ -194,7 +202,8 @@
 	var failed []*waitingJob
 	for _, i := range s.strat.order(s.now, s.queue, s.teams, s.total) {
 		p := s.queue[i]
-		// What is no smaller and no more urgent than what found no room finds none either.
+		// A job whose tasks are no smaller and no more urgent than those of a job that did
+		// not fit does not fit either.
 		if slices.ContainsFunc(failed, func(f *waitingJob) bool { return p.size.Fits(f.size) && p.priority <= f.priority }) {
 			continue
 		}
@@ -233,8 +242,9 @@
 	return true
 }
 
-// makeRoom preempts where the fewest tasks must go; they wait again for what
-// they have not run yet, since they were checkpointed.
+// preemptFor preempts tasks on the worker where the fewest have to stop for a task of p, and
+// returns that worker. Preempted tasks were checkpointed, so that they wait again only for
+// their remaining run time.
 func (s *simulation) preemptFor(p *waitingJob) (int, bool) {
 	worker, victims := -1, []int(nil)
 	for w := range s.workers {
@@ -265,7 +275,7 @@
 	return worker, true
 }
 
-// checkpointLoss is the work that a preempted task does again.
+// checkpointLoss is the work since its last checkpoint that a preempted task does again.
 const checkpointLoss = time.Second
 
 func quantile(d []time.Duration, q float64) time.Duration {
@@ -276,8 +286,7 @@
 	return d[min(len(d)-1, int(q*float64(len(d))))]
 }
 
-// The deciders that are held beside each other.
-
+// switchbankStrategy orders and places with the functions of package policy.
 func switchbankStrategy(weights policy.Weights) strategy {
 	return strategy{
 		name: "switchbank", canPreempt: true,
@@ -299,8 +308,10 @@
 	}
 }
 
+// startTime is the time of day that stands for time 0 of the simulation.
 var startTime = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
+// byArrival orders the jobs by the time of their submission.
 func byArrival(_ time.Duration, jobs []*waitingJob, _ []policy.Team, _ resource.Amount) []int {
 	order := make([]int, len(jobs))
 	for i := range order {
@@ -310,6 +321,7 @@
 	return order
 }
 
+// firstFit returns the first worker on which a task fits.
 func firstFit(size resource.Amount, cs []policy.Candidate) (int, bool) {
 	for i := range cs {
 		if cs[i].Free.Fits(size) {
@@ -319,10 +331,12 @@
 	return 0, false
 }
 
+// bestFit returns the fullest worker on which a task fits.
 func bestFit(size resource.Amount, cs []policy.Candidate) (int, bool) {
 	return policy.Place(size, cs, policy.Constraints{}, policy.Weights{Packing: 1})
 }
 
+// strategies returns the strategies to compare.
 func strategies(weights policy.Weights) []strategy {
 	return []strategy{
 		switchbankStrategy(weights),
--- a/measure/workloads_test.go
+++ b/measure/workloads_test.go
@@ -14,7 +14,7 @@
 
 const seed = 20261202
 
-// workload is a seeded run of jobs on a set of like workers.
+// workload is a seeded sequence of jobs on a number of equal workers.
 type workload struct {
 	name     string
 	workers  int
@@ -22,7 +22,8 @@
 	weights  policy.Weights
 	teams    []policy.Team
 	jobs     []job
-	// rival is the class and team whose wait must not suffer from another's rush.
+	// protectedClass is the key, in result.waits, of the class and team that must not wait
+	// longer because of another team's peak.
 	protectedClass string
 }
 
@@ -30,6 +31,8 @@
 	return resource.Amount{CPUMilli: cores * 1000, MemoryMB: gb * 1000}
 }
 
+// The placement weights of two kinds of cells: one fills workers up first, the other
+// prefers emptier workers, on which urgent tasks find room at once.
 var (
 	mostlyPacking = policy.Weights{Waiting: 0.2, Packing: 0.8}
 	mostlyWaiting = policy.Weights{Waiting: 0.8, Packing: 0.2}
@@ -39,7 +42,7 @@
 	return policy.Team{Name: name, Weight: 1, Quota: quota}
 }
 
-// urgent adds counter work: one short task, now and then, at a rate a second.
+// addUrgent adds urgent jobs of one short task, on average rate of them per second.
 func addUrgent(r *rand.Rand, jobs []job, team int, from, to time.Duration, rate float64) []job {
 	for at := from; at < to; at += time.Duration(r.ExpFloat64() / rate * float64(time.Second)) {
 		run := time.Duration(1+r.ExpFloat64()*4) * time.Second
@@ -48,7 +51,8 @@
 	return jobs
 }
 
-// batch adds one batch whose declared run time is off by up to wrong times.
+// addBatch adds a batch whose declared run time is too long or too short by a factor of up
+// to maxError.
 func addBatch(r *rand.Rand, jobs []job, team int, at time.Duration, tasks int, size resource.Amount, run, deadline time.Duration, maxError float64) []job {
 	factor := 1 + r.Float64()*(maxError-1)
 	if r.IntN(2) == 0 {
@@ -65,7 +69,7 @@
 	return w
 }
 
-// morningRush is the counters' opening over a night's batches, at Inkasoft's size.
+// morningPeak returns a workload of batches left from the night and a peak of urgent jobs.
 func morningPeak() workload {
 	r := rand.New(rand.NewPCG(seed, 1))
 	w := workload{name: "morning counter rush (Inkasoft, 50 workers)", workers: 50, capacity: amount(16, 32), weights: mostlyPacking,
@@ -78,7 +82,8 @@
 	return sortedByArrival(w)
 }
 
-// noticeSurge is a surge of large batches before a notice date.
+// batchSurge returns a workload of many large batches within a few minutes, and some urgent
+// jobs.
 func batchSurge() workload {
 	r := rand.New(rand.NewPCG(seed, 2))
 	w := workload{name: "notice-date batch surge (Inkasoft, 50 workers)", workers: 50, capacity: amount(16, 32), weights: mostlyPacking,
@@ -95,7 +100,8 @@
 	return sortedByArrival(w)
 }
 
-// rivalRush has one carrier's rush against another's counters; rush 0 leaves it out.
+// peakOfOtherTeam returns a workload of two teams with urgent jobs. If peak is set, one of
+// them submits many more than the other.
 func peakOfOtherTeam(peak bool) workload {
 	r := rand.New(rand.NewPCG(seed, 3))
 	w := workload{name: "one carrier's rush against a rival (Accra, 50 workers)", workers: 50, capacity: amount(32, 64), weights: mostlyWaiting,
@@ -111,7 +117,8 @@
 	return sortedByArrival(w)
 }
 
-// slice is a slice of the letter's size: 64 workers, a 219th of the starts.
+// largeCellSlice returns a workload for 64 workers of a large cell, with a 219th of the
+// cell's task starts.
 func largeCellSlice() workload {
 	r := rand.New(rand.NewPCG(seed, 5))
 	w := workload{name: "slice of the letter's size (64 workers, 3.5 starts/s)", workers: 64, capacity: amount(16, 64), weights: mostlyPacking}
