--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -60,13 +60,13 @@
 	return sum
 }
 
-// quarantinedWorkers returns how many workers of the shards that run here are set aside.
+// quarantinedWorkers returns how many workers of the shards that run here are quarantined.
 func (n *Node) quarantinedWorkers() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 0
 	for _, o := range n.owned {
-		sum += o.WorkersSetAside()
+		sum += o.QuarantinedWorkers()
 	}
 	return float64(sum)
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -125,7 +125,7 @@
 	StoreRecovered     = zap.String(Field, "SB1716")
 	StoreSlow          = zap.String(Field, "SB1717")
 	LayoutInForce      = zap.String(Field, "SB1718")
-	ProgressSpilled    = zap.String(Field, "SB1719")
+	ProgressFallback   = zap.String(Field, "SB1719")
 	PartLoaded         = zap.String(Field, "SB1720")
 	SilentConnsClosed  = zap.String(Field, "SB1721")
 	ResponseAborted    = zap.String(Field, "SB1722")
--- a/internal/owner/deps.go
+++ b/internal/owner/deps.go
@@ -56,7 +56,7 @@
 	Machines  Machines
 	Directory Directory
 	Shards    Shards
-	// CountRefusedEntry counts a directory entry that names no valid worker.
-	CountRefusedEntry func(reason cluster.Kind)
+	// CountInvalidEntry counts a directory entry that names no valid worker.
+	CountInvalidEntry func(reason cluster.Kind)
 	Log               *zap.Logger
 }
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -124,7 +124,7 @@
 	o.refusedEntries.Add(key, reported)
 	o.Log.Warn("invalid worker row skipped", events.RowSkipped, zap.String("table", o.Directory.Table()), zap.String("key", key),
 		zap.String("reason", string(reason)), zap.String("field", field), zap.Error(err))
-	o.CountRefusedEntry(reason)
+	o.CountInvalidEntry(reason)
 }
 
 // newRefusedEntries returns an empty cache for the field refusedEntries.
--- a/internal/owner/fallback.go
+++ b/internal/owner/fallback.go
@@ -119,7 +119,7 @@
 		return false
 	}
 	if o.fallback.activate() {
-		o.Log.Warn("progress goes to fallback rows", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
+		o.Log.Warn("progress goes to fallback rows", events.ProgressFallback, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", true))
 	}
 	o.updateShard(func(s *scheduler.Shard, now time.Time) { s.PersistedInFallback(now, batch) })
 	return true
@@ -150,7 +150,7 @@
 	o.mu.Lock()
 	jobs := o.rewriteFallbackJobs()
 	o.mu.Unlock()
-	o.Log.Info("progress goes to its own rows again", events.ProgressSpilled, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", false),
+	o.Log.Info("progress goes to its own rows again", events.ProgressFallback, zap.Stringer("shard", o.cfg.Shard), zap.Bool("spills", false),
 		zap.Duration("away", outage), zap.Int("jobs", jobs))
 	notify(o.wakeScheduler)
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -266,9 +266,9 @@
 	return o.shard.Counts()
 }
 
-// WorkersSetAside returns how many workers of the shard are set aside because their tasks fail
-// or stall.
-func (o *Owner) WorkersSetAside() int {
+// QuarantinedWorkers returns how many workers of the shard are quarantined, or on probation after
+// it.
+func (o *Owner) QuarantinedWorkers() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shard.QuarantinedWorkers()
