--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advice.go
@@ -33,15 +33,15 @@
 
 const (
 	// ticketMargin is subtracted from a ticket's validity, for the time that the answer
-	// takes to get here and the order to get to the worker.
+	// takes to get here and the order, which may wait behind others, to get to the worker.
 	ticketMargin = 250 * time.Millisecond
 	// maxWorkersPerCall is the advice service's limit of workers in one call.
 	maxWorkersPerCall = 100
 	// minWorkersPerCall spreads the base cost of a call, which far outweighs the cost of
 	// each worker, over enough workers to find a few that are approved.
 	minWorkersPerCall = 10
-	// initialApprovalRate is assumed for a queue until its first answers arrive; real
-	// rates range from 0.35 to 0.7.
+	// initialApprovalRate is assumed for a queue until its first answers arrive; the
+	// rates that were seen range from 0.35 to 0.7.
 	initialApprovalRate = 0.4
 	// maxCallsLongRunning is how many calls a long-running step may have open, so that
 	// workers which become usable one after the other need not wait for the answer about
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// recordDurable records that the progress of a job is durable up to a change. What only
-// running tasks need is dropped once the job's end is.
+// recordDurable records that the progress of a job is durable up to a change. Once that
+// includes the job's end, its steps and specification are dropped.
 func (s *Shard) recordDurable(now time.Time, j *job, r Record) {
 	j.skippedBatches = 0
 	if r.Change == j.changeCount {
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -12,7 +12,8 @@
 	mean float64
 	// deviation is the mean deviation, as a share of the mean.
 	deviation float64
-	n         int
+	// n is the number of ratios added, up to maxRatioWeight.
+	n int
 }
 
 // add adds the ratio of one task.
@@ -28,7 +29,7 @@
 	// minLearnedRuns is how many run times are learned before they are used.
 	minLearnedRuns = 5
 	// maxDeviation is the deviation up to which a learned time can show that a worker is
-	// slow: estimates of some queues are right to a fifth, those of others to a half.
+	// slow: estimates of some queues are accurate to 20 percent, those of others to 50.
 	maxDeviation = 0.4
 	// minGainedPercent is the progress in percent above which a run's own speed is used.
 	minGainedPercent = 5
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// evacuateMargin is how long before a draining worker exits its checkpointing tasks
-	// are stopped, in addition to the time that a stop takes.
+	// evacuateMargin is how long before the exit of a draining worker its checkpointing
+	// tasks are stopped, in addition to the time that a stop takes.
 	evacuateMargin = 700 * time.Millisecond
 	// defaultNotice is the remaining time that is assumed if the worker does not say when
 	// it exits.
@@ -47,7 +47,8 @@
 	return true
 }
 
-// unavailableTasks returns how many tasks of a step are not fully running.
+// unavailableTasks returns how many tasks of a long-running step are not running at 100
+// percent, or are being stopped.
 func (s *Shard) unavailableTasks(st *step) int {
 	n := 0
 	for _, t := range st.tasks {
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -47,11 +47,11 @@
 
 // health is what the outcomes of its runs say about a worker. Failures of one job on
 // several workers are the job's fault. A worker on which different jobs fail is
-// quarantined, and then probed with one task at a time.
+// quarantined, and is then on probation: it is probed with one task at a time.
 type health struct {
 	// sinceSuccess are the failures since the last success, and sinceNewSuccess those
-	// since the last success of a run that started after all that failed; both restart at
-	// a quarantine.
+	// since the last success of a run that started after all that failed; a quarantine
+	// resets both.
 	sinceSuccess, sinceNewSuccess failureStreak
 	// lastFailedStart is the latest start of a run that has failed here.
 	lastFailedStart time.Time
@@ -92,9 +92,9 @@
 	return f.failures >= failures && len(f.jobs) > 1
 }
 
-// recordSuccess resets the failures that a success refutes, and reports whether the
-// probation of the worker is over. A run that started before one that failed does not
-// show that the worker is healthy now, and neither does one whose start is unknown.
+// recordSuccess resets the failure counts after a success, and reports whether that ends
+// the worker's probation. A run that started before one that failed does not show that the
+// worker is healthy now, and neither does one whose start is unknown.
 func (h *health) recordSuccess(r *run) (probationOver bool) {
 	h.sinceSuccess = failureStreak{}
 	if h.probing && h.cause == causeTasksFail && !h.startedSinceQuarantine(r) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -142,9 +142,9 @@
 }
 
 // AddJob adds an accepted job. progress is what an earlier owner persisted, or nil. Tasks
-// of an uncertain job may already be running somewhere. So may, until the takeover is
-// complete, those of a job that was accepted for an earlier owner, which may not have
-// known yet that it had been replaced.
+// of an uncertain job may already be running somewhere. So may, while the takeover is
+// open, those of a job that was accepted for an earlier owner, which may not have known
+// yet that it had been replaced.
 func (s *Shard) AddJob(now time.Time, spec cluster.Job, progress *Progress, uncertain bool) {
 	if s.jobs[spec.ID] != nil {
 		return
--- a/internal/scheduler/jointlead.go
+++ b/internal/scheduler/jointlead.go
@@ -56,7 +56,7 @@
 
 // GangStatesReceived processes the answers of all participants to a poll; nil is one
 // without an answer. It returns the starts to send to them; the members of this shard
-// have been started then.
+// have been started by then.
 func (s *Shard) GangStatesReceived(now time.Time, id StepID, answers []*GangState) []ShardMessage[GangStart] {
 	st := s.jointGang(id)
 	if st == nil || st.done == len(st.tasks) {
--- a/internal/scheduler/observe.go
+++ b/internal/scheduler/observe.go
@@ -15,8 +15,8 @@
 // may be more, so that a run which is missing from it may have ended.
 const maxListedEnds = 500
 
-// Observe processes a worker's report, the answer to the hold with that number. Reports
-// that arrive out of order are ignored.
+// Observe processes a worker's report, the answer to the hold with that number. Reports of
+// earlier holds than the last one processed are ignored.
 func (s *Shard) Observe(now time.Time, id string, seq int64, report cluster.Report) {
 	w := s.workers[id]
 	if w == nil || seq <= w.lastReportedHold || !s.resolveIncarnation(now, w, report.Started) {
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// fullPace is the pace at which a run starts; paceUnknown stands for that of a run
-	// whose last change was not answered, or which an earlier owner started.
+	// fullPace is the pace at which a run starts, in percent; paceUnknown stands for that
+	// of a run whose last change was not answered, or which an earlier owner started.
 	fullPace    = 100
 	paceUnknown = -1
 	// paceHigh and paceLow are shares of a serving task's latency target: above the first
 	// the best-effort tasks beside it are slowed, below the second they recover.
 	paceHigh = 0.85
 	paceLow  = 0.6
-	// paceStep is how much pace a best-effort task gets back after each calm period.
+	// paceStep is by how many percent the pace of a best-effort task rises after each calm
+	// period.
 	paceStep = 25
-	// paceCalmPeriod is how long the latency must stay low before a best-effort task gets
-	// more, and paceMinInterval the least time between two changes: a change takes effect
+	// paceCalmPeriod is how long the latency must stay under paceLow before the pace rises
+	// again, and paceMinInterval the least time between two changes: a change takes effect
 	// after 0.1 s and shows in the latency of the last half second.
 	paceCalmPeriod  = 1500 * time.Millisecond
 	paceMinInterval = 600 * time.Millisecond
@@ -96,5 +97,5 @@
 	s.emit(SetPace{Order: s.orderFor(r.worker), Task: r.task.id, Run: r.number, Percent: pace})
 }
 
-// minPace is the pace below which a best-effort task is paused.
+// minPace is the pace, in percent, below which a best-effort task is paused.
 const minPace = 15
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -301,9 +301,9 @@
 }
 
 // bestHealthyWorkerFor returns the worker on which a task should start, of those that are
-// not quarantined. A task that has failed or was slow goes to another worker; with its
-// last attempt it prefers a proven worker, and takes none on which a run has failed
-// recently.
+// not quarantined. A task that has failed or was slow goes to another worker for a while.
+// With its last attempt it prefers a proven worker, and takes none that is on probation or
+// has had a failure since the last success of a newer run.
 func (s *Shard) bestHealthyWorkerFor(now time.Time, t *task) *worker {
 	isLast := len(t.failed) > 0 && !t.step.spec.LongRunning && t.attemptsLeft() <= 1
 	avoid := avoidDuration
@@ -329,8 +329,9 @@
 func anyWorker(*worker) bool { return true }
 
 // bestWorker returns the worker on which the next task of the step should start: one near
-// its data first, then the one on which the least room is left over. extra counts the
-// tasks that this decision has already placed, by worker.
+// its data first, then the one on which the least room is left over, or the most for a
+// best-effort task. extra counts the tasks that this decision has already placed, by
+// worker.
 func (s *Shard) bestWorker(now time.Time, st *step, extra map[*worker]int, allowed func(*worker) bool) *worker {
 	return s.bestAmong(now, st, extra, func(w *worker) bool { return allowed(w) && s.usable(now, w, st) })
 }
@@ -339,11 +340,11 @@
 func (s *Shard) bestAmong(now time.Time, st *step, extra map[*worker]int, allowed func(*worker) bool) *worker {
 	var best *worker
 	bestScore := 0.0
-	room := st.spec.Allocation()
+	need := st.spec.Allocation()
 	for _, w := range s.workerList {
 		// This cheap check comes first: most workers of a busy shard are full, and each
 		// waiting step tries all of them.
-		if !w.info.Capacity.Sub(w.used).Fits(room) || !allowed(w) {
+		if !w.info.Capacity.Sub(w.used).Fits(need) || !allowed(w) {
 			continue
 		}
 		if st.needsTicket() {
@@ -352,11 +353,11 @@
 			}
 		}
 		n := extra[w]
-		free := w.freeFor(now, st).Sub(room.Times(int64(n)))
-		if !free.Fits(room) || !s.spreadAllows(w, st, n) {
+		free := w.freeFor(now, st).Sub(need.Times(int64(n)))
+		if !free.Fits(need) || !s.spreadAllows(w, st, n) {
 			continue
 		}
-		if score := s.score(w, st, free.Sub(room)); best == nil || score > bestScore {
+		if score := s.score(w, st, free.Sub(need)); best == nil || score > bestScore {
 			best, bestScore = w, score
 		}
 	}
@@ -470,7 +471,7 @@
 }
 
 // gangPlacement returns a worker for each member of a gang, or nil. A gang that asks for
-// one rack gets that while there is one with room, or until oneRackTimeout.
+// one rack is placed across racks only after it has waited for oneRackTimeout.
 func (s *Shard) gangPlacement(now time.Time, st *step) []*worker {
 	if st.spec.OneRack {
 		for _, rack := range s.racks() {
@@ -489,8 +490,8 @@
 // racks, where it takes half as long again.
 const oneRackTimeout = time.Second
 
-// placeGangOnRack returns a worker for each member of a gang on a rack, or on any rack if it
-// is "", or nil.
+// placeGangOnRack returns a worker on the rack for each member of a gang, or nil. If rack
+// is "", all workers are considered.
 func (s *Shard) placeGangOnRack(now time.Time, st *step, rack string) []*worker {
 	return s.placeMembers(now, st, len(st.tasks), func(w *worker) bool { return rack == "" || w.info.Rack == rack })
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -46,7 +46,8 @@
 	return n
 }
 
-// countFits returns how many tasks of one size a total that was made up of them holds.
+// countFits returns how many times the allocation of one task is contained in a total that
+// is a multiple of it.
 func countFits(total, one resource.Amount) int {
 	switch {
 	case one.CPUMilli > 0:
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -30,7 +30,8 @@
 	// lost by keeping room empty than by waiting on.
 	maxReserveWait = 4 * time.Second
 	// preemptAfter is the wait from which a long-running task preempts less urgent work
-	// instead: it should be running within seconds, and its tickets are valid for a few.
+	// instead: it should be running within seconds, and its tickets are valid for a few
+	// seconds only.
 	preemptAfter = time.Second
 	// maxGangReserveWait is the longest wait for the most urgent gang of a shard, whose
 	// members find room at once only by reservation: the tasks beside it take up to 15 s,
@@ -116,8 +117,8 @@
 	st.reservedOn = nil
 }
 
-// reserve reserves room for one more task of a step until a time; at is when the step is
-// expected to use it, or zero while the room is being freed by preemption.
+// reserve reserves room for one more task of a step until a time; neededAt is when the
+// step is expected to use it, or zero while the room is being freed by preemption.
 func (w *worker) reserve(st *step, until, neededAt time.Time) {
 	res, ok := w.reserved[st]
 	if !ok {
--- a/internal/scheduler/run.go
+++ b/internal/scheduler/run.go
@@ -56,8 +56,8 @@
 	// not used.
 	latencyMS int64
 	// pace is the share of its full speed at which the run works, in percent, paceSetAt
-	// when it was last set, and calmSince since when the serving tasks beside it have had
-	// latency to spare.
+	// when it was last set, and calmSince when the calm period began in which the latency
+	// of the serving tasks beside it is low; each rise of the pace begins a new one.
 	pace      int
 	paceSetAt time.Time
 	calmSince time.Time
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,7 +11,8 @@
 // A run is one execution of a task on a worker. A hold is the long poll by which the
 // owner renews a worker's lease and gets its report. A run's end is its outcome, which
 // the worker reports until the owner has confirmed it. An incarnation of a worker lasts
-// from one start of its process to the next.
+// from one start of its process to the next. A task's allocation is what it occupies of a
+// worker's capacity, and room is the free part of the capacity.
 //
 // # Usage
 //
--- a/internal/scheduler/waitlog.go
+++ b/internal/scheduler/waitlog.go
@@ -20,10 +20,10 @@
 const (
 	obstacleNone          obstacle = iota
 	obstacleSilent                 // it does not answer
-	obstacleLeaving                // it drains or leaves, or its entry is not valid
+	obstacleLeaving                // it drains or leaves, or its entry is invalid or of another incarnation
 	obstacleQuarantined            // it is quarantined
-	obstacleProbing                // its quarantine is over, and its first run since has not succeeded yet
-	obstacleBusy                   // it has replied that it is busy
+	obstacleProbing                // its quarantine is over, and a run that probes it still has to end
+	obstacleBusy                   // it has just replied that it is busy
 	obstacleUnknownRuns            // runs of unknown jobs are there
 	obstacleUnfit                  // another service, without the label, or too small
 	obstacleRejected               // the advice service has rejected it
--- a/internal/scheduler/worker.go
+++ b/internal/scheduler/worker.go
@@ -58,7 +58,7 @@
 	// was read.
 	clockMS int64
 	clockAt time.Time
-	// deadlineMS is the latest lease ever sent, on the worker's clock.
+	// deadlineMS is the latest lease deadline ever sent, on the worker's clock.
 	deadlineMS int64
 	// inDoubtLeaseEnd is until when an order for an earlier incarnation may have extended
 	// the lease of what runs there. Its deadline was on another clock and may seem to be
