--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package api holds the messages of the callers' interface, version 1, which
-// docs/api.md and docs/openapi.yaml describe.
+// Package api holds the messages of the callers' HTTP interface, version 1, and
+// the checks that a workload passes before it is accepted. docs/api.md and
+// docs/openapi.yaml describe the interface.
 //
 // # Usage
 //
 //	w := api.Workload{ID: "reminders-7", Team: "inkasoft", Kind: api.KindBatch, …}
-//	if err := w.Check(); err != nil { … } // names the field that is wrong
+//	if err := w.Check(); err != nil { … } // names the invalid field
 package api
 
 import (
@@ -24,24 +25,24 @@
 const (
 	// KindService is a set of tasks that run until cancelled and answer requests.
 	KindService Kind = "service"
-	// KindBatch is a set of tasks that end by themselves, each on its own.
+	// KindBatch is a set of tasks that run to completion independently of each other.
 	KindBatch Kind = "batch"
-	// KindAllAtOnce is a set of tasks that run only all together.
+	// KindAllAtOnce is a gang: its tasks run all at the same time or not at all.
 	KindAllAtOnce Kind = "all_at_once"
 )
 
-// Outcome is what became of a request.
+// Outcome says whether a request was run.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// OutcomeDone is the upstream's whole answer.
+	// OutcomeDone means that the request ran and that the upstream's complete answer follows.
 	OutcomeDone Outcome = "done"
-	// OutcomeRefused is a request that was turned away and not run.
+	// OutcomeRefused means that the request was rejected and not run.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeNotRun is a request that was taken and then not run.
+	// OutcomeNotRun means that the request was accepted but not run.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown is a request of which it is not known whether it ran.
+	// OutcomeUnknown means that it is not known whether the request ran.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -58,7 +59,7 @@
 	HeaderLeaving    = "Switchbank-Leaving"
 )
 
-// The bounds of a workload.
+// The limits of a workload.
 const (
 	MaxTasks         = 20_000
 	MaxCommandArgs   = 64
@@ -70,39 +71,39 @@
 	defaultSlots    = 8
 )
 
-var name = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,126}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,126}[a-z0-9])?$`)
 
 // ValidName reports whether s may name a workload, team, class or service.
-func ValidName(s string) bool { return name.MatchString(s) }
+func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// Workload is what a caller declares.
+// Workload is the declaration of a service or job by a caller.
 type Workload struct {
-	// ID names the workload; sending the same workload again changes nothing.
+	// ID names the workload; submitting the same workload again changes nothing.
 	ID    string `json:"id"`
 	Team  string `json:"team"`
 	Kind  Kind   `json:"kind"`
 	Class string `json:"class"`
-	// Tasks is how many tasks there are.
+	// Tasks is the number of tasks.
 	Tasks int `json:"tasks"`
-	// Size is what each task needs.
+	// Size is the resources that each task needs.
 	Size resource.Amount `json:"size"`
-	// RunMS is how long a task is expected to run, in milliseconds; not for services.
+	// RunMS is the expected run time of a task in milliseconds; not for services.
 	RunMS int64 `json:"run_ms,omitempty"`
-	// Deadline is when the workload must be finished; not for services.
+	// Deadline is the time by which the workload must be finished; not for services.
 	Deadline time.Time `json:"deadline,omitzero"`
-	// Command is what the worker runs.
+	// Command is the program that the worker runs, with its arguments.
 	Command []string `json:"command"`
-	// Service is the name under which requests reach the tasks; for services only.
+	// Service is the name that requests are sent to; for services only.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests each task of a service takes at once.
+	// Slots is the number of requests that each task of a service handles concurrently.
 	Slots int `json:"slots,omitempty"`
-	// AtMostOnce forbids a second try of a task whose first may have run.
+	// AtMostOnce forbids a second attempt at a task whose first attempt may have run.
 	AtMostOnce bool `json:"at_most_once,omitempty"`
-	// MaxAttempts is how often a task is tried.
+	// MaxAttempts is the maximum number of attempts at each task.
 	MaxAttempts int `json:"max_attempts,omitempty"`
 }
 
-// WithDefaults returns w with the optional fields filled in.
+// WithDefaults returns w with defaults in the optional fields that are unset.
 func (w Workload) WithDefaults() Workload {
 	if w.MaxAttempts == 0 {
 		w.MaxAttempts = defaultAttempts
@@ -116,7 +117,7 @@
 	return w
 }
 
-// Check returns a problem that names the first field which is wrong.
+// Check returns a problem that names the first invalid field, or nil.
 func (w Workload) Check() error {
 	switch {
 	case !ValidName(w.ID):
@@ -205,7 +206,7 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Final reports whether the state does not change any more.
+// Final reports whether the state can no longer change.
 func (s JobState) Final() bool {
 	return s == JobDone || s == JobFailed || s == JobUnknown || s == JobCancelled
 }
@@ -227,7 +228,7 @@
 // Active reports whether a worker may be running the task.
 func (s TaskState) Active() bool { return s == TaskPlaced || s == TaskRunning }
 
-// TaskStatus is what is known of a task.
+// TaskStatus is the state of a task and where it runs.
 type TaskStatus struct {
 	Task    int       `json:"task"`
 	State   TaskState `json:"state"`
@@ -248,7 +249,7 @@
 	Cancelled int `json:"cancelled"`
 }
 
-// Status is what is known of a workload.
+// Status is the state of a workload and of its tasks.
 type Status struct {
 	Workload  Workload   `json:"workload"`
 	State     JobState   `json:"state"`
@@ -256,16 +257,16 @@
 	Submitted time.Time  `json:"submitted"`
 	Revision  int64      `json:"revision"`
 	Counts    TaskCounts `json:"counts"`
-	// WaitReason says why tasks wait, as the scheduler last saw it.
+	// WaitReason says why tasks were not placed in the last scheduling round.
 	WaitReason string `json:"waits,omitempty"`
-	// JobsAhead are the first of the jobs that were placed or tried before this one.
+	// JobsAhead lists the first of the jobs that the scheduler considered before this one.
 	JobsAhead []string     `json:"ahead,omitempty"`
 	Tasks     []TaskStatus `json:"tasks,omitempty"`
 }
 
-// StatusList is the answer to a list of workloads.
+// StatusList is the answer to a listing of workloads.
 type StatusList struct {
 	Workloads []Status `json:"workloads"`
-	// Partial is set when some owners could not be asked.
+	// Partial is set when some owners did not answer, so that their workloads are missing.
 	Partial bool `json:"partial,omitempty"`
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package client calls a node as a caller or an operator does.
+// Package client calls the HTTP interfaces of a node for callers and operators.
 //
 // # Usage
 //
@@ -29,34 +29,34 @@
 )
 
 const (
-	callTimeout  = 40 * time.Second
-	maxReply     = 32 << 20
-	dialConns    = 128
-	idleTimeout  = 30 * time.Second
-	headerLimits = 64 << 10
+	callTimeout    = 40 * time.Second
+	maxReplyBytes  = 32 << 20
+	maxConns       = 128
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
-// Config says where the node is and who calls.
+// Config holds the addresses of a node and the identity of the client.
 type Config struct {
-	// Callers and Operators are the node's listeners, each IP:port.
+	// Callers and Operators are the addresses of the node's listeners, each IP:port.
 	Callers   string
 	Operators string
 	Team      string
 	Token     string
-	// Transport is nil for TCP.
+	// Transport carries the calls; nil is an HTTP transport over TCP.
 	Transport http.RoundTripper
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindTransport is a call without a whole reply.
+	// KindTransport is a call that got no complete reply.
 	KindTransport Kind = "transport"
-	// KindProblem is a reply that carries a problem document.
+	// KindProblem is a reply with a problem document.
 	KindProblem Kind = "problem"
-	// KindReply is a reply that can't be read.
+	// KindReply is a message that can't be encoded or decoded.
 	KindReply Kind = "reply"
 )
 
@@ -95,18 +95,18 @@
 	return httpx.Problem{}, false
 }
 
-// Client calls one node.
+// Client calls a single node.
 type Client struct {
 	cfg  Config
 	http *http.Client
 }
 
-// New returns a client.
+// New returns a client of the node at cfg's addresses.
 func New(cfg Config) *Client {
 	if cfg.Transport == nil {
 		cfg.Transport = &http.Transport{
-			MaxConnsPerHost: dialConns, MaxIdleConnsPerHost: dialConns, IdleConnTimeout: idleTimeout,
-			MaxResponseHeaderBytes: headerLimits,
+			MaxConnsPerHost: maxConns, MaxIdleConnsPerHost: maxConns, IdleConnTimeout: idleTimeout,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 		}
 	}
 	return &Client{cfg: cfg, http: &http.Client{Transport: cfg.Transport, Timeout: callTimeout}}
@@ -117,20 +117,20 @@
 	Service string
 	Body    []byte
 	Timeout time.Duration
-	// Key is set for a request that must not be repeated, with the time it was made.
+	// Key identifies a request that must run at most once; KeyCreated is when the key was created.
 	Key        string
 	KeyCreated time.Time
 	Repeatable bool
 }
 
-// Answer is an upstream's whole answer.
+// Answer is an upstream's complete answer.
 type Answer struct {
 	Status    int
 	RequestID string
 	Body      []byte
 }
 
-// Request sends a request to a service.
+// Request sends a request to a service and waits for its answer.
 func (c *Client) Request(ctx context.Context, r Request) (Answer, error) {
 	const op = "request"
 	path := "http://" + c.cfg.Callers + "/v1/services/" + url.PathEscape(r.Service) + "/requests"
@@ -153,11 +153,12 @@
 		return Answer{}, err
 	}
 	if resp.Header.Get(api.HeaderOutcome) != string(api.OutcomeDone) {
-		return Answer{}, problemOf(op, resp.StatusCode, body)
+		return Answer{}, problemFromReply(op, resp.StatusCode, body)
 	}
 	return Answer{Status: resp.StatusCode, RequestID: resp.Header.Get(api.HeaderRequestID), Body: body}, nil
 }
 
+// do sends a request with the client's credentials and reads the whole reply.
 func (c *Client) do(op string, hr *http.Request) (*http.Response, []byte, error) {
 	if c.cfg.Team != "" {
 		hr.Header.Set(api.HeaderTeam, c.cfg.Team)
@@ -170,14 +171,15 @@
 		return nil, nil, &Error{Op: op, Kind: KindTransport, Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return nil, nil, &Error{Op: op, Kind: KindTransport, Err: err}
 	}
 	return resp, body, nil
 }
 
-func problemOf(op string, status int, body []byte) error {
+// problemFromReply returns the problem document in body, or one that names only the status.
+func problemFromReply(op string, status int, body []byte) error {
 	e := &Error{Op: op, Kind: KindProblem}
 	if json.Unmarshal(body, &e.Problem) != nil || e.Problem.Reason == "" {
 		e.Problem = httpx.Problem{Reason: "http_status", Detail: http.StatusText(status)}
@@ -186,7 +188,7 @@
 	return e
 }
 
-// call sends a message and reads its typed reply.
+// call sends req as JSON and decodes the reply.
 func call[Resp any](ctx context.Context, c *Client, op, method, url string, req any) (Resp, error) {
 	var resp Resp
 	var payload io.Reader
@@ -207,7 +209,7 @@
 		return resp, err
 	}
 	if res.StatusCode/100 != 2 {
-		return resp, problemOf(op, res.StatusCode, body)
+		return resp, problemFromReply(op, res.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, &resp); err != nil {
 		return resp, &Error{Op: op, Kind: KindReply, Err: err}
@@ -215,34 +217,35 @@
 	return resp, nil
 }
 
-func (c *Client) workloads() string { return "http://" + c.cfg.Callers + "/v1/workloads" }
+func (c *Client) workloadsURL() string { return "http://" + c.cfg.Callers + "/v1/workloads" }
 
-// Create declares a workload.
+// Create submits a workload.
 func (c *Client) Create(ctx context.Context, w api.Workload) (api.Status, error) {
-	return call[api.Status](ctx, c, "create", http.MethodPost, c.workloads(), w)
+	return call[api.Status](ctx, c, "create", http.MethodPost, c.workloadsURL(), w)
 }
 
-// Get returns a workload, once its revision is above since.
+// Get returns the status of a workload. If since is above 0, the node answers once the
+// workload's revision is higher, or when its time to wait is over.
 func (c *Client) Get(ctx context.Context, id string, since int64, tasks bool) (api.Status, error) {
 	q := url.Values{"tasks": {strconv.FormatBool(tasks)}}
 	if since > 0 {
 		q.Set("since", strconv.FormatInt(since, 10))
 	}
-	return call[api.Status](ctx, c, "get", http.MethodGet, c.workloads()+"/"+url.PathEscape(id)+"?"+q.Encode(), nil)
+	return call[api.Status](ctx, c, "get", http.MethodGet, c.workloadsURL()+"/"+url.PathEscape(id)+"?"+q.Encode(), nil)
 }
 
 // List returns the team's workloads.
 func (c *Client) List(ctx context.Context) (api.StatusList, error) {
-	return call[api.StatusList](ctx, c, "list", http.MethodGet, c.workloads(), nil)
+	return call[api.StatusList](ctx, c, "list", http.MethodGet, c.workloadsURL(), nil)
 }
 
-// Cancel ends a workload.
+// Cancel cancels a workload.
 func (c *Client) Cancel(ctx context.Context, id string) (api.Status, error) {
-	return call[api.Status](ctx, c, "cancel", http.MethodDelete, c.workloads()+"/"+url.PathEscape(id), nil)
+	return call[api.Status](ctx, c, "cancel", http.MethodDelete, c.workloadsURL()+"/"+url.PathEscape(id), nil)
 }
 
-// Wait waits until fn is satisfied by a workload's status.
-func (c *Client) Wait(ctx context.Context, id string, fn func(api.Status) bool) (api.Status, error) {
+// Wait polls a workload until done returns true for its status.
+func (c *Client) Wait(ctx context.Context, id string, done func(api.Status) bool) (api.Status, error) {
 	var since int64
 	for {
 		st, err := c.Get(ctx, id, since, false)
@@ -252,7 +255,7 @@
 			}
 			continue
 		}
-		if err != nil || fn(st) {
+		if err != nil || done(st) {
 			return st, err
 		}
 		since = st.Revision
@@ -270,43 +273,43 @@
 	}
 }
 
-func (c *Client) operator(path string) string { return "http://" + c.cfg.Operators + path }
+func (c *Client) operatorURL(path string) string { return "http://" + c.cfg.Operators + path }
 
-// Status returns what the node tells of itself and of the cell.
+// Status returns the status of the node and of the cell as the node sees it.
 func (c *Client) Status(ctx context.Context) (node.Status, error) {
-	return call[node.Status](ctx, c, "status", http.MethodGet, c.operator(node.PathStatus), nil)
+	return call[node.Status](ctx, c, "status", http.MethodGet, c.operatorURL(node.PathStatus), nil)
 }
 
-// Drain begins a planned stop of the node.
+// Drain starts a planned stop of the node.
 func (c *Client) Drain(ctx context.Context) (node.DrainReply, error) {
-	return call[node.DrainReply](ctx, c, "drain", http.MethodPost, c.operator(node.PathDrain), httpx.Empty{})
+	return call[node.DrainReply](ctx, c, "drain", http.MethodPost, c.operatorURL(node.PathDrain), httpx.Empty{})
 }
 
-// Bundle returns the bundle in force and the proposal that waits.
+// Bundle returns the bundle in force and the pending proposal.
 func (c *Client) Bundle(ctx context.Context) (node.BundleStatus, error) {
-	return call[node.BundleStatus](ctx, c, "bundle status", http.MethodGet, c.operator(node.PathBundle), nil)
+	return call[node.BundleStatus](ctx, c, "bundle status", http.MethodGet, c.operatorURL(node.PathBundle), nil)
 }
 
-// Propose puts a signed bundle up.
+// Propose uploads a signed bundle for the nodes to stage.
 func (c *Client) Propose(ctx context.Context, b *bundle.Bundle, p bundle.Proposal) (bundle.Proposal, error) {
 	req := node.ProposeRequest{Bundle: b, Proposal: p}
-	return call[bundle.Proposal](ctx, c, "bundle propose", http.MethodPost, c.operator(node.PathBundlePropose), req)
+	return call[bundle.Proposal](ctx, c, "bundle propose", http.MethodPost, c.operatorURL(node.PathBundlePropose), req)
 }
 
 // Accept puts a proposed bundle in force.
 func (c *Client) Accept(ctx context.Context, change string) (bundle.Head, error) {
-	return call[bundle.Head](ctx, c, "bundle accept", http.MethodPost, c.operator(node.PathBundleAccept), node.AcceptRequest{Change: change})
+	return call[bundle.Head](ctx, c, "bundle accept", http.MethodPost, c.operatorURL(node.PathBundleAccept), node.AcceptRequest{Change: change})
 }
 
-// AcceptWhenStaged accepts once every live node has staged the bundle.
+// AcceptWhenStaged retries Accept until every live node has staged the bundle.
 func (c *Client) AcceptWhenStaged(ctx context.Context, change string) (bundle.Head, error) {
-	const again = 200 * time.Millisecond
+	const retryInterval = 200 * time.Millisecond
 	for {
 		head, err := c.Accept(ctx, change)
 		if p, ok := ProblemOf(err); !ok || p.Reason != "bundle_"+string(bundle.KindNotStaged) {
 			return head, err
 		}
-		if err := sleep(ctx, again); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return head, &Error{Op: "bundle accept", Kind: KindTransport, Err: err}
 		}
 	}
@@ -314,12 +317,12 @@
 
 // History returns the accepted bundles, oldest first.
 func (c *Client) History(ctx context.Context) (node.HistoryReply, error) {
-	return call[node.HistoryReply](ctx, c, "bundle history", http.MethodGet, c.operator(node.PathBundleHistory), nil)
+	return call[node.HistoryReply](ctx, c, "bundle history", http.MethodGet, c.operatorURL(node.PathBundleHistory), nil)
 }
 
-// Ready reports whether the node serves.
+// Ready reports whether the node's readiness check succeeds.
 func (c *Client) Ready(ctx context.Context) bool {
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, c.operator("/readyz"), nil)
+	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, c.operatorURL("/readyz"), nil)
 	if err != nil {
 		return false
 	}
