--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,21 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package journal keeps the durable records of job shards as rows of the
-// platform's table, many records a write.
+// Package journal stores the durable records of job shards as rows of the
+// platform's table and batches many records into each write.
 //
-// All shards of a node share one Committer, which gathers the records that
-// became due while the last write was under way and writes them in one
-// transaction. Each shard's part is conditional on the shard's row, which moves
-// with its epoch, and on its sequence number being free. A lost reply is
-// settled by sending the same transaction again and reading the rows back,
-// never by guessing.
+// All shards of a node share one Committer. It collects the records that are
+// appended while a write is in flight and writes them in one transaction. Each
+// shard's part of the transaction is conditional on the version of the shard's
+// row, which changes with the shard's epoch, and on the batch's sequence number
+// being unused. When a reply is lost, the Committer sends the same transaction
+// again and compares the rows it gets back with its own, so that it never has
+// to guess whether the write took effect.
 //
 // # Usage
 //
 //	c := journal.New(table, objects, journal.Options{MinWriteInterval: 25 * time.Millisecond}, log)
-//	s, rec, err := c.Open(ctx, grant)
+//	s, rec, err := c.Open(ctx, key, epoch, version)
 //	p, err := c.Append(s, records...) // in order; does not wait
-//	err = p.Wait(ctx)                 // nil: kept safe
+//	err = p.Wait(ctx)                 // nil: the records are durable
 package journal
 
 import (
@@ -34,9 +35,9 @@
 )
 
 const (
-	// TableJournal is the table with a row for each batch of records of a shard.
+	// TableJournal is the table with one row for each batch of a shard's records.
 	TableJournal = "journal"
-	// TableSnapshots is the table that names each shard's newest snapshot.
+	// TableSnapshots is the table with a row that names each shard's newest snapshot.
 	TableSnapshots = "snapshots"
 	tableShards    = "shards"
 
@@ -46,18 +47,19 @@
 	maxRetryWait   = time.Second
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindUnavailable is an append refused because the store does not take writes now.
+	// KindUnavailable means that an append was refused because the store does not accept writes.
 	KindUnavailable Kind = "unavailable"
-	// KindFenced is a shard that has gone to another owner; the records may be kept or not.
+	// KindFenced means that another node owns the shard now, or that the Committer was
+	// stopped. The records may or may not have been stored.
 	KindFenced Kind = "fenced"
-	// KindCorrupt is a journal that can't be read.
+	// KindCorrupt means that the stored journal or snapshot can't be decoded or has a gap.
 	KindCorrupt Kind = "corrupt"
-	// KindStore is a read of the store that failed.
+	// KindStore means that a call to the store failed or that a snapshot was not stored.
 	KindStore Kind = "store"
 )
 
@@ -68,26 +70,26 @@
 	Err  error
 }
 
-// Error returns the operation, kind and cause.
+// Error returns the operation, the kind and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("journal: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// IsKind reports whether err is an Error of this package and of a kind.
+// IsKind reports whether err is an Error of this package with the given kind.
 func IsKind(err error, kind Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == kind
 }
 
-// Table is what the package uses of the table service.
+// Table is the part of the table service that this package uses.
 type Table interface {
 	Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error)
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
 }
 
-// Objects is what the package uses of the object store.
+// Objects is the part of the object store that this package uses.
 type Objects interface {
 	PutObject(ctx context.Context, key string, data []byte) error
 	GetObject(ctx context.Context, key string) ([]byte, error)
@@ -96,28 +98,30 @@
 
 // Options are the settings of a Committer.
 type Options struct {
-	// MinWriteInterval is the least time between two writes, which bounds the writes a second.
+	// MinWriteInterval is the minimum time between two writes. It limits the write rate.
 	MinWriteInterval time.Duration
-	// DownAfter is how long a write may fail before appends are refused at once.
+	// DownAfter is how long writes must fail before appends are refused immediately.
 	DownAfter time.Duration
-	// SkipConditions leaves the conditions out, to show that tests see it.
+	// SkipConditions omits the conditions of transactions. Tests set it to verify that
+	// they detect the missing safeguard.
 	SkipConditions bool
 }
 
-// Batch is the value of a journal row.
+// Batch is the value of a journal row. The token identifies the write, so that a
+// Committer recognizes its own row after a lost reply.
 type Batch struct {
 	Epoch   int64             `json:"epoch"`
 	Token   string            `json:"token"`
 	Records []json.RawMessage `json:"records"`
 }
 
-// Counts tells what a Committer has written.
+// Counts holds the numbers of writes and records that a Committer has stored.
 type Counts struct {
 	Writes  int64
 	Records int64
 }
 
-// Committer writes the records of all shards of a node.
+// Committer writes the journal records of all shards of a node.
 type Committer struct {
 	table   Table
 	objects Objects
@@ -127,40 +131,42 @@
 
 	mu       sync.Mutex
 	pending  []*Pending
-	failing  time.Time
+	failing  time.Time // when the current series of failed writes began; zero if none
 	counts   Counts
 	lastSent time.Time
 }
 
 // Stream is the journal of one shard under one epoch.
 type Stream struct {
-	key     string
-	epoch   int64
+	key   string
+	epoch int64
+	// version is that of the shard's row.
 	version int64
 
 	mu     sync.Mutex
-	next   int64
+	next   int64 // sequence number of the next batch
 	fenced bool
 	// first is the oldest sequence number that has not been trimmed.
 	first int64
-	// snapshot is the version of the shard's snapshot row, and object its object.
+	// snapshot is the version of the shard's snapshot row; object is the key of the
+	// object with the snapshot's data.
 	snapshot int64
 	object   string
 }
 
-// Pending is a set of records on its way to the table.
+// Pending is a set of appended records that may not have been stored yet.
 type Pending struct {
 	stream  *Stream
 	records []json.RawMessage
 	done    chan struct{}
 	err     error
-	// seq is the batch that holds the records, and end how many of its records
-	// come before or are the last of them.
+	// seq is the sequence number of the batch that holds the records; end is the index
+	// in that batch just after the last of them.
 	seq int64
 	end int
 }
 
-// Wait waits until the records are kept safe.
+// Wait blocks until the records are durable or have failed.
 func (p *Pending) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -170,18 +176,20 @@
 	}
 }
 
-// Done is closed when the records are kept safe or fenced; Err tells which.
+// Done returns a channel that is closed when the records are durable or fenced; Err
+// tells which.
 func (p *Pending) Done() <-chan struct{} { return p.done }
 
-// Err returns what became of the records, after Done.
+// Err returns the result of the write: nil if the records are durable. It may be
+// called only after Done is closed.
 func (p *Pending) Err() error { return p.err }
 
-// New returns a Committer; Run must be running for records to be written.
+// New returns a Committer. It writes records only while Run is running.
 func New(table Table, objects Objects, opts Options, log *zap.Logger) *Committer {
 	return &Committer{table: table, objects: objects, opts: opts, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Append queues records of s in order; Wait on the result tells when they are kept.
+// Append queues records of s in order. Wait on the result blocks until they are durable.
 func (c *Committer) Append(s *Stream, records ...json.RawMessage) (*Pending, error) {
 	s.mu.Lock()
 	fenced := s.fenced
@@ -203,7 +211,7 @@
 	return p, nil
 }
 
-// Down reports whether appends are refused because the store does not take writes.
+// Down reports whether appends are refused because the store does not accept writes.
 func (c *Committer) Down() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,13 +222,14 @@
 	return !c.failing.IsZero() && time.Since(c.failing) >= c.opts.DownAfter
 }
 
-// Counts returns what has been written so far.
+// Counts returns the numbers of writes and records stored so far.
 func (c *Committer) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
+// signal wakes Run; it never blocks.
 func (c *Committer) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -228,7 +237,7 @@
 	}
 }
 
-// Run writes what is queued until ctx ends.
+// Run writes queued records until ctx ends.
 func (c *Committer) Run(ctx context.Context) error {
 	for {
 		select {
@@ -249,6 +258,7 @@
 	}
 }
 
+// take removes up to maxBatch appends from the queue.
 func (c *Committer) take() []*Pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,7 +268,7 @@
 	return batch
 }
 
-// part is what one shard contributes to a transaction.
+// part is one shard's share of a transaction.
 type part struct {
 	stream *Stream
 	seq    int64
@@ -266,14 +276,15 @@
 	value  json.RawMessage
 }
 
-// write brings a batch to a definite end: kept, or fenced.
+// write retries a batch until each of its parts is stored, fenced, or abandoned
+// because ctx ended.
 func (c *Committer) write(ctx context.Context, batch []*Pending) {
 	token := rand.Text()
 	parts := split(batch, token)
 	wait := firstRetryWait
 	for len(parts) > 0 {
 		res, err := c.table.Commit(ctx, c.txn(parts))
-		c.noteReply(err)
+		c.trackStore(err)
 		if err == nil && res.Committed {
 			c.finish(parts)
 			return
@@ -290,6 +301,7 @@
 	}
 }
 
+// split groups a batch by shard.
 func split(batch []*Pending, token string) []*part {
 	byStream := make(map[*Stream]*part)
 	var parts []*part
@@ -308,7 +320,7 @@
 	return parts
 }
 
-// seal gives the part its sequence number and its unchangeable value.
+// seal fixes the part's sequence number and value, which stay the same in every retry.
 func (pt *part) seal(token string) {
 	b := Batch{Epoch: pt.stream.epoch, Token: token}
 	pt.stream.mu.Lock()
@@ -318,7 +330,7 @@
 		b.Records = append(b.Records, p.records...)
 		p.seq, p.end = pt.seq, len(b.Records)
 	}
-	// The records are valid JSON already, so that this can't fail.
+	// The records are valid JSON already, so this can't fail.
 	pt.value, _ = json.Marshal(b)
 }
 
@@ -336,20 +348,21 @@
 	return t
 }
 
-// resolve drops the parts that are fenced, and finishes all when the write is
-// found to have taken effect before.
+// resolve handles a transaction whose conditions failed. If a mismatching journal row
+// carries the batch's own token, an earlier try has taken effect and all parts are done.
+// Otherwise it fences the parts whose rows have changed and returns the rest for a retry.
 func (c *Committer) resolve(parts []*part, mismatch []platform.Row, token string) []*part {
-	moved := make(map[string]bool)
+	changed := make(map[string]bool)
 	for _, row := range mismatch {
 		if row.Table == TableJournal && tokenOf(row) == token {
 			c.finish(parts)
 			return nil
 		}
-		moved[row.Table+"\x00"+row.Key] = true
+		changed[row.Table+"\x00"+row.Key] = true
 	}
 	var rest []*part
 	for _, pt := range parts {
-		if moved[tableShards+"\x00"+pt.stream.key] || moved[TableJournal+"\x00"+rowKey(pt.stream.key, pt.seq)] {
+		if changed[tableShards+"\x00"+pt.stream.key] || changed[TableJournal+"\x00"+rowKey(pt.stream.key, pt.seq)] {
 			c.fence(pt)
 			continue
 		}
@@ -366,14 +379,16 @@
 	return b.Token
 }
 
+// fence fails a part and all later appends to its stream.
 func (c *Committer) fence(pt *part) {
 	c.log.Warn("shard fenced", events.JournalFenced, zap.String("shard", pt.stream.key), zap.Int64("epoch", pt.stream.epoch))
 	pt.stream.mu.Lock()
 	pt.stream.fenced = true
 	pt.stream.mu.Unlock()
-	settle(pt, &Error{"write", KindFenced, errors.New(pt.stream.key)})
+	complete(pt, &Error{"write", KindFenced, errors.New(pt.stream.key)})
 }
 
+// finish counts stored parts and completes their appends.
 func (c *Committer) finish(parts []*part) {
 	c.mu.Lock()
 	c.counts.Writes++
@@ -387,26 +402,28 @@
 		pt.stream.mu.Lock()
 		pt.stream.next = pt.seq + 1
 		pt.stream.mu.Unlock()
-		settle(pt, nil)
+		complete(pt, nil)
 	}
 }
 
+// abandon fails parts whose outcome is unknown because the Committer is stopping.
 func (c *Committer) abandon(parts []*part) {
 	for _, pt := range parts {
-		settle(pt, &Error{"write", KindFenced, errors.New("stopped")})
+		complete(pt, &Error{"write", KindFenced, errors.New("stopped")})
 	}
 }
 
-func settle(pt *part, err error) {
+// complete reports the result to everyone who waits for the part's appends.
+func complete(pt *part, err error) {
 	for _, p := range pt.items {
 		p.err = err
 		close(p.done)
 	}
 }
 
-// noteReply notes whether the store answers; any answer ends a failure, also
-// one that fences the whole batch.
-func (c *Committer) noteReply(err error) {
+// trackStore records whether the store answers. Any answer ends an outage, also one
+// that fences the whole batch.
+func (c *Committer) trackStore(err error) {
 	c.mu.Lock()
 	first := err != nil && c.failing.IsZero()
 	switch {
@@ -421,8 +438,10 @@
 	}
 }
 
+// rowKey returns a batch's key. The zero padding makes keys sort by sequence number.
 func rowKey(shard string, seq int64) string { return fmt.Sprintf("%s/%012d", shard, seq) }
 
+// pause waits for d and reports whether ctx is still active.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,8 +22,9 @@
 
 const shardKey = "job/000"
 
-// own makes the next owner of the shard and opens its journal.
-func own(t *testing.T, p *standin.Platform, c *journal.Committer, key string) (*journal.Stream, []string) {
+// takeShard makes c's node the new owner of a shard, as a takeover does, and opens its
+// journal. It returns the records found there.
+func takeShard(t *testing.T, p *standin.Platform, c *journal.Committer, key string) (*journal.Stream, []string) {
 	t.Helper()
 	row, err := p.Get(t.Context(), "shards", key)
 	if err != nil {
@@ -40,10 +41,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, texts(t, rec)
+	return s, recordTexts(t, rec)
 }
 
-func texts(t *testing.T, rec journal.Recovered) []string {
+// recordTexts returns the recovered state: that of the snapshot and the records after it.
+func recordTexts(t *testing.T, rec journal.Recovered) []string {
 	t.Helper()
 	var all []string
 	if rec.Snapshot != nil {
@@ -66,7 +68,8 @@
 	return raw
 }
 
-func start(t *testing.T, p *standin.Platform) *journal.Committer {
+// startCommitter runs a Committer until the test ends.
+func startCommitter(t *testing.T, p *standin.Platform) *journal.Committer {
 	t.Helper()
 	c := journal.New(p, p, journal.Options{MinWriteInterval: 10 * time.Millisecond, DownAfter: time.Second}, zap.NewNop())
 	ctx, stop := context.WithCancel(t.Context())
@@ -79,8 +82,8 @@
 	return c
 }
 
-// TestReplyLost loses the reply of a write that took effect: the records are
-// kept once, in order.
+// TestReplyLost checks that records are stored once and in order when the reply to a write
+// is lost or the write itself is dropped.
 func TestReplyLost(t *testing.T) {
 	for name, faults := range map[string]standin.Faults{
 		"reply lost": {LoseReplies: 2}, "write dropped": {DropCommits: 2}, "both": {LoseReplies: 1, DropCommits: 1},
@@ -88,8 +91,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := standin.New()
-				c := start(t, p)
-				s, _ := own(t, p, c, shardKey)
+				c := startCommitter(t, p)
+				s, _ := takeShard(t, p, c, shardKey)
 				p.SetFaults(faults)
 				var last *journal.Pending
 				for i := range 5 {
@@ -101,55 +104,56 @@
 				if err := last.Wait(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				if _, got := own(t, p, c, shardKey); fmt.Sprint(got) != "[0 1 2 3 4]" {
-					t.Errorf("kept %v", got)
+				if _, got := takeShard(t, p, c, shardKey); fmt.Sprint(got) != "[0 1 2 3 4]" {
+					t.Errorf("journal holds %v, want [0 1 2 3 4]", got)
 				}
 			})
 		})
 	}
 }
 
-// TestFenced takes the shard away: the old owner's append fails, and another
-// shard of the same write is kept.
+// TestFenced checks that after a takeover the old owner's append fails, while an append of
+// another shard in the same write succeeds.
 func TestFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
-		old, other := start(t, p), start(t, p)
-		s, _ := own(t, p, old, shardKey)
-		mine, _ := own(t, p, old, "job/001")
-		s2, _ := own(t, p, other, shardKey)
+		old, other := startCommitter(t, p), startCommitter(t, p)
+		s, _ := takeShard(t, p, old, shardKey)
+		otherStream, _ := takeShard(t, p, old, "job/001")
+		newStream, _ := takeShard(t, p, other, shardKey)
 		lost, err := old.Append(s, record("late"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept, err := old.Append(mine, record("kept"))
+		kept, err := old.Append(otherStream, record("kept"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := lost.Wait(t.Context()); !journal.IsKind(err, journal.KindFenced) {
-			t.Errorf("the fenced append: %v", err)
+			t.Errorf("append of the fenced shard: %v", err)
 		}
 		if err := kept.Wait(t.Context()); err != nil {
-			t.Errorf("the other shard's append: %v", err)
+			t.Errorf("append of the other shard: %v", err)
 		}
 		if _, err := old.Append(s, record("later")); !journal.IsKind(err, journal.KindFenced) {
-			t.Errorf("an append after the fence: %v", err)
+			t.Errorf("append after the fence: %v", err)
 		}
-		own2, err := other.Append(s2, record("new"))
-		if err != nil || own2.Wait(t.Context()) != nil {
+		appended, err := other.Append(newStream, record("new"))
+		if err != nil || appended.Wait(t.Context()) != nil {
 			t.Error("the new owner can't append")
 		}
 	})
 }
 
-// TestAnswersAfterFencedBatch lets a write fail and then be fenced as a whole:
-// the store answers again, so that appends of other shards must be taken.
-func TestAnswersAfterFencedBatch(t *testing.T) {
+// TestAppendAfterOutageAndFence guards against a Committer that stays down after an outage.
+// The first write that the store answers again is fenced as a whole; this answer must end
+// the outage, or appends of other shards would be refused for ever.
+func TestAppendAfterOutageAndFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
-		old, other := start(t, p), start(t, p)
-		s, _ := own(t, p, old, shardKey)
-		mine, _ := own(t, p, old, "job/001")
+		old, other := startCommitter(t, p), startCommitter(t, p)
+		s, _ := takeShard(t, p, old, shardKey)
+		otherStream, _ := takeShard(t, p, old, "job/001")
 		p.SetFaults(standin.Faults{Down: true})
 		lost, err := old.Append(s, record("late"))
 		if err != nil {
@@ -157,19 +161,19 @@
 		}
 		time.Sleep(5 * time.Second)
 		if !old.Down() {
-			t.Fatal("the outage is not seen")
+			t.Fatal("the outage was not detected")
 		}
-		if _, err := old.Append(mine, record("x")); !journal.IsKind(err, journal.KindUnavailable) {
-			t.Errorf("an append in the outage: %v", err)
+		if _, err := old.Append(otherStream, record("x")); !journal.IsKind(err, journal.KindUnavailable) {
+			t.Errorf("append during the outage: %v", err)
 		}
 		p.SetFaults(standin.Faults{})
-		own(t, p, other, shardKey)
+		takeShard(t, p, other, shardKey)
 		if err := lost.Wait(t.Context()); !journal.IsKind(err, journal.KindFenced) {
-			t.Errorf("the fenced append: %v", err)
+			t.Errorf("append of the fenced shard: %v", err)
 		}
-		kept, err := old.Append(mine, record("y"))
+		kept, err := old.Append(otherStream, record("y"))
 		if err != nil {
-			t.Fatalf("an append after the outage: %v", err)
+			t.Fatalf("append after the outage: %v", err)
 		}
 		if err := kept.Wait(t.Context()); err != nil {
 			t.Error(err)
@@ -177,13 +181,13 @@
 	})
 }
 
-// TestSnapshotHoldsWhatWasAppended stores a snapshot while appends go on, which
-// may share a batch with its last record.
-func TestSnapshotHoldsWhatWasAppended(t *testing.T) {
+// TestSnapshotDuringAppends stores snapshots while appends continue. Later appends may
+// share a batch with the last record that a snapshot covers; they must not be trimmed.
+func TestSnapshotDuringAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
-		c := start(t, p)
-		s, _ := own(t, p, c, shardKey)
+		c := startCommitter(t, p)
+		s, _ := takeShard(t, p, c, shardKey)
 		var state []string
 		var last *journal.Pending
 		add := func(n int) {
@@ -204,38 +208,38 @@
 			if round%2 == 1 {
 				p.SetFaults(standin.Faults{LoseReplies: 1})
 			}
-			// A snapshot that fails leaves the journal as it was.
+			// A failed snapshot leaves the journal unchanged, so its error doesn't matter.
 			_ = c.Snapshot(t.Context(), s, data, at)
 			p.SetFaults(standin.Faults{})
 			if err := last.Wait(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			if got := peek(t, p, c); fmt.Sprint(got) != fmt.Sprint(state) {
-				t.Fatalf("round %d: kept %v, want %v", round, got, state)
+			if got := readJournal(t, p, c); fmt.Sprint(got) != fmt.Sprint(state) {
+				t.Fatalf("round %d: journal holds %v, want %v", round, got, state)
 			}
 		}
 		if rows, _ := p.List(t.Context(), journal.TableJournal, shardKey); len(rows) > 6 {
-			t.Errorf("%d batches are left after snapshots", len(rows))
+			t.Errorf("%d batches remain after the snapshots", len(rows))
 		}
 	})
 }
 
-// peek reads the journal as a new owner would, without taking the shard.
-func peek(t *testing.T, p *standin.Platform, c *journal.Committer) []string {
+// readJournal reads the journal as a new owner would, but without a takeover.
+func readJournal(t *testing.T, p *standin.Platform, c *journal.Committer) []string {
 	t.Helper()
 	row, _ := p.Get(t.Context(), "shards", shardKey)
 	_, rec, err := c.Open(t.Context(), shardKey, 1, row.Version)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return texts(t, rec)
+	return recordTexts(t, rec)
 }
 
-// TestRandomFaults appends under random faults and takeovers: what was told to
-// be kept is kept once and in order, by whichever owner.
-func TestRandomFaults(t *testing.T) {
+// TestAppendUnderRandomFaults appends under random faults and takeovers. Every record that
+// was acknowledged, by either owner, must be stored once and in order.
+func TestAppendUnderRandomFaults(t *testing.T) {
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
-	props.Property("kept means kept", prop.ForAll(func(ops []int) bool {
+	props.Property("an acknowledged record is stored once and in order", prop.ForAll(func(ops []int) bool {
 		ok := true
 		synctest.Test(t, func(t *testing.T) { ok = runOps(t, ops) })
 		return ok
@@ -243,11 +247,13 @@
 	props.TestingRun(t)
 }
 
+// runOps runs a sequence of appends, faults and takeovers and reports whether the journal
+// holds what it must.
 func runOps(t *testing.T, ops []int) bool {
 	p := standin.New()
-	cs := []*journal.Committer{start(t, p), start(t, p)}
+	cs := []*journal.Committer{startCommitter(t, p), startCommitter(t, p)}
 	owner := 0
-	s, _ := own(t, p, cs[owner], shardKey)
+	s, _ := takeShard(t, p, cs[owner], shardKey)
 	var pending []*journal.Pending
 	var names []string
 	for i, op := range ops {
@@ -259,7 +265,7 @@
 		case 2:
 			p.SetFaults(standin.Faults{})
 			owner = 1 - owner
-			s, _ = own(t, p, cs[owner], shardKey)
+			s, _ = takeShard(t, p, cs[owner], shardKey)
 		case 3:
 			time.Sleep(20 * time.Millisecond)
 		default:
@@ -271,13 +277,13 @@
 	}
 	p.SetFaults(standin.Faults{})
 	time.Sleep(10 * time.Second)
-	got := peek(t, p, cs[owner])
+	got := readJournal(t, p, cs[owner])
 	at := 0
 	for i, ap := range pending {
 		select {
 		case <-ap.Done():
 		default:
-			t.Logf("%s has no end", names[i])
+			t.Logf("append of %s neither succeeded nor failed", names[i])
 			return false
 		}
 		if ap.Err() != nil {
@@ -287,7 +293,7 @@
 			at++
 		}
 		if at == len(got) {
-			t.Logf("%s was told to be kept; the journal holds %v", names[i], got)
+			t.Logf("%s was acknowledged, but the journal holds %v", names[i], got)
 			return false
 		}
 		at++
@@ -295,7 +301,7 @@
 	seen := make(map[string]bool)
 	for _, g := range got {
 		if seen[g] {
-			t.Logf("%s is kept twice: %v", g, got)
+			t.Logf("%s is stored twice: %v", g, got)
 			return false
 		}
 		seen[g] = true
