--- a/internal/requests/balancer.go
+++ b/internal/requests/balancer.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package requests carries callers' requests to the instances of services.
+// Package requests routes callers' requests to the instances of services.
 //
-// The Balancer counts the slots of the instances that this node owns and keeps
-// the queues before them. The Entry takes a request in, finds it a slot here or
-// on a peer, and ends it with one typed outcome.
+// The Balancer tracks the free slots of the instances that this node owns and
+// queues requests while no slot is free. The Entry accepts a request, finds a
+// slot for it on this node or on a peer, and returns exactly one typed outcome.
 //
 // # Usage
 //
@@ -31,18 +31,19 @@
 )
 
 const (
-	// suspectFor is how long an instance that did not answer is passed over.
-	suspectFor = time.Second
-	// smoothing is the weight of the newest request in the mean time taken.
-	smoothing    = 0.1
-	firstMean    = 50 * time.Millisecond
-	leastRetryIn = 50 * time.Millisecond
+	// suspectTime is how long other instances are preferred to one that did not answer.
+	suspectTime = time.Second
+	// holdTimeWeight is the weight of the newest request in the moving average of the time
+	// that a request holds a slot.
+	holdTimeWeight  = 0.1
+	initialHoldTime = 50 * time.Millisecond
+	minRetryAfter   = 50 * time.Millisecond
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of error; each is also the reason that a caller is told.
+// The kinds of error; each is also the reason given to the caller.
 const (
 	KindNoInstance          Kind = "no_instance"
 	KindTeamQueueFull       Kind = "team_queue_full"
@@ -67,20 +68,20 @@
 	Op   string
 	Kind Kind
 	Err  error
-	// RetryAfter is when it makes sense to come back; 0 is unknown.
+	// RetryAfter is the suggested wait before a retry; 0 means unknown.
 	RetryAfter time.Duration
 }
 
-// Error returns the operation, kind and cause.
+// Error returns the operation, the kind and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("requests: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Balancer counts slots and queues requests for the instances that this node owns.
+// Balancer assigns slots and queues requests for the instances that this node owns.
 type Balancer struct {
 	bundle func() *bundle.Bundle
-	// overcommit switches the counting of slots off, to show that tests see it.
+	// overcommit disables the limit on the slots of an instance; see AllowOvercommit.
 	overcommit bool
 
 	mu       sync.Mutex
@@ -92,20 +93,23 @@
 	name      string
 	instances []*instance
 	queue     *queue.Fair[*waiter]
-	// mean is the mean time that a request holds a slot.
-	mean time.Duration
+	// meanHoldTime is the moving average of the time that a request holds a slot.
+	meanHoldTime time.Duration
 }
 
 type instance struct {
 	pool.Instance
 	service *service
-	busy    int
-	open    bool
-	suspect time.Time
+	busy    int  // slots in use
+	open    bool // takes new requests
+	// suspectUntil is set after a failed call; until then other instances are preferred.
+	suspectUntil time.Time
 	// idle is closed once a drained instance has no request in flight.
 	idle chan struct{}
 }
 
+// waiter is a queued request. It receives an instance on which a slot is taken for it;
+// the channel is closed when the service has no instance left on this node.
 type waiter struct {
 	ready chan *instance
 }
@@ -122,10 +126,11 @@
 	return &Balancer{bundle: b, services: make(map[string]*service), byID: make(map[worker.Attempt]*instance)}
 }
 
-// AllowOvercommit switches the counting of slots off, to show that tests see it.
+// AllowOvercommit disables the limit on the slots of an instance. Tests call it to verify
+// that they detect the missing safeguard.
 func (b *Balancer) AllowOvercommit() { b.overcommit = true }
 
-// Add takes an instance into use.
+// Add adds an instance, unless the balancer has it already.
 func (b *Balancer) Add(i pool.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,29 +141,30 @@
 	inst := &instance{Instance: i, service: s, open: true}
 	s.instances = append(s.instances, inst)
 	b.byID[i.Attempt] = inst
-	b.serveLocked(s)
+	b.dispatchLocked(s)
 }
 
 func (b *Balancer) serviceLocked(name string) *service {
 	s, ok := b.services[name]
 	if !ok {
-		s = &service{name: name, mean: firstMean}
+		s = &service{name: name, meanHoldTime: initialHoldTime}
 		b.services[name] = s
 	}
 	return s
 }
 
-// SetOpen says whether an instance takes new requests.
+// SetOpen sets whether an instance takes new requests. A draining instance stays closed.
 func (b *Balancer) SetOpen(a worker.Attempt, open bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if inst, ok := b.byID[a]; ok && inst.idle == nil {
 		inst.open = open
-		b.serveLocked(inst.service)
+		b.dispatchLocked(inst.service)
 	}
 }
 
-// Remove takes an instance out of use.
+// Remove removes an instance. Requests that are queued for a service without any other
+// instance on this node are turned away.
 func (b *Balancer) Remove(a worker.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,12 +177,13 @@
 	s := inst.service
 	s.instances = slices.DeleteFunc(s.instances, func(i *instance) bool { return i == inst })
 	if len(s.instances) == 0 {
-		b.failLocked(s)
+		b.dropServiceLocked(s)
 	}
 }
 
-// failLocked turns away what waits for a service that has no instance left here.
-func (b *Balancer) failLocked(s *service) {
+// dropServiceLocked removes a service that has no instance left on this node and turns
+// away the requests in its queue.
+func (b *Balancer) dropServiceLocked(s *service) {
 	if s.queue != nil {
 		for w, ok := s.queue.Pop(); ok; w, ok = s.queue.Pop() {
 			close(w.ready)
@@ -185,11 +192,11 @@
 	delete(b.services, s.name)
 }
 
-// Drain closes instances and waits until none of their requests is in flight.
-func (b *Balancer) Drain(ctx context.Context, as []worker.Attempt) {
+// Drain closes instances and waits until they have no request in flight or ctx ends.
+func (b *Balancer) Drain(ctx context.Context, attempts []worker.Attempt) {
 	var waits []chan struct{}
 	b.mu.Lock()
-	for _, a := range as {
+	for _, a := range attempts {
 		inst, ok := b.byID[a]
 		if !ok {
 			continue
@@ -213,7 +220,7 @@
 	}
 }
 
-// TryAcquire takes a free slot at once, if there is one and nobody waits for it.
+// TryAcquire takes a free slot without waiting, if there is one and no request is queued.
 func (b *Balancer) TryAcquire(name string) (*Slot, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,7 +236,7 @@
 	return &Slot{b, inst, time.Now()}, true
 }
 
-// pickLocked returns the least busy instance with a free slot, or nil.
+// pickLocked returns the least loaded instance with a free slot, or nil if there is none.
 func (b *Balancer) pickLocked(s *service) *instance {
 	now := time.Now()
 	var best *instance
@@ -237,21 +244,23 @@
 		if !i.open || (i.busy >= i.Slots && !b.overcommit) || !i.Usable() {
 			continue
 		}
-		if best == nil || less(i, best, now) {
+		if best == nil || preferred(i, best, now) {
 			best = i
 		}
 	}
 	return best
 }
 
-func less(a, b *instance, now time.Time) bool {
-	if sa, sb := now.Before(a.suspect), now.Before(b.suspect); sa != sb {
-		return sb
+// preferred reports whether a is a better choice than b: one that is not suspect goes
+// first, then the one with the smaller share of its slots in use.
+func preferred(a, b *instance, now time.Time) bool {
+	if suspectA, suspectB := now.Before(a.suspectUntil), now.Before(b.suspectUntil); suspectA != suspectB {
+		return suspectB
 	}
 	return a.busy*b.Slots < b.busy*a.Slots
 }
 
-// Acquire takes a slot, waiting in the team's queue until ctx ends.
+// Acquire takes a slot. While none is free, it waits in the team's queue until ctx ends.
 func (b *Balancer) Acquire(ctx context.Context, name, team string) (*Slot, error) {
 	w, err := b.enqueue(ctx, name, team)
 	if err != nil {
@@ -260,14 +269,16 @@
 	select {
 	case inst, ok := <-w.ready:
 		if !ok {
-			return nil, &Error{"acquire", KindNoInstance, errors.New(name), leastRetryIn}
+			return nil, &Error{"acquire", KindNoInstance, errors.New(name), minRetryAfter}
 		}
 		return &Slot{b, inst, time.Now()}, nil
 	case <-ctx.Done():
-		return nil, b.giveUp(name, team, w)
+		return nil, b.cancelWait(name, team, w)
 	}
 }
 
+// enqueue adds a request to the team's queue. It refuses one whose deadline would pass
+// before its expected turn.
 func (b *Balancer) enqueue(ctx context.Context, name, team string) (*waiter, error) {
 	cfg := b.bundle()
 	t, _ := cfg.Team(team)
@@ -275,7 +286,7 @@
 	defer b.mu.Unlock()
 	s, ok := b.services[name]
 	if !ok {
-		return nil, &Error{"acquire", KindNoInstance, errors.New(name), leastRetryIn}
+		return nil, &Error{"acquire", KindNoInstance, errors.New(name), minRetryAfter}
 	}
 	s.setLimits(cfg.Service(name))
 	wait := s.expectedWait()
@@ -289,12 +300,13 @@
 		if errors.As(err, &qe) && qe.Kind == queue.KindTeamFull {
 			kind = KindTeamQueueFull
 		}
-		return nil, &Error{"acquire", kind, err, max(leastRetryIn, wait)}
+		return nil, &Error{"acquire", kind, err, max(minRetryAfter, wait)}
 	}
-	b.serveLocked(s)
+	b.dispatchLocked(s)
 	return w, nil
 }
 
+// setLimits applies the limits of the current bundle to the queue, creating it if needed.
 func (s *service) setLimits(cfg bundle.Service) {
 	limits := queue.Limits{PerTeam: cfg.QueuePerTeam, Total: cfg.QueueTotal}
 	if s.queue == nil {
@@ -303,7 +315,7 @@
 	s.queue.SetLimits(limits)
 }
 
-// expectedWait estimates how long a request that joins the queue now waits.
+// expectedWait estimates how long a request that joins the queue now will wait.
 func (s *service) expectedWait() time.Duration {
 	slots, queued := 0, 0
 	for _, i := range s.instances {
@@ -313,16 +325,17 @@
 		queued = s.queue.Len()
 	}
 	if slots == 0 {
-		return leastRetryIn
+		return minRetryAfter
 	}
-	return time.Duration(int64(s.mean) * int64(queued) / int64(slots))
+	return time.Duration(int64(s.meanHoldTime) * int64(queued) / int64(slots))
 }
 
-// giveUp takes a waiter out of its queue; a slot that came meanwhile is given back.
-func (b *Balancer) giveUp(name, team string, w *waiter) error {
+// cancelWait removes a waiter from its queue, and releases a slot that was assigned to it
+// in the meantime.
+func (b *Balancer) cancelWait(name, team string, w *waiter) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	wait := leastRetryIn
+	wait := minRetryAfter
 	if s, ok := b.services[name]; ok && s.queue != nil {
 		s.queue.Remove(team, func(x *waiter) bool { return x == w })
 		wait = max(wait, s.expectedWait())
@@ -337,8 +350,8 @@
 	return &Error{"acquire", KindDeadline, errors.New("the time was over in the queue"), wait}
 }
 
-// serveLocked hands free slots to those who wait.
-func (b *Balancer) serveLocked(s *service) {
+// dispatchLocked assigns free slots to queued requests.
+func (b *Balancer) dispatchLocked(s *service) {
 	for s.queue != nil && s.queue.Len() > 0 {
 		inst := b.pickLocked(s)
 		if inst == nil {
@@ -350,39 +363,40 @@
 	}
 }
 
+// releaseLocked frees a slot, reports a drained instance as idle and serves the queue.
 func (b *Balancer) releaseLocked(inst *instance) {
 	inst.busy--
 	if inst.busy == 0 && inst.idle != nil {
 		close(inst.idle)
 		inst.idle = nil
 	}
-	b.serveLocked(inst.service)
+	b.dispatchLocked(inst.service)
 }
 
-// Release gives a slot back.
+// Release returns the slot to the balancer.
 func (s *Slot) Release() {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	svc := s.inst.service
-	svc.mean += time.Duration(smoothing * float64(time.Since(s.taken)-svc.mean))
+	svc.meanHoldTime += time.Duration(holdTimeWeight * float64(time.Since(s.taken)-svc.meanHoldTime))
 	s.b.releaseLocked(s.inst)
 }
 
-// MarkSuspect makes the balancer pass the slot's instance over for a short time.
+// MarkSuspect makes the balancer prefer other instances to the slot's for a short time.
 func (s *Slot) MarkSuspect() {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
-	s.inst.suspect = time.Now().Add(suspectFor)
+	s.inst.suspectUntil = time.Now().Add(suspectTime)
 }
 
-// CloseInstance makes the slot's instance take no new request, as it said that it is leaving.
+// CloseInstance stops new requests to the slot's instance, which announced that it is leaving.
 func (s *Slot) CloseInstance() {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.inst.open = false
 }
 
-// Address is where the slot's instance listens.
+// Address returns the address on which the slot's instance listens.
 func (s *Slot) Address() string { return s.inst.Address }
 
 // HasOpenInstance reports whether this node owns an open instance of a service.
@@ -393,7 +407,7 @@
 	return ok && slices.ContainsFunc(s.instances, func(i *instance) bool { return i.open })
 }
 
-// ServiceSummaries tells how busy the node's instances are.
+// ServiceSummaries returns the load of each service on this node, sorted by name.
 func (b *Balancer) ServiceSummaries() []peer.ServiceSummary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/requests/budget.go
+++ b/internal/requests/budget.go
@@ -4,25 +4,25 @@
 
 import "sync"
 
-// Budget bounds retries to a share of recent requests, so that a fault does not
-// grow into a storm of retries.
+// Budget limits retries to a share of recent requests, so that a fault does not
+// cause a retry storm.
 type Budget struct {
-	mu     sync.Mutex
-	tokens float64
-	most   float64
+	mu       sync.Mutex
+	tokens   float64
+	capacity float64
 }
 
-// NewBudget returns a budget that saves up to most retries.
-func NewBudget(most float64) *Budget { return &Budget{tokens: most, most: most} }
+// NewBudget returns a full budget that holds up to capacity retries.
+func NewBudget(capacity float64) *Budget { return &Budget{tokens: capacity, capacity: capacity} }
 
-// Deposit adds a request's share of a retry.
+// Deposit adds the share of a retry that one request earns.
 func (b *Budget) Deposit(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.most, b.tokens+share)
+	b.tokens = min(b.capacity, b.tokens+share)
 }
 
-// Withdraw spends a retry if there is one.
+// Withdraw spends one retry and reports whether the budget had one left.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/requests/dispatch.go
+++ b/internal/requests/dispatch.go
@@ -23,10 +23,12 @@
 
 // UpstreamOptions are the settings of an Upstream.
 type UpstreamOptions struct {
-	// AbandonedTimeout is how long a slot is held for an instance that still works on a
-	// request which was given up.
+	// AbandonedTimeout is how long a slot stays in use while its instance still works on a
+	// request whose deadline has passed.
 	AbandonedTimeout time.Duration
-	// SkipRequestIDCheck and AssumeNotRun switch safeguards off, to show that tests see it.
+	// SkipRequestIDCheck and AssumeNotRun disable safeguards: the comparison of an answer's
+	// request id, and the unknown outcome of a call that broke off. Tests set them to verify
+	// that they detect the missing safeguard.
 	SkipRequestIDCheck bool
 	AssumeNotRun       bool
 }
@@ -42,8 +44,8 @@
 	return &Upstream{http: c, opts: opts}
 }
 
-// Send sends r to the slot's instance and gives the slot back when the instance
-// is done with it. It returns at once when ctx ends, even if the instance is not.
+// Send sends r to the slot's instance and releases the slot when the call has ended. When
+// ctx ends, Send returns immediately, and the call goes on for up to AbandonedTimeout.
 func (u *Upstream) Send(ctx context.Context, slot *Slot, r *Request, maxBody int64) Result {
 	ctx, span := tracer().Start(ctx, "upstream", trace.WithAttributes(attribute.String("address", slot.Address())))
 	defer span.End()
@@ -51,16 +53,16 @@
 		slot.Release()
 		return notRun(KindDeadline, "the time was over before the request was sent")
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	ended := make(chan Result, 1)
+	callCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	results := make(chan Result, 1)
 	var sent atomic.Bool
 	go func() {
 		defer slot.Release()
 		defer stop()
-		ended <- u.exchange(work, slot, r, maxBody, &sent)
+		results <- u.call(callCtx, slot, r, maxBody, &sent)
 	}()
 	select {
-	case res := <-ended:
+	case res := <-results:
 		return res
 	case <-ctx.Done():
 	}
@@ -68,8 +70,9 @@
 	return unknown(KindDeadline, "the time was over while the upstream worked on the request")
 }
 
-// exchange makes one call of the upstream.
-func (u *Upstream) exchange(ctx context.Context, slot *Slot, r *Request, maxBody int64, sent *atomic.Bool) Result {
+// call sends the request once and classifies the result. It sets sent as soon as it has a
+// connection: from then on, a failed call may have run on the upstream.
+func (u *Upstream) call(ctx context.Context, slot *Slot, r *Request, maxBody int64, sent *atomic.Bool) Result {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+slot.Address()+"/", bytes.NewReader(r.Body))
 	if err != nil {
@@ -90,11 +93,12 @@
 		return unknown(KindUpstreamFailed, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return u.answer(slot, r, resp, maxBody)
+	return u.readAnswer(slot, r, resp, maxBody)
 }
 
-// answer reads the whole of the upstream's answer before any of it is passed on.
-func (u *Upstream) answer(slot *Slot, r *Request, resp *http.Response, maxBody int64) Result {
+// readAnswer reads the upstream's answer completely, so that a truncated or oversized one
+// is detected before any part reaches the caller.
+func (u *Upstream) readAnswer(slot *Slot, r *Request, resp *http.Response, maxBody int64) Result {
 	if resp.Header.Get(api.HeaderLeaving) != "" {
 		slot.CloseInstance()
 	}
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -21,37 +21,42 @@
 )
 
 const (
-	budgetMost     = 20
-	leastTimeLeft  = 5 * time.Millisecond
-	finishTimeout  = 2 * time.Second
-	finishTries    = 5
-	storeRetryIn   = 2 * time.Second
-	maxRetries     = 3
-	retryFirstWait = 10 * time.Millisecond
+	retryBudgetCapacity = 20
+	// minTimeLeft is the time that must remain for another try after the wait before it.
+	minTimeLeft     = 5 * time.Millisecond
+	finishTimeout   = 2 * time.Second
+	finishTries     = 5
+	storeRetryAfter = 2 * time.Second
+	maxRetries      = 3
+	firstRetryWait  = 10 * time.Millisecond
 )
 
-// Peers reaches the other nodes.
+// Peers gives access to the other nodes.
 type Peers interface {
 	// ServiceLoads returns the load of a service on each peer that owns instances of it.
 	ServiceLoads(name string) []PeerLoad
-	// RefreshLoads asks the peers for their loads now, unless that was done a moment ago.
+	// RefreshLoads asks the peers for their loads, unless that was done a moment ago.
 	RefreshLoads(ctx context.Context)
-	// Forward hands a request to a peer.
+	// Forward sends a request to a peer.
 	Forward(ctx context.Context, node string, r Request) (Result, error)
 }
 
-// PeerLoad is how busy a service's instances on a peer are.
+// PeerLoad is the load of a service's instances on a peer.
 type PeerLoad struct {
 	Node string
+	// Free is the number of free slots.
 	Free int
-	// Queued and Instances tell how long the queue is where no slot is free.
+	// Queued and Instances are used to compare queues where no slot is free.
 	Queued    int
 	Instances int
 }
 
-// Keys reaches the homes of the keys of requests that must not be repeated.
+// Keys gives access to the stored idempotency keys, which are kept by their owners.
 type Keys interface {
+	// Begin journals that a request with a key is about to run, or returns how an
+	// earlier one with the same key ended.
 	Begin(ctx context.Context, req peer.KeyBeginRequest) (peer.KeyReply, error)
+	// Finish journals how the request ended.
 	Finish(ctx context.Context, req peer.KeyFinishRequest) (peer.KeyReply, error)
 }
 
@@ -66,15 +71,16 @@
 
 // Options are the settings of an Entry.
 type Options struct {
-	// KeyWindow is how long a key is kept; older ones are answered unknown.
+	// KeyWindow is how long a key is kept. A request with an older key ends as unknown.
 	KeyWindow time.Duration
 	// KeyMargin is how far a caller's clock may be ahead.
 	KeyMargin time.Duration
-	// SkipKeyJournal leaves the journalling of keys out, to show that tests see it.
+	// SkipKeyJournal disables the journalling of keys. Tests set it to verify that they
+	// detect the missing safeguard.
 	SkipKeyJournal bool
 }
 
-// Entry takes requests in.
+// Entry accepts requests and routes them to an instance on this node or on a peer.
 type Entry struct {
 	deps   Deps
 	opts   Options
@@ -84,30 +90,30 @@
 
 // NewEntry returns an Entry.
 func NewEntry(deps Deps, opts Options, log *zap.Logger) *Entry {
-	return &Entry{deps: deps, opts: opts, log: log, budget: NewBudget(budgetMost)}
+	return &Entry{deps: deps, opts: opts, log: log, budget: NewBudget(retryBudgetCapacity)}
 }
 
-// Do brings a request to its end; ctx carries its deadline.
+// Do runs a request and returns its outcome; ctx carries the deadline.
 func (e *Entry) Do(ctx context.Context, r Request) Result {
 	ctx, span := tracer().Start(ctx, "entry", trace.WithAttributes(
 		attribute.String("service", r.Service), attribute.String("team", r.Team), attribute.String("request", r.ID)))
 	defer span.End()
 	var res Result
 	if r.Key != "" && !e.opts.SkipKeyJournal {
-		res = e.once(ctx, r)
+		res = e.routeOnce(ctx, r)
 	} else {
 		res = e.route(ctx, r)
 	}
 	span.SetAttributes(attribute.String("outcome", string(res.Outcome)), attribute.String("reason", string(res.Reason)))
 	if res.Outcome == api.OutcomeUnknown {
-		e.log.Warn("request unknown", events.RequestOutcomeUnknown, zap.String("request", r.ID), zap.String("service", r.Service),
+		e.log.Warn("outcome of request unknown", events.RequestOutcomeUnknown, zap.String("request", r.ID), zap.String("service", r.Service),
 			zap.String("reason", string(res.Reason)), zap.String("detail", res.Detail))
 	}
 	return res
 }
 
-// once runs a request that must not be repeated, under its key.
-func (e *Entry) once(ctx context.Context, r Request) Result {
+// routeOnce routes a request that has a key, so that it runs at most once.
+func (e *Entry) routeOnce(ctx context.Context, r Request) Result {
 	age := time.Since(r.KeyCreated)
 	if age > e.opts.KeyWindow {
 		return unknown(KindKeyTooOld, fmt.Sprintf("the key is older than %s", e.opts.KeyWindow))
@@ -116,17 +122,18 @@
 		Team: r.Team, Key: r.Key, Token: r.ID, Digest: r.digest(), TimeoutMS: remaining(ctx), Created: r.KeyCreated,
 	})
 	if err != nil {
-		// Nothing was sent and nothing will be, whatever became of the intent.
+		// Begin may have journalled the key although it failed. The request was not and
+		// will not be sent, so that it can be recorded as not run.
 		go e.finish(ctx, r, notRun(KindKeyStoreUnavailable, ""))
 		if httpx.Reason(err) == string(KindTooManyKeys) {
 			return refused(KindTooManyKeys, err.Error(), time.Minute)
 		}
-		return refused(KindKeyStoreUnavailable, "the key could not be journalled: "+err.Error(), storeRetryIn)
+		return refused(KindKeyStoreUnavailable, "the key could not be journalled: "+err.Error(), storeRetryAfter)
 	}
 	switch reply.State {
 	case peer.KeyRun:
 	case peer.KeyDone:
-		return keptAnswer(reply.Answer)
+		return storedAnswer(reply.Answer)
 	case peer.KeyConflict:
 		return refused(KindKeyReused, "the key was used for another request", 0)
 	default:
@@ -137,14 +144,16 @@
 	return res
 }
 
-func keptAnswer(a *peer.Answer) Result {
+// storedAnswer returns the result of a request that an earlier one with its key has run.
+func storedAnswer(a *peer.Answer) Result {
 	if a == nil || a.Dropped {
 		return unknown(KindAnswerTooLarge, "the request has run; its answer was too large to be kept")
 	}
 	return Result{Outcome: api.OutcomeDone, Answer: a}
 }
 
-// finish journals how a request with a key ended, trying for a short time.
+// finish journals how a request with a key ended. It retries for a short time; without the
+// record, later requests with the key end as unknown.
 func (e *Entry) finish(ctx context.Context, r Request, res Result) {
 	outcome := res.Outcome
 	if outcome == api.OutcomeRefused {
@@ -153,7 +162,7 @@
 	msg := peer.KeyFinishRequest{Team: r.Team, Key: r.Key, Token: r.ID, Outcome: string(outcome), Answer: res.Answer}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
 	defer cancel()
-	wait := retryFirstWait
+	wait := firstRetryWait
 	for range finishTries {
 		if _, err := e.deps.Keys.Finish(ctx, msg); err == nil || ctx.Err() != nil {
 			return
@@ -161,14 +170,14 @@
 		pause(ctx, wait)
 		wait *= 4
 	}
-	e.log.Warn("key left without outcome", events.KeyOutcomeUnknown, zap.String("request", r.ID))
+	e.log.Warn("outcome of keyed request not journalled", events.KeyOutcomeUnknown, zap.String("request", r.ID))
 }
 
-// route finds a slot for a request, and another one as long as it did not run
-// and the retry budget and the deadline allow.
+// route tries to run a request. It retries while a retry is safe and the retry budget and
+// the deadline allow it.
 func (e *Entry) route(ctx context.Context, r Request) Result {
 	e.budget.Deposit(e.deps.Bundle().Limits.RetryShare)
-	wait := retryFirstWait
+	wait := firstRetryWait
 	for try := 0; ; try++ {
 		res := e.try(ctx, r)
 		if try == maxRetries || !mayRetry(res, r) || !e.enoughTime(ctx, wait) || !e.budget.Withdraw() {
@@ -179,7 +188,7 @@
 	}
 }
 
-// mayRetry reports whether a result leaves room for another try.
+// mayRetry reports whether it is safe and useful to try a request again after a result.
 func mayRetry(res Result, r Request) bool {
 	switch res.Outcome {
 	case api.OutcomeNotRun:
@@ -191,27 +200,29 @@
 	}
 }
 
+// enoughTime reports whether the deadline leaves time for another try after a wait.
 func (e *Entry) enoughTime(ctx context.Context, wait time.Duration) bool {
 	deadline, ok := ctx.Deadline()
-	return ctx.Err() == nil && (!ok || time.Until(deadline) > 2*wait+leastTimeLeft)
+	return ctx.Err() == nil && (!ok || time.Until(deadline) > 2*wait+minTimeLeft)
 }
 
-// try makes one attempt. When no instance is known, the peers are asked once more:
-// a service may have started since their last summary.
+// try makes one attempt. When no instance is known, it first refreshes the loads of the
+// peers: a service may have started since their last summary.
 func (e *Entry) try(ctx context.Context, r Request) Result {
-	if res, found := e.find(ctx, r); found {
+	if res, found := e.runWhereKnown(ctx, r); found {
 		return res
 	}
 	e.deps.Peers.RefreshLoads(ctx)
-	if res, found := e.find(ctx, r); found {
+	if res, found := e.runWhereKnown(ctx, r); found {
 		return res
 	}
 	return refused(KindNoInstance, "no instance of the service is known", time.Second)
 }
 
-// find runs a request where it can: in a free slot here, else on a peer with room,
-// else in a queue.
-func (e *Entry) find(ctx context.Context, r Request) (res Result, found bool) {
+// runWhereKnown runs a request on a known instance of its service. A free slot on this
+// node is preferred to a free slot on a peer, then to a queue here, then to one on a peer.
+// It returns false if no instance is known.
+func (e *Entry) runWhereKnown(ctx context.Context, r Request) (res Result, found bool) {
 	if slot, ok := e.deps.Balancer.TryAcquire(r.Service); ok {
 		return e.send(ctx, slot, r), true
 	}
@@ -228,15 +239,15 @@
 	return Result{}, false
 }
 
-// RunLocally runs a request on this node's own instances, waiting for a slot; it is
-// also where a request that a peer handed over ends.
+// RunLocally runs a request on this node's own instances and waits for a slot if necessary.
+// Requests that a peer forwards to this node are run in this way.
 func (e *Entry) RunLocally(ctx context.Context, r Request) Result {
-	qctx, span := tracer().Start(ctx, "queue")
-	slot, err := e.deps.Balancer.Acquire(qctx, r.Service, r.Team)
+	queueCtx, span := tracer().Start(ctx, "queue")
+	slot, err := e.deps.Balancer.Acquire(queueCtx, r.Service, r.Team)
 	span.End()
-	var rerr *Error
-	if errors.As(err, &rerr) {
-		return refused(rerr.Kind, rerr.Err.Error(), rerr.RetryAfter)
+	var acquireErr *Error
+	if errors.As(err, &acquireErr) {
+		return refused(acquireErr.Kind, acquireErr.Err.Error(), acquireErr.RetryAfter)
 	}
 	return e.send(ctx, slot, r)
 }
@@ -245,7 +256,7 @@
 	return e.deps.Upstream.Send(ctx, slot, &r, e.deps.Bundle().Limits.BodyBytes)
 }
 
-// forward hands a request to a peer, once.
+// forward sends a request to a peer, without retries.
 func (e *Entry) forward(ctx context.Context, node string, r Request) Result {
 	ctx, span := tracer().Start(ctx, "peer", trace.WithAttributes(attribute.String("node", node)))
 	defer span.End()
@@ -254,8 +265,8 @@
 	if err == nil {
 		return res
 	}
-	var he *httpx.Error
-	if errors.As(err, &he) && he.Kind == httpx.KindProblem {
+	var httpErr *httpx.Error
+	if errors.As(err, &httpErr) && httpErr.Kind == httpx.KindProblem {
 		return notRun(KindPeerFailed, err.Error())
 	}
 	if IsNotSent(err) {
@@ -267,29 +278,31 @@
 	return unknown(KindPeerFailed, err.Error())
 }
 
-// pickPeer chooses the better of two peers drawn at random, of those with a
-// free slot or of those with any instance.
+// pickPeer draws two peers at random and returns the less loaded one. It considers only
+// peers with a free slot if free is set, else all that have an instance. Two draws keep
+// the nodes from all choosing the same peer while its load is not updated yet.
 func pickPeer(peers []PeerLoad, free bool) (string, bool) {
-	var fit []PeerLoad
+	var candidates []PeerLoad
 	for _, p := range peers {
 		if p.Instances > 0 && (!free || p.Free > 0) {
-			fit = append(fit, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	a, b := fit[rand.IntN(len(fit))], fit[rand.IntN(len(fit))]
+	a, b := candidates[rand.IntN(len(candidates))], candidates[rand.IntN(len(candidates))]
 	if b.Free > a.Free || (b.Free == a.Free && b.Queued*a.Instances < a.Queued*b.Instances) {
 		a = b
 	}
 	return a.Node, true
 }
 
-// notSent marks an error of a call of which no byte left the node.
+// notSent marks the error of a call that failed before any byte was sent.
 type notSent struct{ error }
 
-// NotSent marks err as one of a call of which no byte left the node.
+// NotSent marks err as the error of a call that failed before any byte was sent. Such a
+// request has not run and may be retried.
 func NotSent(err error) error { return notSent{err} }
 
 // IsNotSent reports whether err was marked by NotSent.
@@ -298,6 +311,7 @@
 	return errors.As(err, &ns)
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/requests/instance_test.go
+++ b/internal/requests/instance_test.go
@@ -16,8 +16,8 @@
 	standin "switchbank.example/switchbank/standin/worker"
 )
 
-// startInstance has a stand-in worker start an instance with two slots; another
-// implementation of an instance is put under the contract in its place.
+// startInstance starts an instance with two slots on a stand-in worker. To check another
+// implementation of an instance against the contract, replace this function.
 func startInstance(t *testing.T) (address string, stop func()) {
 	t.Helper()
 	size := resource.Amount{CPUMilli: 1, MemoryMB: 1}
@@ -40,7 +40,8 @@
 	return rep.Started[0].Address, w.Close
 }
 
-func ask(ctx context.Context, t *testing.T, address, id, body string) (*http.Response, error) {
+// send sends a request to an instance; the answer's body is closed.
+func send(ctx context.Context, t *testing.T, address, id, body string) (*http.Response, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", strings.NewReader(body))
 	if err != nil {
@@ -54,12 +55,12 @@
 	return resp, err
 }
 
-// TestInstanceContract holds what a node relies on of an instance: it keeps the
-// request's id on its answer, says so when it did not run, and runs no more than
-// its slots.
+// TestInstanceContract checks what a node relies on: an instance puts the request's id on
+// its answer, says when it did not run a request, and runs at most as many requests at a
+// time as it has slots.
 func TestInstanceContract(t *testing.T) {
 	address, stop := startInstance(t)
-	resp, err := ask(t.Context(), t, address, "id-1", "hello")
+	resp, err := send(t.Context(), t, address, "id-1", "hello")
 	if err != nil || resp.StatusCode != http.StatusOK || resp.Header.Get(api.HeaderRequestID) != "id-1" {
 		t.Fatal(resp, err)
 	}
@@ -67,26 +68,27 @@
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
-			// A probe below may hold the slot for a moment; then it is asked again.
+			// A probe below may hold the slot for a moment; then this request is refused
+			// and sent again.
 			for ctx.Err() == nil {
-				_, _ = ask(ctx, t, address, "busy", "sleep 1h")
+				_, _ = send(ctx, t, address, "busy", "sleep 1h")
 			}
 		})
 	}
 	for refused := false; !refused; {
-		resp, err := ask(t.Context(), t, address, "id-2", "beyond")
+		resp, err := send(t.Context(), t, address, "id-2", "beyond")
 		if err != nil {
 			t.Fatal(err)
 		}
 		refused = resp.StatusCode == http.StatusServiceUnavailable
 		if refused && resp.Header.Get(api.HeaderNotRun) == "" {
-			t.Error("a request beyond the slots is refused without saying that it did not run")
+			t.Error("a request beyond the slots was refused without saying that it did not run")
 		}
 	}
 	cancel()
 	wg.Wait()
 	stop()
-	if _, err := ask(t.Context(), t, address, "id-3", "late"); err == nil {
-		t.Error("an instance that was stopped answers")
+	if _, err := send(t.Context(), t, address, "id-3", "late"); err == nil {
+		t.Error("a stopped instance answered")
 	}
 }
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -17,12 +17,12 @@
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Team    string `json:"team"`
-	// Key is set for a request that must not be repeated.
+	// Key is the idempotency key of a request that must run at most once.
 	Key        string    `json:"key,omitempty"`
 	KeyCreated time.Time `json:"key_created,omitzero"`
 	// Repeatable requests may be run more than once.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// TimeoutMS is the time left when the request was sent, in milliseconds.
+	// TimeoutMS is the time left when the request was sent on, in milliseconds.
 	TimeoutMS   int64  `json:"timeout_ms"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -31,15 +31,17 @@
 // Result is how a request ended.
 type Result struct {
 	Outcome api.Outcome `json:"outcome"`
-	// Answer is the upstream's whole answer, for OutcomeDone.
+	// Answer is the upstream's complete answer. It is set only for OutcomeDone.
 	Answer *peer.Answer `json:"answer,omitempty"`
 	Reason Kind         `json:"reason,omitempty"`
 	Detail string       `json:"detail,omitempty"`
-	// RetryAfterMS is when it makes sense to come back, in milliseconds; 0 is never.
+	// RetryAfterMS is the suggested wait before a retry, in milliseconds; 0 means that a
+	// retry makes no sense.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// digest names what a request asks for, so that a key is not used for two requests.
+// digest returns a hash of the request's content. It detects a key that is used again for
+// a different request.
 func (r *Request) digest() string {
 	h := sha256.New()
 	h.Write([]byte(r.Service))
@@ -55,7 +57,7 @@
 }
 
 func notRun(kind Kind, detail string) Result {
-	return Result{Outcome: api.OutcomeNotRun, Reason: kind, Detail: detail, RetryAfterMS: leastRetryIn.Milliseconds()}
+	return Result{Outcome: api.OutcomeNotRun, Reason: kind, Detail: detail, RetryAfterMS: minRetryAfter.Milliseconds()}
 }
 
 func unknown(kind Kind, detail string) Result {
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func TestSlotsAreCounted(t *testing.T) {
+func TestSlotLimit(t *testing.T) {
 	b := newBalancer(instance(0, 2, "x"), instance(1, 1, "y"))
 	for i := range 3 {
 		if _, ok := b.TryAcquire(svc); !ok {
@@ -67,7 +67,7 @@
 		}
 	}
 	if _, ok := b.TryAcquire(svc); ok {
-		t.Error("there are three slots, and a fourth was given")
+		t.Error("a fourth slot was given out of three")
 	}
 }
 
@@ -97,22 +97,22 @@
 			wait("a")
 		}
 		if _, err := b.Acquire(t.Context(), svc, "a"); kindOf(err) != requests.KindTeamQueueFull {
-			t.Errorf("a team's fifth: %v", err)
+			t.Errorf("fifth request of a team: %v", err)
 		}
 		wait("b")
 		wait("b")
 		if _, err := b.Acquire(t.Context(), svc, "b"); kindOf(err) != requests.KindQueueFull {
-			t.Errorf("the seventh of all: %v", err)
+			t.Errorf("seventh request of all teams: %v", err)
 		}
 		slot.Release()
 		wg.Wait()
 		if at := slices.Index(served, "b"); at > 2 {
-			t.Errorf("the rush of a made b wait: %v", served)
+			t.Errorf("team b was served after too many requests of team a: %v", served)
 		}
 	})
 }
 
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestAcquireEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBalancer(instance(0, 1, "x"))
 		if _, ok := b.TryAcquire(svc); !ok {
@@ -127,12 +127,12 @@
 			t.Errorf("have %v", err)
 		}
 		if took := time.Since(began); took != 300*time.Millisecond {
-			t.Errorf("answered after %s", took)
+			t.Errorf("returned after %s, want 300ms", took)
 		}
 	})
 }
 
-func TestDrainWaitsForWhatIsInFlight(t *testing.T) {
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := instance(0, 2, "x")
 		b := newBalancer(i)
@@ -148,7 +148,7 @@
 		}
 		select {
 		case <-drained:
-			t.Error("drained with a request in flight")
+			t.Error("Drain returned with a request in flight")
 		default:
 		}
 		slot.Release()
@@ -156,8 +156,9 @@
 	})
 }
 
-// upstream is an instance that answers by the request's body.
-func upstream(t *testing.T) (address string, runs *atomic.Int64) {
+// startUpstream starts an instance whose answer depends on the request's body. The counter
+// holds how many requests it ran.
+func startUpstream(t *testing.T) (address string, runs *atomic.Int64) {
 	t.Helper()
 	runs = new(atomic.Int64)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -190,7 +191,7 @@
 	return strings.TrimPrefix(srv.URL, "http://"), runs
 }
 
-// noPeers is an entry that knows no other node.
+// noPeers is a cell without other nodes.
 type noPeers struct{}
 
 func (noPeers) ServiceLoads(string) []requests.PeerLoad { return nil }
@@ -199,27 +200,28 @@
 	return requests.Result{}, requests.NotSent(errors.New("no peer"))
 }
 
-// latePeers know of a service only once they were asked again.
-type latePeers struct{ asked *atomic.Bool }
+// peersAfterRefresh reports a service only after its loads were refreshed.
+type peersAfterRefresh struct{ refreshed *atomic.Bool }
 
-func (p latePeers) RefreshLoads(context.Context) { p.asked.Store(true) }
+func (p peersAfterRefresh) RefreshLoads(context.Context) { p.refreshed.Store(true) }
 
-func (p latePeers) ServiceLoads(string) []requests.PeerLoad {
-	if !p.asked.Load() {
+func (p peersAfterRefresh) ServiceLoads(string) []requests.PeerLoad {
+	if !p.refreshed.Load() {
 		return nil
 	}
 	return []requests.PeerLoad{{Node: "n2", Free: 1, Instances: 1}}
 }
 
-func (latePeers) Forward(context.Context, string, requests.Request) (requests.Result, error) {
+func (peersAfterRefresh) Forward(context.Context, string, requests.Request) (requests.Result, error) {
 	return requests.Result{Outcome: api.OutcomeDone, Answer: &peer.Answer{Status: http.StatusOK}}, nil
 }
 
-// TestServiceThatHasJustStarted sends a request before a peer's summary has told of
-// the service: the peers are asked, instead of the caller being turned away.
-func TestServiceThatHasJustStarted(t *testing.T) {
+// TestUnknownServiceRefreshesPeers guards against turning away requests to a service that
+// has just started on a peer: until the peer's next summary, this node doesn't know of it,
+// so the entry must ask the peers before it refuses a request.
+func TestUnknownServiceRefreshesPeers(t *testing.T) {
 	e := requests.NewEntry(requests.Deps{
-		Balancer: newBalancer(), Peers: latePeers{asked: new(atomic.Bool)}, Bundle: testBundle,
+		Balancer: newBalancer(), Peers: peersAfterRefresh{refreshed: new(atomic.Bool)}, Bundle: testBundle,
 		Upstream: requests.NewUpstream(&http.Client{}, requests.UpstreamOptions{}), Keys: fixedKeys{},
 	}, requests.Options{}, zap.NewNop())
 	res := e.Do(t.Context(), requests.Request{ID: "id", Service: svc, Team: "a"})
@@ -228,7 +230,7 @@
 	}
 }
 
-// fixedKeys answers every key alike.
+// fixedKeys returns the same reply for every key.
 type fixedKeys struct {
 	reply peer.KeyReply
 	err   error
@@ -254,15 +256,15 @@
 	}, requests.Options{KeyWindow: time.Hour, KeyMargin: time.Minute}, zap.NewNop())
 }
 
-// hangDeadline is the time of a request whose upstream never answers: long beside
-// what it takes to reach the upstream on a busy machine.
-const hangDeadline = 2 * time.Second
+// hangTimeout is the timeout of a request whose upstream never answers. It is long
+// compared with the time needed to reach the upstream on a busy machine.
+const hangTimeout = 2 * time.Second
 
 func TestOutcomes(t *testing.T) {
-	address, _ := upstream(t)
-	// Nothing listens on port 1, and no connection is ever given it; a port that was
-	// closed may be taken by another process at once.
-	const nobody = "127.0.0.1:1"
+	address, _ := startUpstream(t)
+	// Nothing listens on port 1, and the system never assigns it to a connection. A port
+	// that was just closed might be reused by another process.
+	const unusedAddress = "127.0.0.1:1"
 	tests := []struct {
 		body, address string
 		outcome       api.Outcome
@@ -274,17 +276,17 @@
 		{"other", address, api.OutcomeUnknown, requests.KindAnswerMismatch},
 		{"large", address, api.OutcomeUnknown, requests.KindAnswerTooLarge},
 		{"hang", address, api.OutcomeUnknown, requests.KindDeadline},
-		{"hello", nobody, api.OutcomeNotRun, requests.KindUpstreamNotReached},
+		{"hello", unusedAddress, api.OutcomeNotRun, requests.KindUpstreamNotReached},
 	}
 	for _, tt := range tests {
 		t.Run(tt.body+" "+string(tt.outcome), func(t *testing.T) {
 			e := newEntry(newBalancer(instance(0, 8, tt.address)), fixedKeys{})
 			ctx := t.Context()
 			if tt.reason == requests.KindDeadline {
-				// Only this one ends by its deadline: a bound for all ends the large
-				// answer on a busy machine.
+				// A timeout for all cases would also end the one with the large answer
+				// when the machine is busy.
 				var cancel context.CancelFunc
-				ctx, cancel = context.WithTimeout(ctx, hangDeadline)
+				ctx, cancel = context.WithTimeout(ctx, hangTimeout)
 				defer cancel()
 			}
 			res := e.Do(ctx, requests.Request{ID: "id", Service: svc, Team: "a", Body: []byte(tt.body)})
@@ -314,7 +316,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address, runs := upstream(t)
+			address, runs := startUpstream(t)
 			e := newEntry(newBalancer(instance(0, 8, address)), tt.keys)
 			res := e.Do(t.Context(), requests.Request{
 				ID: "id", Service: svc, Team: "a", Key: "k", KeyCreated: time.Now().Add(tt.created), Body: []byte("x"),
@@ -323,13 +325,14 @@
 				t.Errorf("have %s %s, %d runs", res.Outcome, res.Reason, runs.Load())
 			}
 			if tt.reason == requests.KindKeyStoreUnavailable && res.RetryAfterMS == 0 {
-				t.Error("it is not told when to come back")
+				t.Error("refused without a time to retry after")
 			}
 		})
 	}
 }
 
-// TestRetryBudget lets an upstream fail for good: retries end with the budget.
+// TestRetryBudget checks that retries are limited to their share of the requests when every
+// request wants one, as when an upstream fails permanently.
 func TestRetryBudget(t *testing.T) {
 	b := requests.NewBudget(10)
 	taken := 0
@@ -344,9 +347,9 @@
 	}
 }
 
-// benchmarkAdded measures a request through the entry and balancer beside a
-// direct call of the same instance.
-func benchmarkAdded(b *testing.B, through bool, parallel int) {
+// benchmarkRequest measures a request, either through the entry and balancer or as a
+// direct call of the same instance for comparison.
+func benchmarkRequest(b *testing.B, throughEntry bool, parallel int) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
@@ -359,39 +362,39 @@
 		Peers: noPeers{}, Keys: fixedKeys{}, Bundle: testBundle,
 	}, requests.Options{}, zap.NewNop())
 	var mu sync.Mutex
-	var took []time.Duration
+	var all []time.Duration
 	b.SetParallelism(parallel)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		var mine []time.Duration
+		var latencies []time.Duration
 		for pb.Next() {
 			began := time.Now()
-			if through {
+			if throughEntry {
 				ctx, cancel := context.WithTimeout(b.Context(), time.Second)
 				if res := e.Do(ctx, requests.Request{ID: "id", Service: svc, Team: "a", Body: []byte("x")}); res.Outcome != api.OutcomeDone {
 					b.Error(res)
 				}
 				cancel()
-			} else if resp, err := c.Post(srv.URL, "text/plain", strings.NewReader("x")); err == nil { //nolint:noctx // The bare call is the measure.
+			} else if resp, err := c.Post(srv.URL, "text/plain", strings.NewReader("x")); err == nil { //nolint:noctx // The plain call is the baseline.
 				_, _ = io.Copy(io.Discard, resp.Body)
 				_ = resp.Body.Close()
 			}
-			mine = append(mine, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
 		mu.Lock()
-		took = append(took, mine...)
+		all = append(all, latencies...)
 		mu.Unlock()
 	})
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+	slices.Sort(all)
+	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-us")
 }
 
 func BenchmarkRequest(b *testing.B) {
 	for _, parallel := range []int{1, 4} {
 		for _, through := range []bool{false, true} {
-			b.Run(fmt.Sprintf("callers=%dxcores/through=%t", parallel, through), func(b *testing.B) { benchmarkAdded(b, through, parallel) })
+			b.Run(fmt.Sprintf("callers=%dxcores/through=%t", parallel, through), func(b *testing.B) { benchmarkRequest(b, through, parallel) })
 		}
 	}
 }
