--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package bundle holds the cell's policy and configuration: a directory of
-// YAML files in version control, checked, signed off by reviewers, and rolled
-// out by way of the platform's table.
+// YAML files in version control that is checked, signed by reviewers, and
+// rolled out to the nodes through the platform's table.
 //
 // # Usage
 //
-//	b, err := bundle.Load("policy/")       // errors name file, line and key
-//	sig := bundle.Sign(b, "zuzana", key)   // by each reviewer
-//	id, err := store.Propose(ctx, p)       // nodes stage it
-//	head, err := store.Accept(ctx, id)     // in force everywhere within seconds
+//	b, err := bundle.Load("policy/")              // errors name file, line and key
+//	sig := bundle.Sign(b.Digest(), "zuzana", key) // by each reviewer
+//	p, err = store.Propose(ctx, b, p)             // nodes stage it
+//	head, err := store.Accept(ctx, p.Change)      // in force on all nodes within seconds
 package bundle
 
 import (
@@ -28,7 +28,7 @@
 	Teams    []Team    `json:"teams" yaml:"teams"`
 	Classes  []Class   `json:"classes" yaml:"classes"`
 	Services []Service `json:"services" yaml:"services"`
-	// Placement weighs waiting time against packing.
+	// Placement holds the weights of waiting time and packing in placement decisions.
 	Placement policy.Weights `json:"placement" yaml:"placement"`
 	Limits    Limits         `json:"limits" yaml:"limits"`
 	Review    Review         `json:"review" yaml:"review"`
@@ -37,61 +37,63 @@
 // Team is a party that shares the cell.
 type Team struct {
 	Name string `json:"name" yaml:"name"`
-	// Weight is the team's share against that of others.
+	// Weight is the team's share relative to those of other teams.
 	Weight float64 `json:"weight" yaml:"weight"`
-	// Quota is what the team may always use; it may borrow idle room beyond it.
+	// Quota is the capacity that the team may always use. Beyond it, the team may
+	// borrow idle capacity.
 	Quota resource.Amount `json:"quota" yaml:"quota"`
-	// Limit is what the team may use at most; zero members have no limit.
+	// Limit is the most that the team may use; a resource of 0 has no limit.
 	Limit resource.Amount `json:"limit" yaml:"limit"`
-	// TokenSHA256 are the hex digests of the team's bearer tokens; without one
-	// the team is open to everyone who can reach the callers' listener.
+	// TokenSHA256 holds the hex digests of the team's bearer tokens. If it is empty,
+	// everyone who can reach the callers' listener may act for the team.
 	TokenSHA256 []string `json:"token_sha256,omitempty" yaml:"token_sha256"`
 }
 
-// Class says how urgent a workload is.
+// Class defines the urgency of workloads.
 type Class struct {
 	Name string `json:"name" yaml:"name"`
 	// Priority orders the classes; higher goes first.
 	Priority int `json:"priority" yaml:"priority"`
 	// Preemptible tasks may be checkpointed and stopped for more urgent ones.
 	Preemptible bool `json:"preemptible" yaml:"preemptible"`
-	// GraceMS is how long tasks are renewed without the store, in milliseconds.
+	// GraceMS is how long the leases of tasks are renewed while the store is unreachable,
+	// in milliseconds.
 	GraceMS int64 `json:"grace_ms" yaml:"grace_ms"`
 }
 
-// Service says how requests to a service are queued.
+// Service sets how requests to a service are queued.
 type Service struct {
 	Name string `json:"name" yaml:"name"`
-	// QueuePerTeam and QueueTotal bound the requests that wait on one node.
+	// QueuePerTeam and QueueTotal limit the queued requests on each node.
 	QueuePerTeam int `json:"queue_per_team" yaml:"queue_per_team"`
 	QueueTotal   int `json:"queue_total" yaml:"queue_total"`
 }
 
-// Limits bound what callers may send.
+// Limits restrict requests and their retries.
 type Limits struct {
-	// BodyBytes is the largest body of a request or answer.
+	// BodyBytes is the maximum size of the body of a request or answer.
 	BodyBytes int64 `json:"body_bytes" yaml:"body_bytes"`
-	// TimeoutMS is the longest time a request may ask for, in milliseconds.
+	// TimeoutMS is the longest timeout that a request may have, in milliseconds.
 	TimeoutMS int64 `json:"timeout_ms" yaml:"timeout_ms"`
-	// RetryShare is how many retries a request adds to the budget.
+	// RetryShare is how many retries each request adds to the retry budget.
 	RetryShare float64 `json:"retry_share" yaml:"retry_share"`
 }
 
-// Review says who must sign off the next bundle.
+// Review sets who must sign the next bundle.
 type Review struct {
 	Reviewers []Reviewer `json:"reviewers" yaml:"reviewers"`
-	// Required is how many of them must sign.
+	// Required is how many of the reviewers must sign.
 	Required int `json:"required" yaml:"required"`
 }
 
-// Reviewer is a person who may sign off a bundle.
+// Reviewer is a person who may sign a bundle.
 type Reviewer struct {
 	Name string `json:"name" yaml:"name"`
 	// Key is the ed25519 public key, in base64.
 	Key string `json:"key" yaml:"key"`
 }
 
-// The defaults of a bundle.
+// The defaults for values that a bundle leaves out.
 const (
 	DefaultQueuePerTeam = 64
 	DefaultQueueTotal   = 1024
@@ -101,16 +103,16 @@
 	DefaultTimeoutMS    = int64(DefaultTimeout / time.Millisecond)
 )
 
-// Default returns the bundle that is in force before any was accepted: it has
-// no team, so that nothing is taken in.
+// Default returns the bundle that is in force until the first one is accepted. It has no
+// team, so that no workload or request is accepted.
 func Default() *Bundle {
 	b := &Bundle{}
-	b.fill()
+	b.setDefaults()
 	return b
 }
 
-// fill sets what was left out.
-func (b *Bundle) fill() {
+// setDefaults sets the values that were left out.
+func (b *Bundle) setDefaults() {
 	if b.Placement == (policy.Weights{}) {
 		b.Placement = policy.Weights{Waiting: 0.5, Packing: 0.5}
 	}
@@ -138,7 +140,7 @@
 	}
 }
 
-// Team returns the team of a name.
+// Team returns the team with the given name.
 func (b *Bundle) Team(name string) (Team, bool) {
 	for _, t := range b.Teams {
 		if t.Name == name {
@@ -148,7 +150,7 @@
 	return Team{}, false
 }
 
-// Class returns the class of a name.
+// Class returns the class with the given name.
 func (b *Bundle) Class(name string) (Class, bool) {
 	for _, c := range b.Classes {
 		if c.Name == name {
@@ -158,7 +160,7 @@
 	return Class{}, false
 }
 
-// Service returns the settings of a service; one that is not named has the defaults.
+// Service returns the settings of a service, or the defaults if the bundle has none for it.
 func (b *Bundle) Service(name string) Service {
 	for _, s := range b.Services {
 		if s.Name == name {
@@ -168,35 +170,37 @@
 	return Service{Name: name, QueuePerTeam: DefaultQueuePerTeam, QueueTotal: DefaultQueueTotal}
 }
 
-// Digest returns the bundle's content address.
+// Digest returns the hex SHA-256 digest of the bundle's canonical form, under which the
+// bundle is stored.
 func (b *Bundle) Digest() string {
-	sum := sha256.Sum256(b.canonical())
+	sum := sha256.Sum256(b.canonicalJSON())
 	return hex.EncodeToString(sum[:])
 }
 
-// canonical returns the one JSON form of the bundle.
-func (b *Bundle) canonical() []byte {
-	// A Bundle holds only strings, numbers and lists of them, so that this can't fail.
+// canonicalJSON returns the bundle's JSON form, which is the same for equal bundles.
+func (b *Bundle) canonicalJSON() []byte {
+	// A Bundle holds only strings, numbers, booleans and lists of them, so this can't fail.
 	data, _ := json.Marshal(b)
 	return data
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindInvalid is a bundle that breaks a rule.
+	// KindInvalid means that a bundle is malformed or breaks a rule.
 	KindInvalid Kind = "invalid"
-	// KindSignature is a bundle that is not signed off as the present one asks.
+	// KindSignature means that a bundle lacks signatures that the current one requires, or
+	// that a key is malformed.
 	KindSignature Kind = "signature"
-	// KindConflict is a change that lost against another.
+	// KindConflict means that another change was made first.
 	KindConflict Kind = "conflict"
-	// KindNotStaged is a bundle that some live node does not hold ready.
+	// KindNotStaged means that some live node has not staged the bundle yet.
 	KindNotStaged Kind = "not_staged"
-	// KindNotFound is a proposal that is not there.
+	// KindNotFound means that there is no such proposal.
 	KindNotFound Kind = "not_found"
-	// KindStore is a call of the platform that failed; the change may have taken effect.
+	// KindStore means that a call to the platform failed; a change may have taken effect.
 	KindStore Kind = "store"
 )
 
@@ -207,7 +211,7 @@
 	Err  error
 }
 
-// Error returns the operation, kind and cause.
+// Error returns the operation, the kind and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("bundle: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
 // Unwrap returns the cause.
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLoadNamesFileLineAndKey(t *testing.T) {
+func TestLoadErrorNamesFileLineAndKey(t *testing.T) {
 	tests := []struct {
 		name, yaml string
 		want       []string
@@ -52,11 +52,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := bundle.LoadFS(fstest.MapFS{"x.yaml": {Data: []byte(tt.yaml)}})
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("the invalid bundle was accepted")
 			}
 			for _, w := range tt.want {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("%q does not name %q", err, w)
+					t.Errorf("error %q does not contain %q", err, w)
 				}
 			}
 		})
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// rollOut proposes and accepts b on top of base.
+// rollOut proposes and accepts b as the successor of version base.
 func rollOut(t *testing.T, s *bundle.Store, b *bundle.Bundle, base int64, change string, sigs ...bundle.Signature) error {
 	t.Helper()
 	p := bundle.Proposal{Base: base, Change: change, Operator: change, Signatures: sigs}
@@ -97,9 +97,9 @@
 	return err
 }
 
-// TestSignatures asks for as many reviewers as the present bundle does, whatever
-// the next one says of itself.
-func TestSignatures(t *testing.T) {
+// TestRequiredSignatures checks that the review of the bundle in force decides how many
+// signatures the next bundle needs, so that a bundle can't relax the rules for itself.
+func TestRequiredSignatures(t *testing.T) {
 	r1, pub1 := newReviewer("r1", 'a')
 	r2, pub2 := newReviewer("r2", 'b')
 	mallory, _ := newReviewer("r2", 'c')
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestRacingOperators lets two operators race on the same base: one wins, and
-// the other is told who did.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentProposals has two operators propose on the same base: one wins, and the
+// error that the other gets names the winner.
+func TestConcurrentProposals(t *testing.T) {
 	p := standin.New()
 	s := bundle.NewStore(p, p, bundle.Review{})
 	a, b := bundle.Default(), bundle.Default()
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Accept(t.Context(), "anna-1"); kindOf(err) != bundle.KindConflict {
-		t.Errorf("a proposal that was replaced: %v", err)
+		t.Errorf("accept of a replaced proposal: %v", err)
 	}
 	head, err := s.Accept(t.Context(), "bela-1")
 	if err != nil || head.Version != 1 {
@@ -154,11 +154,11 @@
 	}
 	_, err = s.Propose(t.Context(), a, bundle.Proposal{Change: "anna-2", Operator: "anna"})
 	if kindOf(err) != bundle.KindConflict || !strings.Contains(err.Error(), "bela") {
-		t.Errorf("the loser is not told of the winner: %v", err)
+		t.Errorf("the error does not name the winner: %v", err)
 	}
 }
 
-// TestAcceptReplyLost loses the reply of an accept that took effect.
+// TestAcceptReplyLost checks that an accept whose reply was lost can be repeated.
 func TestAcceptReplyLost(t *testing.T) {
 	p := standin.New()
 	s := bundle.NewStore(p, p, bundle.Review{})
@@ -167,15 +167,15 @@
 	}
 	p.SetFaults(standin.Faults{LoseReplies: 1})
 	if _, err := s.Accept(t.Context(), "c"); kindOf(err) != bundle.KindStore {
-		t.Errorf("a lost reply: %v", err)
+		t.Errorf("accept with a lost reply: %v", err)
 	}
 	head, err := s.Accept(t.Context(), "c")
 	if err != nil || head.Version != 1 {
-		t.Errorf("settled by its change id: %+v, %v", head, err)
+		t.Errorf("repeated accept: %+v, %v", head, err)
 	}
 }
 
-// TestHistoryIsBounded accepts more bundles than the history names.
+// TestHistoryIsBounded accepts more bundles than the history keeps.
 func TestHistoryIsBounded(t *testing.T) {
 	p := standin.New()
 	s := bundle.NewStore(p, p, bundle.Review{})
@@ -201,7 +201,7 @@
 	}
 	for _, want := range []string{"~x:", "+z:", "-y"} {
 		if !got[want] {
-			t.Errorf("no %s in %v", want, got)
+			t.Errorf("change %s is missing in %v", want, got)
 		}
 	}
 }
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -14,13 +14,13 @@
 	OpEdit   = "~"
 )
 
-// Change is one difference between two bundles.
+// Change is one difference between two bundles, as shown to operators.
 type Change struct {
 	Op          string `json:"op"`
 	Description string `json:"what"`
 }
 
-// Diff returns what has to change in old to give next.
+// Diff returns the changes that turn old into next.
 func Diff(old, next *Bundle) []Change {
 	var changes []Change
 	changes = append(changes, diffNamed("team", old.Teams, next.Teams, func(t Team) string { return t.Name })...)
@@ -35,39 +35,41 @@
 		{"limits", old.Limits, next.Limits},
 		{"review.required", old.Review.Required, next.Review.Required},
 	} {
-		if text(v.old) != text(v.next) {
-			changes = append(changes, Change{OpEdit, fmt.Sprintf("%s: %s to %s", v.name, text(v.old), text(v.next))})
+		if toJSON(v.old) != toJSON(v.next) {
+			changes = append(changes, Change{OpEdit, fmt.Sprintf("%s: %s to %s", v.name, toJSON(v.old), toJSON(v.next))})
 		}
 	}
 	return changes
 }
 
+// diffNamed compares two lists whose elements are identified by their names.
 func diffNamed[T any](kind string, old, next []T, name func(T) string) []Change {
 	var changes []Change
-	before := make(map[string]T, len(old))
+	oldByName := make(map[string]T, len(old))
 	for _, v := range old {
-		before[name(v)] = v
+		oldByName[name(v)] = v
 	}
 	for _, v := range next {
-		was, ok := before[name(v)]
-		delete(before, name(v))
+		oldValue, ok := oldByName[name(v)]
+		delete(oldByName, name(v))
 		switch {
 		case !ok:
-			changes = append(changes, Change{OpAdd, fmt.Sprintf("%s %s: %s", kind, name(v), text(v))})
-		case text(was) != text(v):
-			changes = append(changes, Change{OpEdit, fmt.Sprintf("%s %s: %s to %s", kind, name(v), text(was), text(v))})
+			changes = append(changes, Change{OpAdd, fmt.Sprintf("%s %s: %s", kind, name(v), toJSON(v))})
+		case toJSON(oldValue) != toJSON(v):
+			changes = append(changes, Change{OpEdit, fmt.Sprintf("%s %s: %s to %s", kind, name(v), toJSON(oldValue), toJSON(v))})
 		}
 	}
 	for _, v := range old {
-		if _, gone := before[name(v)]; gone {
+		if _, removed := oldByName[name(v)]; removed {
 			changes = append(changes, Change{OpRemove, kind + " " + name(v)})
 		}
 	}
 	return changes
 }
 
-func text(v any) string {
-	// The parts of a bundle hold only strings, numbers and lists of them, so that this can't fail.
+// toJSON returns a part of a bundle as JSON.
+func toJSON(v any) string {
+	// The parts hold only strings, numbers, booleans and lists of them, so this can't fail.
 	data, _ := json.Marshal(v)
 	return string(data)
 }
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -14,40 +14,41 @@
 )
 
 const (
-	// TableBundles holds the head, the proposal that waits, and the history.
-	TableBundles = "bundles"
-	headKey      = "head"
-	proposalKey  = "proposal"
-	historyKey   = "history/"
-	// MaxHistory is how many accepted bundles the history names.
+	// TableBundles is the table with the head, the pending proposal and the history.
+	TableBundles  = "bundles"
+	headKey       = "head"
+	proposalKey   = "proposal"
+	historyPrefix = "history/"
+	// MaxHistory is how many accepted bundles the history keeps.
 	MaxHistory = 1000
 )
 
-// Table is what the package uses of the table service.
+// Table is the part of the table service that this package uses.
 type Table interface {
 	Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error)
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
 }
 
-// Objects is what the package uses of the object store.
+// Objects is the part of the object store that this package uses.
 type Objects interface {
 	PutObject(ctx context.Context, key string, data []byte) error
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// Head is the bundle that is accepted.
+// Head describes the accepted bundle.
 type Head struct {
-	// Version rises with every accepted bundle; 0 means none.
+	// Version increases with every accepted bundle; 0 means that there is none yet.
 	Version int64  `json:"version"`
 	Digest  string `json:"digest,omitempty"`
-	// Change is the operator's id of the change, by which a lost reply is settled.
+	// Change is the operator's id of the change. After a lost reply, it tells whether the
+	// change took effect.
 	Change   string    `json:"change,omitempty"`
 	Operator string    `json:"operator,omitempty"`
 	Accepted time.Time `json:"accepted,omitzero"`
 }
 
-// Proposal is a bundle that waits to be accepted.
+// Proposal describes a bundle that is staged for acceptance.
 type Proposal struct {
 	// Base is the version that the bundle replaces.
 	Base       int64       `json:"base"`
@@ -58,36 +59,39 @@
 	Proposed   time.Time   `json:"proposed"`
 }
 
-// Version is the version that the proposal would have.
+// Version returns the version that the bundle gets when it is accepted.
 func (p Proposal) Version() int64 { return p.Base + 1 }
 
-// Store keeps bundles on the platform.
+// Store keeps bundles on the platform: their contents in the object store, and the head,
+// the proposal and the history in the table.
 type Store struct {
 	table   Table
 	objects Objects
-	// root is the review asked of the first bundle.
+	// root is the review that applies while no accepted bundle names reviewers.
 	root Review
 }
 
-// NewStore returns a store; root says who signs off the first bundle.
+// NewStore returns a store. The review root applies while no accepted bundle names
+// reviewers, as for the first bundle.
 func NewStore(table Table, objects Objects, root Review) *Store {
 	return &Store{table: table, objects: objects, root: root}
 }
 
-// Head returns the accepted bundle's head; version 0 means that there is none.
+// Head returns the head; its version is 0 if no bundle was accepted yet.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	var h Head
 	_, err := s.read(ctx, headKey, &h)
 	return h, err
 }
 
-// PendingProposal returns the proposal that waits, if there is one.
+// PendingProposal returns the proposal that is not accepted yet, if there is one.
 func (s *Store) PendingProposal(ctx context.Context) (Proposal, bool, error) {
 	var p Proposal
 	row, err := s.read(ctx, proposalKey, &p)
 	return p, row.Version != 0, err
 }
 
+// read decodes a row of the table into v. A row that does not exist has version 0.
 func (s *Store) read(ctx context.Context, key string, v any) (platform.Row, error) {
 	row, err := s.table.Get(ctx, TableBundles, key)
 	if err != nil {
@@ -102,7 +106,7 @@
 	return row, nil
 }
 
-// Fetch returns the bundle with a digest.
+// Fetch returns the bundle with the given digest.
 func (s *Store) Fetch(ctx context.Context, digest string) (*Bundle, error) {
 	data, err := s.objects.GetObject(ctx, objectKey(digest))
 	if err != nil {
@@ -113,13 +117,13 @@
 		return nil, &Error{"fetch", KindInvalid, err}
 	}
 	if b.Digest() != digest {
-		return nil, &Error{"fetch", KindInvalid, errors.Errorf("object %s holds something else", digest)}
+		return nil, &Error{"fetch", KindInvalid, errors.Errorf("object %s does not match its digest", digest)}
 	}
 	return &b, nil
 }
 
-// present returns the review that the accepted bundle asks of the next one.
-func (s *Store) present(ctx context.Context, h Head) (Review, error) {
+// currentReview returns the review that the next bundle must pass.
+func (s *Store) currentReview(ctx context.Context, h Head) (Review, error) {
 	if h.Version == 0 {
 		return s.root, nil
 	}
@@ -133,9 +137,9 @@
 	return b.Review, nil
 }
 
-// Propose stores a bundle and puts it up for the nodes to stage. Proposing the
-// same change again changes nothing; another proposal on the same base replaces
-// the one that waits.
+// Propose stores a bundle and makes it the pending proposal, which the nodes then stage.
+// Proposing the same change again has no effect. A proposal with another change id replaces
+// the pending one.
 func (s *Store) Propose(ctx context.Context, b *Bundle, p Proposal) (Proposal, error) {
 	h, err := s.Head(ctx)
 	if err != nil {
@@ -147,7 +151,7 @@
 	if h.Version != p.Base {
 		return p, conflict("propose", h)
 	}
-	review, err := s.present(ctx, h)
+	review, err := s.currentReview(ctx, h)
 	if err != nil {
 		return p, err
 	}
@@ -155,12 +159,13 @@
 	if err := Verify(p.Digest, p.Signatures, review); err != nil {
 		return p, err
 	}
-	if err := s.objects.PutObject(ctx, objectKey(p.Digest), b.canonical()); err != nil {
+	if err := s.objects.PutObject(ctx, objectKey(p.Digest), b.canonicalJSON()); err != nil {
 		return p, &Error{"propose", KindStore, err}
 	}
 	return p, s.putProposal(ctx, p)
 }
 
+// putProposal writes the proposal's row, unless the row holds the same change already.
 func (s *Store) putProposal(ctx context.Context, p Proposal) error {
 	var old Proposal
 	row, err := s.read(ctx, proposalKey, &old)
@@ -187,9 +192,9 @@
 	return nil
 }
 
-// Accept moves the head to the proposal with a change id. The caller has
-// checked that every live node has staged it. Accepting a change that is the
-// head already changes nothing; a lost reply is settled that way.
+// Accept makes the proposal with the given change id the head. The caller must have
+// checked that every live node has staged it. Accepting a change that is already the head
+// has no effect, so that a caller can repeat the call after a lost reply.
 func (s *Store) Accept(ctx context.Context, change string) (Head, error) {
 	var h Head
 	headRow, err := s.read(ctx, headKey, &h)
@@ -197,17 +202,17 @@
 		return h, err
 	}
 	var p Proposal
-	propRow, err := s.read(ctx, proposalKey, &p)
+	proposalRow, err := s.read(ctx, proposalKey, &p)
 	if err != nil {
 		return h, err
 	}
-	if propRow.Version == 0 || p.Change != change {
+	if proposalRow.Version == 0 || p.Change != change {
 		return h, conflict("accept", h)
 	}
 	if p.Base != h.Version {
 		return h, conflict("accept", h)
 	}
-	review, err := s.present(ctx, h)
+	review, err := s.currentReview(ctx, h)
 	if err != nil {
 		return h, err
 	}
@@ -215,10 +220,13 @@
 		return h, err
 	}
 	next := Head{Version: p.Version(), Digest: p.Digest, Change: p.Change, Operator: p.Operator, Accepted: time.Now().UTC()}
-	return s.moveHead(ctx, headRow, propRow, h, next)
+	return s.moveHead(ctx, headRow, proposalRow, h, next)
 }
 
-func (s *Store) moveHead(ctx context.Context, headRow, propRow platform.Row, old, next Head) (Head, error) {
+// moveHead replaces the head by next, adds it to the history and deletes the proposal. If
+// a condition fails, it reads the head again: an earlier call for the same change may have
+// taken effect although its reply was lost.
+func (s *Store) moveHead(ctx context.Context, headRow, proposalRow platform.Row, old, next Head) (Head, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return old, &Error{"accept", KindInvalid, err}
@@ -226,14 +234,14 @@
 	res, err := s.table.Commit(ctx, platform.Txn{
 		If: []platform.Condition{
 			{Table: TableBundles, Key: headKey, Version: headRow.Version},
-			{Table: TableBundles, Key: proposalKey, Version: propRow.Version},
+			{Table: TableBundles, Key: proposalKey, Version: proposalRow.Version},
 		},
 		Put: []platform.Put{
 			{Table: TableBundles, Key: headKey, Value: value},
-			{Table: TableBundles, Key: historyRow(next.Version), Value: value},
+			{Table: TableBundles, Key: historyKey(next.Version), Value: value},
 		},
 		Delete: []platform.Delete{
-			{Table: TableBundles, Key: proposalKey}, {Table: TableBundles, Key: historyRow(next.Version - MaxHistory)},
+			{Table: TableBundles, Key: proposalKey}, {Table: TableBundles, Key: historyKey(next.Version - MaxHistory)},
 		},
 	})
 	if err != nil {
@@ -242,21 +250,22 @@
 	if res.Committed {
 		return next, nil
 	}
-	now, err := s.Head(ctx)
+	current, err := s.Head(ctx)
 	if err != nil {
 		return old, err
 	}
-	if now.Change == next.Change {
-		return now, nil
+	if current.Change == next.Change {
+		return current, nil
 	}
-	return now, conflict("accept", now)
+	return current, conflict("accept", current)
 }
 
-func historyRow(version int64) string { return fmt.Sprintf("%s%012d", historyKey, version) }
+// historyKey returns the key of a version's row. The zero padding makes keys sort by version.
+func historyKey(version int64) string { return fmt.Sprintf("%s%012d", historyPrefix, version) }
 
-// History returns the newest accepted bundles, oldest first.
+// History returns the last MaxHistory accepted bundles, oldest first.
 func (s *Store) History(ctx context.Context) ([]Head, error) {
-	rows, err := s.table.List(ctx, TableBundles, historyKey)
+	rows, err := s.table.List(ctx, TableBundles, historyPrefix)
 	if err != nil {
 		return nil, &Error{"history", KindStore, err}
 	}
@@ -269,7 +278,7 @@
 	return heads, nil
 }
 
-// conflict names the winner of a race.
+// conflict returns an error that names the change in force, which was made first.
 func conflict(op string, h Head) error {
 	return &Error{op, KindConflict, errors.Errorf("version %d is in force: change %s by %s", h.Version, h.Change, h.Operator)}
 }
