--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -28,51 +28,55 @@
 
 const testTimeout = 2 * time.Minute
 
-// proc is a process of the cell.
-type proc struct {
+// process is a process of the cell.
+type process struct {
 	cmd *exec.Cmd
 }
 
-// cell is a platform, nodes and workers, each a process.
+// cell is a stand-in platform, nodes and stand-in workers, each a separate process.
 type cell struct {
-	t        *testing.T
-	ctx      context.Context
-	bin      string
-	reviewer local.Reviewer
-	platform string
-	settings string
-	store    *proc
-	nodes    []*nodeProc
-	workers  []*workerProc
-	// relayed is the node that reaches the platform by the relay; none is -1.
-	relayed int
-	relay   *relay
+	t            *testing.T
+	ctx          context.Context
+	bin          string
+	reviewer     local.Reviewer
+	platformURL  string
+	settings     string
+	platformProc *process
+	nodes        []*nodeProc
+	workers      []*workerProc
+	// relayedNode is the index of the node that reaches the platform through the relay,
+	// or noRelayedNode.
+	relayedNode int
+	relay       *relay
 }
 
+// nodeProc is a node's process with the addresses of its listeners.
 type nodeProc struct {
-	proc
+	process
 	callers, peers, operators string
 }
 
+// workerProc is a worker's process.
 type workerProc struct {
-	proc
-	// dead workers have taken their evidence along.
-	dead    bool
+	process
+	// killed is set when the worker was killed and can't report its events any more.
+	killed  bool
 	address string
 }
 
-// nodeStarted is the log line by which a node tells where it listens.
-type nodeStarted struct {
+// startLogLine is the log line in which a node reports the addresses it listens on.
+type startLogLine struct {
 	Msg       string `json:"msg"`
 	Callers   string `json:"callers"`
 	Peers     string `json:"peers"`
 	Operators string `json:"operators"`
 }
 
-// relayNone leaves every node with its own way to the platform.
-const relayNone = -1
+// noRelayedNode connects every node directly to the platform.
+const noRelayedNode = -1
 
-func newCell(t *testing.T, nodes, workers, relayed int) *cell {
+// newCell starts a platform, workers and nodes, and waits until the nodes are ready.
+func newCell(t *testing.T, nodes, workers, relayedNode int) *cell {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
@@ -80,10 +84,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cell{t: t, ctx: ctx, settings: fastSettings, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), reviewer: reviewer, relayed: relayed}
+	c := &cell{t: t, ctx: ctx, settings: shortLeaseSettings, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), reviewer: reviewer, relayedNode: relayedNode}
 	p, out := c.start("dev", "platform", "--listen", "127.0.0.1:0")
-	c.store = p
-	c.platform = "http://" + readListening(t, out)
+	c.platformProc = p
+	c.platformURL = "http://" + readListenAddress(t, out)
 	for i := range workers {
 		c.startWorker(i)
 	}
@@ -93,11 +97,11 @@
 	return c
 }
 
-// start runs a process and returns its standard output line by line.
-func (c *cell) start(args ...string) (*proc, *bufio.Scanner) {
+// start starts a process and returns a scanner of the output in which it reports its address.
+func (c *cell) start(args ...string) (*process, *bufio.Scanner) {
 	c.t.Helper()
 	cmd := exec.CommandContext(c.ctx, c.bin, args...)
-	// A node tells by its log where it listens, a stand-in by its output.
+	// A node reports its addresses in its log on standard error, a stand-in on standard output.
 	pipe := cmd.StdoutPipe
 	if args[0] == "serve" {
 		pipe = cmd.StderrPipe
@@ -109,37 +113,39 @@
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	p := &proc{cmd: cmd}
+	p := &process{cmd: cmd}
 	c.t.Cleanup(func() { p.kill() })
 	return p, bufio.NewScanner(out)
 }
 
-// signal sends sig to the process by its id.
-func (p *proc) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
+// signal sends sig to the process.
+func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
 // kill ends the process and waits for it.
-func (p *proc) kill() {
+func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	_ = p.cmd.Wait()
 }
 
-func readListening(t *testing.T, out *bufio.Scanner) string {
+// readListenAddress reads the address that a stand-in prints when it listens.
+func readListenAddress(t *testing.T, out *bufio.Scanner) string {
 	t.Helper()
 	var l local.Listening
 	if !out.Scan() || json.Unmarshal(out.Bytes(), &l) != nil {
-		t.Fatalf("no listening line, but %q", out.Text())
+		t.Fatalf("want a line with the address listened on, have %q", out.Text())
 	}
 	return l.Listening
 }
 
+// startWorker starts the i-th worker of the example.
 func (c *cell) startWorker(i int) {
 	h := local.ExampleHost(i, "kosice-1")
-	p, out := c.start("dev", "worker", "--platform", c.platform, "--id", h.ID, "--data-centre", h.DataCentre, "--rack", h.Rack)
-	c.workers = append(c.workers, &workerProc{proc: *p, address: readListening(c.t, out)})
+	p, out := c.start("dev", "worker", "--platform", c.platformURL, "--id", h.ID, "--data-centre", h.DataCentre, "--rack", h.Rack)
+	c.workers = append(c.workers, &workerProc{process: *p, address: readListenAddress(c.t, out)})
 }
 
-// fastSettings has short leases, so that takeovers are seen soon.
-const fastSettings = `
+// shortLeaseSettings sets short leases, so that takeovers happen soon.
+const shortLeaseSettings = `
 node: entry-%d
 data_centre: kosice-1
 data_centres: [{name: kosice-1, worker_shards: 4}]
@@ -152,11 +158,12 @@
 review: {required: 1, reviewers: [{name: "%s", key: "%s"}]}
 `
 
+// startNode starts a node and waits until it is ready.
 func (c *cell) startNode(i int) {
 	c.t.Helper()
-	platform := c.platform
-	if i == c.relayed {
-		c.relay = newRelay(c.t, c.platform)
+	platform := c.platformURL
+	if i == c.relayedNode {
+		c.relay = newRelay(c.t, c.platformURL)
 		platform = c.relay.url
 	}
 	r := c.reviewer.Review.Reviewers[0]
@@ -165,13 +172,13 @@
 		c.t.Fatal(err)
 	}
 	p, out := c.start("serve", "--config", file)
-	n := &nodeProc{proc: *p}
+	n := &nodeProc{process: *p}
 	log, err := os.Create(filepath.Join(logDir(c.t), fmt.Sprintf("%s-node-%d.log", strings.ReplaceAll(c.t.Name(), "/", "-"), i)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	for out.Scan() {
-		var line nodeStarted
+		var line startLogLine
 		_, _ = fmt.Fprintln(log, out.Text())
 		if json.Unmarshal(out.Bytes(), &line) == nil && line.Msg == "node started" {
 			n.callers, n.peers, n.operators = line.Callers, line.Peers, line.Operators
@@ -190,8 +197,8 @@
 	}
 }
 
-// logDir is where the nodes' logs are kept: under the test's name, when
-// SWITCHBANK_LOGS names a directory.
+// logDir returns the directory for the nodes' logs: one with the test's name below the
+// directory SWITCHBANK_LOGS, or a temporary one if that is not set.
 func logDir(t *testing.T) string {
 	dir := os.Getenv("SWITCHBANK_LOGS")
 	if dir == "" {
@@ -204,12 +211,12 @@
 	return dir
 }
 
-// client returns a caller's and operator's client of the i-th node.
+// client returns a client of the i-th node for callers and operators.
 func (c *cell) client(i int, team string) *client.Client {
 	return client.New(client.Config{Callers: c.nodes[i].callers, Operators: c.nodes[i].operators, Team: team})
 }
 
-// acceptBundle puts the example's bundle in force on all nodes.
+// acceptBundle accepts the example's bundle and waits until it is in force on all nodes.
 func (c *cell) acceptBundle() {
 	c.t.Helper()
 	op := c.client(0, "")
@@ -225,17 +232,17 @@
 // setFaults sets the faults of the stand-in platform.
 func (c *cell) setFaults(f standin.Faults) {
 	c.t.Helper()
-	if _, err := httpx.Call[standin.Faults, httpx.Empty](c.ctx, http.DefaultClient, c.platform+"/standin/v1/faults", f); err != nil {
+	if _, err := httpx.Call[standin.Faults, httpx.Empty](c.ctx, http.DefaultClient, c.platformURL+"/standin/v1/faults", f); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// evidence returns what all workers saw.
-func (c *cell) evidence() []worker.Event {
+// workerEvents returns the events recorded by all workers that are not killed.
+func (c *cell) workerEvents() []worker.Event {
 	c.t.Helper()
 	var all []worker.Event
 	for _, w := range c.workers {
-		if w.dead {
+		if w.killed {
 			continue
 		}
 		reply, err := httpx.Call[httpx.Empty, worker.EventsReply](c.ctx, http.DefaultClient, "http://"+w.address+"/standin/v1/evidence", httpx.Empty{})
@@ -247,8 +254,8 @@
 	return all
 }
 
-// wait lets real time pass: the faults here are those of real processes.
-func wait(c *cell, d time.Duration) {
+// sleep waits in real time, since the tests run real processes, or until the test times out.
+func sleep(c *cell, d time.Duration) {
 	select {
 	case <-c.ctx.Done():
 	case <-time.After(d):
--- a/e2e/evidence_test.go
+++ b/e2e/evidence_test.go
@@ -11,62 +11,66 @@
 	"switchbank.example/switchbank/standin/worker"
 )
 
-// taskName names a task, whatever its attempt.
-type taskName struct {
+// taskID identifies a task in all its attempts.
+type taskID struct {
 	job  string
 	task int
 }
 
-// verdict counts what must never happen, from what the workers saw.
-type verdict struct {
-	twoPlaces int
+// eventSummary counts violations of guarantees, according to the events recorded by the workers.
+type eventSummary struct {
+	// concurrentRuns counts starts of a task that was running already.
+	concurrentRuns int
+	// overloads counts workers and instances that were given more than their capacity.
 	overloads int
-	ranTwice  int
-	// runs counts by body how often a request was run.
-	runs map[string]int
+	// repeatedStarts counts second starts of tasks that must run at most once.
+	repeatedStarts int
+	// requestRuns counts how often each request was run, by its body.
+	requestRuns map[string]int
 }
 
-// judge reads the workers' evidence: starts and ends of all workers are on one
-// machine's clock. once names the jobs whose tasks must start at most once.
-func judge(sights []worker.Event, once ...string) verdict {
-	slices.SortStableFunc(sights, func(a, b worker.Event) int { return a.At.Compare(b.At) })
-	v := verdict{runs: make(map[string]int)}
-	running := make(map[taskName]int)
-	started := make(map[taskName]int)
-	for _, s := range sights {
-		name := taskName{s.Attempt.Job, s.Attempt.Task}
-		switch s.Kind {
+// summarizeEvents counts violations in the workers' events. Sorting the events by time
+// gives their order, because all workers use the clock of one machine. The tasks of the jobs
+// atMostOnce must start at most once.
+func summarizeEvents(events []worker.Event, atMostOnce ...string) eventSummary {
+	slices.SortStableFunc(events, func(a, b worker.Event) int { return a.At.Compare(b.At) })
+	summary := eventSummary{requestRuns: make(map[string]int)}
+	running := make(map[taskID]int)
+	started := make(map[taskID]int)
+	for _, e := range events {
+		id := taskID{e.Attempt.Job, e.Attempt.Task}
+		switch e.Kind {
 		case worker.EventStart:
-			running[name]++
-			started[name]++
-			if running[name] > 1 {
-				v.twoPlaces++
+			running[id]++
+			started[id]++
+			if running[id] > 1 {
+				summary.concurrentRuns++
 			}
-			if started[name] > 1 && slices.Contains(once, name.job) {
-				v.ranTwice++
+			if started[id] > 1 && slices.Contains(atMostOnce, id.job) {
+				summary.repeatedStarts++
 			}
 		case worker.EventDone, worker.EventFailed, worker.EventStopped, worker.EventLapsed:
-			running[name]--
+			running[id]--
 		case worker.EventOverload:
-			v.overloads++
+			summary.overloads++
 		case worker.EventRequest:
-			v.runs[s.Body]++
+			summary.requestRuns[e.Body]++
 		case worker.EventCheckpoint, worker.EventSlotsExceeded, worker.EventThrottle, worker.EventNewOwner:
 		}
 	}
-	return v
+	return summary
 }
 
-// mustBeClean fails the test when the evidence shows a broken promise.
-func (v verdict) mustBeClean(t *testing.T) {
+// checkInvariants fails the test if the events show a violation.
+func (s eventSummary) checkInvariants(t *testing.T) {
 	t.Helper()
-	if v.twoPlaces > 0 {
-		t.Errorf("%d tasks ran in two places", v.twoPlaces)
+	if s.concurrentRuns > 0 {
+		t.Errorf("%d times a task was started while it ran already", s.concurrentRuns)
 	}
-	if v.overloads > 0 {
-		t.Errorf("%d times a worker or instance was given more than it has", v.overloads)
+	if s.overloads > 0 {
+		t.Errorf("%d times a worker or instance was given more than its capacity", s.overloads)
 	}
-	if v.ranTwice > 0 {
-		t.Errorf("%d tasks that must run at most once started twice", v.ranTwice)
+	if s.repeatedStarts > 0 {
+		t.Errorf("%d times a task that must run at most once was started again", s.repeatedStarts)
 	}
 }
--- a/e2e/example_test.go
+++ b/e2e/example_test.go
@@ -17,7 +17,7 @@
 
 // TestExample runs the example on three nodes and eight workers.
 func TestExample(t *testing.T) {
-	c := newCell(t, 3, 8, relayNone)
+	c := newCell(t, 3, 8, noRelayedNode)
 	c.acceptBundle()
 	var out bytes.Buffer
 	err := local.RunExample(c.ctx, func(team string) *client.Client { return c.client(0, team) }, &out)
@@ -25,12 +25,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judge(c.evidence(), "reminders").mustBeClean(t)
+	summarizeEvents(c.workerEvents(), "reminders").checkInvariants(t)
 }
 
-// TestNodeKilled kills a node in the middle of a batch, and the work ends right.
+// TestNodeKilled kills a node while batches run. All their tasks must still succeed, each
+// started once, and requests must be answered.
 func TestNodeKilled(t *testing.T) {
-	c := newCell(t, 3, 8, relayNone)
+	c := newCell(t, 3, 8, noRelayedNode)
 	c.acceptBundle()
 	cl := c.client(0, "inkasoft")
 	service := c.startService()
@@ -49,10 +50,10 @@
 	if err != nil || !bytes.Contains(ans.Body, []byte("after the kill")) {
 		t.Errorf("request after the kill: %s, %v", ans.Body, err)
 	}
-	judge(c.evidence(), ids...).mustBeClean(t)
+	summarizeEvents(c.workerEvents(), ids...).checkInvariants(t)
 }
 
-// startService declares the example's service and waits until all of it runs.
+// startService declares the example's service and waits until all its instances run.
 func (c *cell) startService() api.Workload {
 	c.t.Helper()
 	cl := c.client(0, "inkasoft")
@@ -69,8 +70,8 @@
 	return service
 }
 
-// submitBatches declares batches enough to land on every job shard, and waits
-// until some of their tasks run.
+// submitBatches declares enough batches to reach every job shard, and waits until a task
+// of the first batch runs.
 func submitBatches(t *testing.T, c *cell, cl *client.Client) []string {
 	t.Helper()
 	w, err := local.Workload("reminders")
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -14,61 +14,62 @@
 	standin "switchbank.example/switchbank/standin/platform"
 )
 
-// beyondLease is longer than the leases of nodes (1.5 s) and of tasks (6 s).
-const beyondLease = 9 * time.Second
+// longerThanLease is longer than the leases of nodes (1.5 s) and of tasks (6 s).
+const longerThanLease = 9 * time.Second
 
-// realFault is a fault of real processes under a running load.
-type realFault struct {
-	name    string
-	relayed int
-	inject  func(c *cell, l *load)
-	// quiet faults cut no request: every one is answered or truly refused.
-	quiet bool
+// processFault is a fault of a process that is injected under load.
+type processFault struct {
+	name        string
+	relayedNode int
+	inject      func(c *cell, l *loadGenerator)
+	// lossless is set if the fault must not interrupt any request: each one must be
+	// answered, refused or reported as not run.
+	lossless bool
 }
 
-var realFaults = []realFault{
-	{name: "node SIGKILL", relayed: relayNone, inject: func(c *cell, l *load) {
+var processFaults = []processFault{
+	{name: "node SIGKILL", relayedNode: noRelayedNode, inject: func(c *cell, l *loadGenerator) {
 		c.nodes[1].kill()
-		l.avoid(1)
+		l.excludeNode(1)
 	}},
-	{name: "node SIGSTOP beyond its lease", relayed: relayNone, inject: func(c *cell, _ *load) {
+	{name: "node SIGSTOP beyond its lease", relayedNode: noRelayedNode, inject: func(c *cell, _ *loadGenerator) {
 		c.nodes[1].signal(syscall.SIGSTOP)
-		wait(c, beyondLease)
+		sleep(c, longerThanLease)
 		c.nodes[1].signal(syscall.SIGCONT)
 	}},
-	{name: "worker SIGKILL", relayed: relayNone, inject: func(c *cell, _ *load) {
+	{name: "worker SIGKILL", relayedNode: noRelayedNode, inject: func(c *cell, _ *loadGenerator) {
 		c.workers[0].kill()
-		c.workers[0].dead = true
+		c.workers[0].killed = true
 	}},
-	{name: "worker SIGSTOP beyond its lease", relayed: relayNone, inject: func(c *cell, _ *load) {
+	{name: "worker SIGSTOP beyond its lease", relayedNode: noRelayedNode, inject: func(c *cell, _ *loadGenerator) {
 		c.workers[0].signal(syscall.SIGSTOP)
-		wait(c, beyondLease+beyondLease)
+		sleep(c, longerThanLease+longerThanLease)
 		c.workers[0].signal(syscall.SIGCONT)
 	}},
-	{name: "platform SIGSTOP", relayed: relayNone, inject: func(c *cell, _ *load) {
-		c.store.signal(syscall.SIGSTOP)
-		wait(c, beyondLease)
-		c.store.signal(syscall.SIGCONT)
+	{name: "platform SIGSTOP", relayedNode: noRelayedNode, inject: func(c *cell, _ *loadGenerator) {
+		c.platformProc.signal(syscall.SIGSTOP)
+		sleep(c, longerThanLease)
+		c.platformProc.signal(syscall.SIGCONT)
 	}},
-	{name: "node cut from the platform", relayed: 1, inject: func(c *cell, _ *load) {
+	{name: "node cut from the platform", relayedNode: 1, inject: func(c *cell, _ *loadGenerator) {
 		c.relay.setCut(true)
-		wait(c, beyondLease)
+		sleep(c, longerThanLease)
 		c.relay.setCut(false)
 	}},
-	{name: "planned stop", relayed: relayNone, quiet: true, inject: func(c *cell, l *load) {
+	{name: "planned stop", relayedNode: noRelayedNode, lossless: true, inject: func(c *cell, l *loadGenerator) {
 		c.nodes[1].signal(syscall.SIGTERM)
-		// The balancer notices within the drain delay of 500 ms.
-		wait(c, 200*time.Millisecond)
-		l.avoid(1)
+		// Callers stop using the node within its drain delay of 500 ms, as a load balancer would.
+		sleep(c, 200*time.Millisecond)
+		l.excludeNode(1)
 		_ = c.nodes[1].cmd.Wait()
 	}},
 }
 
-// TestFaults brings each fault about under load, and counts what must not happen.
+// TestFaults injects each fault under load and checks that no guarantee is violated.
 func TestFaults(t *testing.T) {
-	for _, f := range realFaults {
+	for _, f := range processFaults {
 		t.Run(f.name, func(t *testing.T) {
-			c := newCell(t, 3, 8, f.relayed)
+			c := newCell(t, 3, 8, f.relayedNode)
 			c.acceptBundle()
 			service := c.startService()
 			l := startLoad(c, service.Service)
@@ -80,60 +81,62 @@
 				}
 			}
 			l.stop()
-			v := judge(c.evidence(), ids...)
-			v.mustBeClean(t)
-			n := l.count(v.runs)
-			n.mustBeClean(t)
-			if f.quiet && n.cut+n.unknown > 0 {
-				t.Errorf("a planned stop cut off requests: %+v", n)
+			v := summarizeEvents(c.workerEvents(), ids...)
+			v.checkInvariants(t)
+			n := l.countOutcomes(v.requestRuns)
+			n.checkInvariants(t)
+			if f.lossless && n.noReply+n.unknown > 0 {
+				t.Errorf("a planned stop interrupted requests: %+v", n)
 			}
 		})
 	}
 }
 
-// phaseFigures are the figures of the requests of one phase of an outage.
-type phaseFigures struct {
+// latencyStats holds the numbers and latencies of the requests of one phase of an outage.
+type latencyStats struct {
 	sent, done int
 	p50, p99   time.Duration
 }
 
-// figures returns those of the plain or keyed requests sent in a span of time.
-func (l *load) figures(from, to time.Time, keyed bool) phaseFigures {
-	var f phaseFigures
-	var took []time.Duration
-	for _, a := range l.calls {
-		if a.sent.Before(from) || !a.sent.Before(to) || (a.key != "") != keyed {
+// stats returns the figures of the requests sent in a period, either of those with a key or
+// of those without.
+func (l *loadGenerator) stats(from, to time.Time, keyed bool) latencyStats {
+	var stats latencyStats
+	var latencies []time.Duration
+	for _, r := range l.records {
+		if r.sent.Before(from) || !r.sent.Before(to) || (r.key != "") != keyed {
 			continue
 		}
-		f.sent++
-		if a.outcome == string(api.OutcomeDone) {
-			f.done++
-			took = append(took, a.took)
+		stats.sent++
+		if r.outcome == string(api.OutcomeDone) {
+			stats.done++
+			latencies = append(latencies, r.latency)
 		}
 	}
-	slices.Sort(took)
-	if len(took) > 0 {
-		f.p50, f.p99 = took[len(took)/2], took[len(took)*99/100]
+	slices.Sort(latencies)
+	if len(latencies) > 0 {
+		stats.p50, stats.p99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	}
-	return f
+	return stats
 }
 
-// TestStoreOutage takes the store away for longer than every lease: requests go
-// on, keyed requests are refused, running tasks stay up, nothing is lost or doubled.
+// TestStoreOutage makes the store unavailable for longer than every lease. Requests without
+// a key must all be answered, requests with a key are refused, running tasks continue, and
+// nothing is lost or runs twice.
 func TestStoreOutage(t *testing.T) {
 	const outage = 15 * time.Second
-	c := newCell(t, 3, 8, relayNone)
+	c := newCell(t, 3, 8, noRelayedNode)
 	c.acceptBundle()
 	service := c.startService()
 	l := startLoad(c, service.Service)
 	began := time.Now()
-	wait(c, 3*time.Second)
+	sleep(c, 3*time.Second)
 	down := time.Now()
 	c.setFaults(standin.Faults{Down: true})
-	wait(c, outage)
+	sleep(c, outage)
 	up := time.Now()
 	c.setFaults(standin.Faults{})
-	wait(c, 5*time.Second)
+	sleep(c, 5*time.Second)
 	ids := submitBatches(t, c, c.client(0, "inkasoft"))
 	for _, id := range ids {
 		if _, err := c.client(0, "inkasoft").Wait(c.ctx, id, func(s api.Status) bool { return s.State.Final() }); err != nil {
@@ -141,36 +144,36 @@
 		}
 	}
 	l.stop()
-	v := judge(c.evidence(), append(ids, service.ID)...)
-	v.mustBeClean(t)
-	l.count(v.runs).mustBeClean(t)
-	during := l.figures(down.Add(time.Second), up, false)
-	t.Logf("plain: before %+v, during %+v, after %+v", l.figures(began, down, false), during, l.figures(up.Add(time.Second), time.Now(), false))
-	t.Logf("keyed: before %+v, during %+v, after %+v", l.figures(began, down, true), l.figures(down.Add(time.Second), up, true), l.figures(up.Add(time.Second), time.Now(), true))
+	v := summarizeEvents(c.workerEvents(), append(ids, service.ID)...)
+	v.checkInvariants(t)
+	l.countOutcomes(v.requestRuns).checkInvariants(t)
+	during := l.stats(down.Add(time.Second), up, false)
+	t.Logf("plain: before %+v, during %+v, after %+v", l.stats(began, down, false), during, l.stats(up.Add(time.Second), time.Now(), false))
+	t.Logf("keyed: before %+v, during %+v, after %+v", l.stats(began, down, true), l.stats(down.Add(time.Second), up, true), l.stats(up.Add(time.Second), time.Now(), true))
 	if during.done < during.sent {
-		t.Errorf("of %d plain requests in the outage %d were answered", during.sent, during.done)
+		t.Errorf("of %d requests without a key, %d were answered during the outage", during.sent, during.done)
 	}
 }
 
-// TestPlatformKilled kills the platform for good: plain requests go on, keyed ones
-// are refused, and nothing runs twice. The stand-in keeps nothing, so that the cell
-// can't come back from it.
+// TestPlatformKilled kills the platform permanently. Requests without a key must all be
+// answered, requests with a key are refused, and nothing runs twice. The test doesn't
+// restart the platform: the stand-in stores nothing on disk, so the cell can't recover.
 func TestPlatformKilled(t *testing.T) {
-	c := newCell(t, 3, 8, relayNone)
+	c := newCell(t, 3, 8, noRelayedNode)
 	c.acceptBundle()
 	service := c.startService()
 	l := startLoad(c, service.Service)
-	wait(c, 2*time.Second)
+	sleep(c, 2*time.Second)
 	killed := time.Now()
-	c.store.kill()
-	wait(c, beyondLease)
+	c.platformProc.kill()
+	sleep(c, longerThanLease)
 	l.stop()
-	v := judge(c.evidence(), service.ID)
-	v.mustBeClean(t)
-	l.count(v.runs).mustBeClean(t)
-	after := l.figures(killed.Add(time.Second), time.Now(), false)
-	t.Logf("plain requests after the kill: %+v", after)
+	v := summarizeEvents(c.workerEvents(), service.ID)
+	v.checkInvariants(t)
+	l.countOutcomes(v.requestRuns).checkInvariants(t)
+	after := l.stats(killed.Add(time.Second), time.Now(), false)
+	t.Logf("requests without a key after the kill: %+v", after)
 	if after.done < after.sent || after.sent == 0 {
-		t.Errorf("of %d plain requests after the kill %d were answered", after.sent, after.done)
+		t.Errorf("of %d requests without a key, %d were answered after the kill", after.sent, after.done)
 	}
 }
--- a/e2e/link_test.go
+++ b/e2e/link_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// linkState is how a link treats what passes.
+// linkState sets how a link treats the data that passes.
 type linkState struct {
 	// delay is added to each piece of data.
 	delay time.Duration
-	// holdIn keeps what goes to the listener, holdOut what comes from it, until the
-	// link is mended; both together are silence.
+	// holdIn holds back the data sent to the target, holdOut the data that the target
+	// sends, until the state changes again. With both set, the link is silent.
 	holdIn, holdOut bool
-	// reset breaks all connections, and new ones at once.
+	// reset resets all connections, and new ones as soon as they are made.
 	reset bool
 }
 
-// link is a relay before one listener, which can fail as a network does.
+// link is a TCP proxy in front of one listener that simulates faults of a network.
 type link struct {
-	at, to string
-	l      net.Listener
+	listenAddress, targetAddress string
+	listener                     net.Listener
 
 	mu    sync.Mutex
 	state linkState
@@ -35,52 +35,52 @@
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	closed  bool
-	// silenced is how often the connections that were open went silent.
-	silenced int
-	// in and out let what goes to the listener, and what comes from it, pass one after the other.
-	in, out lane
+	// silenceCount is how often silence was called.
+	silenceCount int
+	// in limits the data sent to the target, out the data that the target sends.
+	in, out direction
 }
 
-// lane is one direction of a link.
-type lane struct {
+// direction limits the rate of data in one direction of a link, over all its connections.
+type direction struct {
 	mu sync.Mutex
-	// rate is in bytes a second; 0: no limit. It is set before the link is used.
+	// rate is in bytes per second; 0 means no limit. It must be set before the link is used.
 	rate int
 }
 
-// carry waits until n bytes have passed, behind all that came before them.
-func (l *lane) carry(n int) {
-	if l.rate == 0 {
+// throttle waits as long as n bytes take at the limited rate, after all that came before them.
+func (d *direction) throttle(n int) {
+	if d.rate == 0 {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	time.Sleep(time.Duration(n) * time.Second / time.Duration(l.rate))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	time.Sleep(time.Duration(n) * time.Second / time.Duration(d.rate))
 }
 
-// newLink relays from an address to another one.
-func newLink(t *testing.T, at, to string) *link {
+// newLink starts a link that listens on one address and connects to another.
+func newLink(t *testing.T, listenAddress, targetAddress string) *link {
 	t.Helper()
-	l, err := listen(t.Context(), at)
+	l, err := listen(t.Context(), listenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &link{at: at, to: to, l: l, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
+	k := &link{listenAddress: listenAddress, targetAddress: targetAddress, listener: l, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	t.Cleanup(k.close)
 	go k.serve(t)
 	return k
 }
 
 func (k *link) close() {
-	_ = k.l.Close()
+	_ = k.listener.Close()
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
-	k.set(linkState{reset: true})
+	k.setState(linkState{reset: true})
 }
 
-// set changes how the link treats what passes from now on.
-func (k *link) set(s linkState) {
+// setState changes how the link treats data from now on.
+func (k *link) setState(s linkState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.state = s
@@ -88,76 +88,77 @@
 	k.changed = make(chan struct{})
 	if s.reset {
 		for c := range k.conns {
-			abort(c)
+			closeWithReset(c)
 		}
 		clear(k.conns)
 	}
 }
 
-// silence lets all connections that are open now pass nothing any more, without
-// closing them; new ones work.
+// silence makes all connections that are open now drop their data without being closed, as
+// when a firewall drops their state. New connections work.
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.silenced++
+	k.silenceCount++
 }
 
-// timesSilenced returns how often the connections that were open have gone silent.
+// timesSilenced returns how often silence was called.
 func (k *link) timesSilenced() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.silenced
+	return k.silenceCount
 }
 
-// silentSince reports whether connections that were made after so many silences have
-// gone silent.
-func (k *link) silentSince(silenced int) bool { return k.timesSilenced() != silenced }
+// silentSince reports whether connections have been silenced that were opened when
+// timesSilenced returned count.
+func (k *link) silentSince(count int) bool { return k.timesSilenced() != count }
 
-// abort closes a connection so that its other end sees a reset.
-func abort(c net.Conn) {
+// closeWithReset closes a connection so that its other end gets a TCP reset.
+func closeWithReset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
+// serve accepts connections until the link is closed.
 func (k *link) serve(t *testing.T) {
 	for {
-		near, err := k.l.Accept()
+		clientConn, err := k.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		if !k.keep(near) {
-			abort(near)
+		if !k.register(clientConn) {
+			closeWithReset(clientConn)
 			continue
 		}
-		go k.carry(t.Context(), near)
+		go k.forward(t.Context(), clientConn)
 	}
 }
 
-// carry passes the data of a connection on to the listener behind the link, and back.
-func (k *link) carry(ctx context.Context, near net.Conn) {
-	silenced := k.timesSilenced()
-	far, err := (&net.Dialer{}).DialContext(ctx, "tcp", k.to)
+// forward connects a client with the target and copies the data in both directions.
+func (k *link) forward(ctx context.Context, clientConn net.Conn) {
+	count := k.timesSilenced()
+	targetConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", k.targetAddress)
 	if err != nil {
-		abort(near)
+		closeWithReset(clientConn)
 		return
 	}
-	if !k.keep(far) {
-		abort(near)
-		abort(far)
+	if !k.register(targetConn) {
+		closeWithReset(clientConn)
+		closeWithReset(targetConn)
 		return
 	}
-	silent := func() bool { return k.silentSince(silenced) }
-	go k.pass(near, far, &k.in, silent, func(s linkState) bool { return s.holdIn })
-	k.pass(far, near, &k.out, silent, func(s linkState) bool { return s.holdOut })
+	silent := func() bool { return k.silentSince(count) }
+	go k.copyData(clientConn, targetConn, &k.in, silent, func(s linkState) bool { return s.holdIn })
+	k.copyData(targetConn, clientConn, &k.out, silent, func(s linkState) bool { return s.holdOut })
 }
 
-// keep notes an open connection; false: the link breaks all.
-func (k *link) keep(c net.Conn) bool {
+// register adds an open connection. It returns false if the link resets all connections.
+func (k *link) register(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.state.reset || k.closed {
@@ -167,9 +168,9 @@
 	return true
 }
 
-// pass copies data one way, as the state of the link allows. What comes on a
-// connection that has gone silent is lost, its end as well.
-func (k *link) pass(from, to net.Conn, lane *lane, silent func() bool, held func(linkState) bool) {
+// copyData copies data in one direction, as the state of the link allows. On a silent
+// connection, data is dropped and a close is not passed on.
+func (k *link) copyData(from, to net.Conn, dir *direction, silent func() bool, held func(linkState) bool) {
 	defer func() {
 		if !silent() {
 			_ = to.Close()
@@ -179,9 +180,9 @@
 	for {
 		n, err := from.Read(buf)
 		if n > 0 && !silent() {
-			k.await(held)
-			lane.carry(n)
-			if _, werr := to.Write(buf[:n]); werr != nil {
+			k.waitWhileHeld(held)
+			dir.throttle(n)
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
 				_ = from.Close()
 				return
 			}
@@ -192,8 +193,8 @@
 	}
 }
 
-// await waits until the link passes data on.
-func (k *link) await(held func(linkState) bool) {
+// waitWhileHeld waits until the link's state lets data pass, and then for the delay.
+func (k *link) waitWhileHeld(held func(linkState) bool) {
 	for {
 		k.mu.Lock()
 		state, changed := k.state, k.changed
--- a/e2e/listen_test.go
+++ b/e2e/listen_test.go
@@ -19,38 +19,38 @@
 	return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 }
 
-// unlisten closes a listener so that its port is free at once. A process that is
-// being started has a copy of every descriptor until it runs its own program; with
-// a plain close such a copy would go on listening for that long.
-func unlisten(l net.Listener) error {
+// closeListener closes a listener so that its port is free immediately. Between fork and
+// exec, a child process holds copies of all file descriptors; after a plain close, such a
+// copy would keep the port in use.
+func closeListener(l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		return fmt.Errorf("%T is no TCP listener", l)
+		return fmt.Errorf("%T is not a TCP listener", l)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var stopped error
-	if err := raw.Control(func(fd uintptr) { stopped = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) }); err != nil {
+	var shutdownErr error
+	if err := raw.Control(func(fd uintptr) { shutdownErr = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) }); err != nil {
 		return err
 	}
 	if err := l.Close(); err != nil {
 		return err
 	}
-	return stopped
+	return shutdownErr
 }
 
-// TestUnlisten checks that a port can be taken again as soon as it is given up, also
-// while processes are started.
-func TestUnlisten(t *testing.T) {
+// TestCloseListenerFreesPort checks that a port can be used again as soon as its listener is
+// closed, also while processes are being started.
+func TestCloseListenerFreesPort(t *testing.T) {
 	const rounds, starters = 2000, 4
 	stop := make(chan struct{})
-	var started sync.WaitGroup
+	var starterGroup sync.WaitGroup
 	for range starters {
-		started.Go(func() { startProcesses(t, stop) })
+		starterGroup.Go(func() { startProcesses(t, stop) })
 	}
-	defer started.Wait()
+	defer starterGroup.Wait()
 	defer close(stop)
 	address := freePorts(t, 1)[0]
 	for round := range rounds {
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		if err := unlisten(l); err != nil {
+		if err := closeListener(l); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -18,61 +18,65 @@
 )
 
 const (
-	loadCallers  = 6
-	loadEvery    = 15 * time.Millisecond
-	loadTimeout  = 3 * time.Second
-	loadKeyEvery = 4
-	// outcomeCut is a request without a whole reply.
-	outcomeCut = "cut"
+	loadCallers       = 6
+	loadInterval      = 15 * time.Millisecond
+	loadTimeout       = 3 * time.Second
+	keyedRequestEvery = 4
+	// outcomeNoReply is the outcome of a request without a complete reply.
+	outcomeNoReply = "cut"
 )
 
-// answered is one request of the load and what its caller was told.
-type answered struct {
-	body, key string
-	node      int
-	outcome   string
-	wrong     bool
-	sent      time.Time
-	took      time.Duration
+// requestRecord is a sent request and the outcome that its caller got.
+type requestRecord struct {
+	body, key   string
+	node        int
+	outcome     string
+	wrongAnswer bool
+	sent        time.Time
+	latency     time.Duration
 }
 
-// load is callers that send requests all the time.
-type load struct {
-	c    *cell
+// loadGenerator runs callers that continuously send requests, some of them with a key.
+type loadGenerator struct {
+	cell *cell
 	done chan struct{}
 	wg   sync.WaitGroup
 
-	mu    sync.Mutex
-	nodes []int
-	calls []answered
+	mu      sync.Mutex
+	nodes   []int
+	records []requestRecord
 }
 
-func startLoad(c *cell, service string) *load {
-	l := &load{c: c, done: make(chan struct{})}
+// startLoad starts sending requests to a service.
+func startLoad(c *cell, service string) *loadGenerator {
+	l := &loadGenerator{cell: c, done: make(chan struct{})}
 	for i := range c.nodes {
 		l.nodes = append(l.nodes, i)
 	}
 	for i := range loadCallers {
-		l.wg.Go(func() { l.caller(i, service) })
+		l.wg.Go(func() { l.runCaller(i, service) })
 	}
 	return l
 }
 
-// avoid makes the callers send nothing new to a node, as a balancer does.
-func (l *load) avoid(node int) {
+// excludeNode stops new requests to a node, as a load balancer does when a node leaves.
+func (l *loadGenerator) excludeNode(node int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = slices.DeleteFunc(l.nodes, func(n int) bool { return n == node })
 }
 
-func (l *load) pick(n int) int {
+// pickNode chooses a node for the n-th request.
+func (l *loadGenerator) pickNode(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.nodes[n%len(l.nodes)]
 }
 
-func (l *load) caller(i int, service string) {
-	t := time.NewTicker(loadEvery)
+// runCaller sends requests until the load stops. A request with a key is sent a second time
+// through another node, which must not run it again.
+func (l *loadGenerator) runCaller(i int, service string) {
+	t := time.NewTicker(loadInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -80,94 +84,98 @@
 			return
 		case <-t.C:
 		}
-		a := answered{body: fmt.Sprintf("sleep 5ms caller %d request %d", i, n), node: l.pick(i + n)}
-		if n%loadKeyEvery == 0 {
-			a.key = fmt.Sprintf("key-%d-%d", i, n)
+		r := requestRecord{body: fmt.Sprintf("sleep 5ms caller %d request %d", i, n), node: l.pickNode(i + n)}
+		if n%keyedRequestEvery == 0 {
+			r.key = fmt.Sprintf("key-%d-%d", i, n)
 		}
 		created := time.Now()
-		l.send(a, service, created)
-		if a.key != "" {
-			a.node = l.pick(i + n + 1)
-			l.send(a, service, created)
+		l.send(r, service, created)
+		if r.key != "" {
+			r.node = l.pickNode(i + n + 1)
+			l.send(r, service, created)
 		}
 	}
 }
 
-func (l *load) send(a answered, service string, created time.Time) {
-	a.sent = time.Now()
-	ans, err := l.c.client(a.node, "inkasoft").Request(l.c.ctx, client.Request{
-		Service: service, Body: []byte(a.body), Timeout: loadTimeout, Key: a.key, KeyCreated: created,
+// send sends a request and records its outcome.
+func (l *loadGenerator) send(r requestRecord, service string, created time.Time) {
+	r.sent = time.Now()
+	ans, err := l.cell.client(r.node, "inkasoft").Request(l.cell.ctx, client.Request{
+		Service: service, Body: []byte(r.body), Timeout: loadTimeout, Key: r.key, KeyCreated: created,
 	})
-	a.took = time.Since(a.sent)
-	a.outcome = string(api.OutcomeDone)
+	r.latency = time.Since(r.sent)
+	r.outcome = string(api.OutcomeDone)
 	if err != nil {
-		a.outcome = outcomeCut
+		r.outcome = outcomeNoReply
 		if p, ok := client.ProblemOf(err); ok && p.Outcome != "" {
-			a.outcome = p.Outcome
+			r.outcome = p.Outcome
 		}
 	} else {
-		var ans2 standinworker.Answer
-		a.wrong = json.Unmarshal(ans.Body, &ans2) != nil || ans2.Echo != a.body
+		var echo standinworker.Answer
+		r.wrongAnswer = json.Unmarshal(ans.Body, &echo) != nil || echo.Echo != r.body
 	}
 	l.mu.Lock()
-	l.calls = append(l.calls, a)
+	l.records = append(l.records, r)
 	l.mu.Unlock()
 }
 
-func (l *load) stop() {
+// stop stops the callers and waits for their last requests.
+func (l *loadGenerator) stop() {
 	close(l.done)
 	l.wg.Wait()
 }
 
-// counts are the figures of a run.
-type counts struct {
-	sent, done, refused, notRun, unknown, cut int
-	wrong, notRunThatRan, keyedTwice          int
+// outcomeCounts counts the requests by outcome, and the violations of guarantees.
+type outcomeCounts struct {
+	sent, done, refused, notRun, unknown, noReply int
+	wrongAnswers, ranDespiteNotRun, keyedRunTwice int
 }
 
-// count holds what callers were told against what the instances ran.
-func (l *load) count(runs map[string]int) counts {
-	var n counts
-	ranNot := make(map[string]bool)
-	for _, a := range l.calls {
+// countOutcomes compares the outcomes that callers got with the requests that the instances
+// ran, which runs counts by their body.
+func (l *loadGenerator) countOutcomes(runs map[string]int) outcomeCounts {
+	var n outcomeCounts
+	// Bodies of which every request was reported as not run.
+	reportedNotRun := make(map[string]bool)
+	for _, r := range l.records {
 		n.sent++
-		switch a.outcome {
+		switch r.outcome {
 		case string(api.OutcomeDone):
 			n.done++
 		case string(api.OutcomeRefused):
 			n.refused++
 		case string(api.OutcomeNotRun):
 			n.notRun++
-		case outcomeCut:
-			n.cut++
+		case outcomeNoReply:
+			n.noReply++
 		default:
 			n.unknown++
 		}
-		if a.wrong {
-			n.wrong++
+		if r.wrongAnswer {
+			n.wrongAnswers++
 		}
-		not := a.outcome == string(api.OutcomeNotRun) || a.outcome == string(api.OutcomeRefused)
-		if was, ok := ranNot[a.body]; !ok || was {
-			ranNot[a.body] = not
+		notRun := r.outcome == string(api.OutcomeNotRun) || r.outcome == string(api.OutcomeRefused)
+		if before, ok := reportedNotRun[r.body]; !ok || before {
+			reportedNotRun[r.body] = notRun
 		}
-		if a.key != "" && runs[a.body] > 1 {
-			n.keyedTwice++
+		if r.key != "" && runs[r.body] > 1 {
+			n.keyedRunTwice++
 		}
 	}
-	for body, not := range ranNot {
-		if not && runs[body] > 0 {
-			n.notRunThatRan++
+	for body, notRun := range reportedNotRun {
+		if notRun && runs[body] > 0 {
+			n.ranDespiteNotRun++
 		}
 	}
 	return n
 }
 
-// mustBeClean fails the test for what must never happen, and logs the figures.
-func (n counts) mustBeClean(t *testing.T) {
+// checkInvariants logs the counts and fails the test if they show a violation.
+func (n outcomeCounts) checkInvariants(t *testing.T) {
 	t.Helper()
 	t.Logf("requests: %+v", n)
-	if n.wrong+n.notRunThatRan+n.keyedTwice > 0 {
-		t.Errorf("broken promises: %+v", n)
+	if n.wrongAnswers+n.ranDespiteNotRun+n.keyedRunTwice > 0 {
+		t.Errorf("violated guarantees: %+v", n)
 	}
 	if n.done == 0 {
 		t.Error("no request was answered")
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -12,17 +12,18 @@
 	"testing"
 )
 
-// relay passes bytes on between a node and the platform, until it is cut.
+// relay is a TCP proxy between a node and the platform that can be cut.
 type relay struct {
-	url string
-	to  string
-	l   net.Listener
+	url           string
+	targetAddress string
+	listener      net.Listener
 
 	mu    sync.Mutex
 	cut   bool
 	conns []net.Conn
 }
 
+// newRelay starts a relay to the platform.
 func newRelay(t *testing.T, platform string) *relay {
 	t.Helper()
 	var lc net.ListenConfig
@@ -30,44 +31,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{url: "http://" + l.Addr().String(), to: strings.TrimPrefix(platform, "http://"), l: l}
+	r := &relay{url: "http://" + l.Addr().String(), targetAddress: strings.TrimPrefix(platform, "http://"), listener: l}
 	t.Cleanup(func() { _ = l.Close(); r.setCut(true) })
 	go r.serve(t)
 	return r
 }
 
+// serve accepts connections until the listener is closed.
 func (r *relay) serve(t *testing.T) {
 	for {
-		near, err := r.l.Accept()
+		clientConn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		var d net.Dialer
-		far, err := d.DialContext(t.Context(), "tcp", r.to)
-		if err != nil || !r.keep(near, far) {
-			_ = near.Close()
+		targetConn, err := d.DialContext(t.Context(), "tcp", r.targetAddress)
+		if err != nil || !r.register(clientConn, targetConn) {
+			_ = clientConn.Close()
 			continue
 		}
-		go pass(near, far)
-		go pass(far, near)
+		go pipe(clientConn, targetConn)
+		go pipe(targetConn, clientConn)
 	}
 }
 
-// keep notes a pair of connections, unless the relay is cut.
-func (r *relay) keep(conns ...net.Conn) bool {
+// register adds open connections. It returns false if the relay is cut.
+func (r *relay) register(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = append(r.conns, conns...)
 	return !r.cut
 }
 
-func pass(from, to net.Conn) {
+// pipe copies data in one direction and closes both connections at its end.
+func pipe(from, to net.Conn) {
 	_, _ = io.Copy(to, from)
 	_ = from.Close()
 	_ = to.Close()
 }
 
-// setCut breaks all connections and lets none through, or mends the relay.
+// setCut closes all connections and sets whether the relay refuses new ones.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/e2e/rollout_test.go
+++ b/e2e/rollout_test.go
@@ -13,17 +13,18 @@
 	standin "switchbank.example/switchbank/standin/platform"
 )
 
-// inForceWithin is the users' bound from accepted to in force on every node.
-const inForceWithin = 7 * time.Second
+// rolloutBound is the time that users allow from the acceptance of a bundle until it is in
+// force on every node.
+const rolloutBound = 7 * time.Second
 
-// TestRollOut accepts bundles one after the other, in quiet and under faults, and
-// takes the time from accepted until the last node that serves applies each.
+// TestRollOut accepts bundles one after the other, with and without faults, and measures
+// for each node the time from acceptance until the bundle is in force there.
 func TestRollOut(t *testing.T) {
-	c := newCell(t, 3, 0, relayNone)
+	c := newCell(t, 3, 0, noRelayedNode)
 	c.acceptBundle()
 	for i, f := range []struct {
-		name          string
-		inject, after func()
+		name            string
+		inject, restore func()
 	}{
 		{"quiet", func() {}, func() {}},
 		{"again", func() {}, func() {}},
@@ -34,12 +35,12 @@
 		f.inject()
 		head, err := c.reviewer.Accept(c.ctx, c.client(0, ""), fmt.Sprintf("roll-out-%d", i))
 		accepted := time.Now()
-		f.after()
+		f.restore()
 		if err != nil {
 			t.Fatalf("%s: %v", f.name, err)
 		}
 		for n := range c.nodes {
-			if took, ok := c.inForce(n, head.Version, accepted); !ok {
+			if took, ok := c.waitInForce(n, head.Version, accepted); !ok {
 				t.Errorf("%s: node %d serves an older version after %s", f.name, n, took)
 			} else {
 				t.Logf("%s: node %d: %s", f.name, n, took.Round(time.Millisecond))
@@ -48,9 +49,10 @@
 	}
 }
 
-// inForce waits until a node applies a version; a node that is gone, or that turns
-// callers away, breaks nothing.
-func (c *cell) inForce(n int, version int64, accepted time.Time) (time.Duration, bool) {
+// waitInForce waits until a version is in force on a node and returns the time since its
+// acceptance. It returns false if the node still serves callers with an older version after
+// rolloutBound; a node that doesn't answer or is not ready is no violation.
+func (c *cell) waitInForce(n int, version int64, accepted time.Time) (time.Duration, bool) {
 	cl := c.client(n, "")
 	for {
 		st, err := cl.Status(c.ctx)
@@ -58,9 +60,9 @@
 		if err != nil || st.Bundle.Version >= version {
 			return took, true
 		}
-		if took > inForceWithin {
+		if took > rolloutBound {
 			return took, !st.Ready
 		}
-		wait(c, 5*time.Millisecond)
+		sleep(c, 5*time.Millisecond)
 	}
 }
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -30,55 +30,60 @@
 	siteNodes   = 3
 	siteWorkers = 6
 	siteJobs    = 24
-	// jobPause is the pause between two jobs, and pollPause between two looks at one.
-	jobPause  = 100 * time.Millisecond
-	pollPause = 50 * time.Millisecond
+	// jobInterval is the time between two submitted jobs, and pollInterval that between two
+	// checks of an awaited condition.
+	jobInterval  = 100 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
-// siteCell is a stand-in of the users' platform in this process, and nodes as processes.
+// siteCell is a stand-in of the users' platform in the test's process, and nodes that run as
+// processes of their own.
 type siteCell struct {
-	t     *testing.T
-	site  *site.Site
-	bin   string
-	dir   string
-	nodes []*siteNode
-	store string
-	seeds []string
-	rest  [2]string
-	// links are the relays before listeners, by the address that others use.
+	t            *testing.T
+	site         *site.Site
+	bin          string
+	dir          string
+	nodes        []*siteNode
+	storeAddress string
+	seeds        []string
+	// serviceAddresses are those of the advice service and of the service of machines.
+	serviceAddresses [2]string
+	// links maps the address that clients connect to to the link that listens there.
 	links map[string]*link
-	// perShard is how many workers a shard has at most.
-	perShard int
+	// workersPerShard is the maximum number of workers of a shard.
+	workersPerShard int
 }
 
+// siteNode is a node's settings and process.
 type siteNode struct {
 	name                  string
 	callers, ready, peers string
-	// store and peersAt are where the node finds the store, and the others the node.
-	store, peersAt string
-	file           string
-	cmd            *exec.Cmd
-	log            *os.File
+	// storeAddress is where the node reaches the store, and advertisedPeers where other nodes
+	// reach the node.
+	storeAddress, advertisedPeers string
+	file                          string
+	cmd                           *exec.Cmd
+	log                           *os.File
 }
 
 const (
-	// firstPort to lastPort lie below the ports that the system gives to outgoing
-	// connections, which therefore can't take one between its choice and its use.
+	// The ports from firstPort to lastPort are below the range that the system assigns to
+	// outgoing connections, so that no connection takes a port between its choice and its use.
 	firstPort = 20_000
 	lastPort  = 30_000
-	// portStride sets the ports of processes that run at once apart, as far as their
-	// ids allow.
+	// portStride is the distance between the first ports of test processes with successive
+	// process ids, so that concurrent runs rarely choose the same ports.
 	portStride = 97
-	// portRoom is left above the first port for those of one run.
-	portRoom = 4000
+	// portsPerRun is the number of ports reserved for one run above its first port.
+	portsPerRun = 4000
 )
 
-// portsFrom returns where to look for free ports: where SWITCHBANK_PORTS says, so
-// that several runs at once never take a port of a process that is down just now.
-func portsFrom(t *testing.T) int {
+// firstPortToTry returns the port from which to look for free ports. SWITCHBANK_PORTS sets
+// it, so that concurrent runs never take the port of a process that is just being restarted.
+func firstPortToTry(t *testing.T) int {
 	text := os.Getenv("SWITCHBANK_PORTS")
 	if text == "" {
-		return firstPort + os.Getpid()*portStride%(lastPort-firstPort-portRoom)
+		return firstPort + os.Getpid()*portStride%(lastPort-firstPort-portsPerRun)
 	}
 	port, err := strconv.Atoi(text)
 	if err != nil {
@@ -87,20 +92,20 @@
 	return port
 }
 
-// portPool hands out each port once, so that tests which run side by side never take
-// one of a process that is down just now.
+// portPool hands out each port once, so that parallel tests never take the port of a process
+// that is just being restarted.
 var portPool struct {
 	mu   sync.Mutex
 	next int
 }
 
-// freePorts returns loopback addresses that nothing listens on.
+// freePorts returns n loopback addresses with unused ports.
 func freePorts(t *testing.T, n int) []string {
 	t.Helper()
 	portPool.mu.Lock()
 	defer portPool.mu.Unlock()
 	if portPool.next == 0 {
-		portPool.next = portsFrom(t)
+		portPool.next = firstPortToTry(t)
 	}
 	var addresses []string
 	for ; len(addresses) < n && portPool.next < lastPort; portPool.next++ {
@@ -110,7 +115,7 @@
 			continue
 		}
 		addresses = append(addresses, l.Addr().String())
-		if err := unlisten(l); err != nil {
+		if err := closeListener(l); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -120,9 +125,10 @@
 	return addresses
 }
 
+// newSiteCell starts a platform, workers and nodes, and waits until the nodes are ready.
 func newSiteCell(t *testing.T) *siteCell {
 	ports := freePorts(t, 3+siteWorkers+3*siteNodes)
-	c := &siteCell{t: t, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), dir: t.TempDir(), store: ports[0], rest: [2]string{ports[1], ports[2]}, perShard: siteWorkers}
+	c := &siteCell{t: t, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), dir: t.TempDir(), storeAddress: ports[0], serviceAddresses: [2]string{ports[1], ports[2]}, workersPerShard: siteWorkers}
 	workers, nodes := ports[3:3+siteWorkers], ports[3+siteWorkers:]
 	c.site = site.New(site.Config{
 		Service: "billing", StoreAddress: ports[0], AdviceAddress: ports[1], MachinesAddress: ports[2],
@@ -137,26 +143,28 @@
 		c.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000})
 	}
 	for i := range siteNodes {
-		n := &siteNode{name: fmt.Sprintf("n%d", i), callers: nodes[3*i], ready: nodes[3*i+1], peers: nodes[3*i+2], store: c.store, peersAt: nodes[3*i+2]}
+		n := &siteNode{name: fmt.Sprintf("n%d", i), callers: nodes[3*i], ready: nodes[3*i+1], peers: nodes[3*i+2], storeAddress: c.storeAddress, advertisedPeers: nodes[3*i+2]}
 		c.seeds = append(c.seeds, n.peers)
 		c.nodes = append(c.nodes, n)
 	}
 	for _, n := range c.nodes {
-		c.start(n)
+		c.startNode(n)
 	}
 	for _, n := range c.nodes {
-		c.until(n.name+" is ready", func() bool { return c.status(http.MethodGet, "http://"+n.ready+"/", nil) == http.StatusOK })
+		c.waitUntil(n.name+" is ready", func() bool { return c.status(http.MethodGet, "http://"+n.ready+"/", nil) == http.StatusOK })
 	}
 	return c
 }
 
+// serve serves h at an address, or behind the address's link if there is one. It returns a
+// function that stops serving.
 func (c *siteCell) serve(address string, h http.Handler) func() {
 	if k := c.links[address]; k != nil {
-		address = k.to
+		address = k.targetAddress
 	}
 	l, err := listen(c.t.Context(), address)
 	if err != nil {
-		// Not Fatal: a worker's next life is served from a goroutine of its fault.
+		// Fatal is not allowed here, because a fault restarts its worker in a goroutine.
 		c.t.Errorf("serve: %v", err)
 		return func() {}
 	}
@@ -165,7 +173,7 @@
 	srv.Start()
 	return func() {
 		srv.CloseClientConnections()
-		if err := unlisten(l); err != nil && !errors.Is(err, net.ErrClosed) {
+		if err := closeListener(l); err != nil && !errors.Is(err, net.ErrClosed) {
 			c.t.Error(err)
 		}
 	}
@@ -184,11 +192,11 @@
 workers_per_shard: %d
 `
 
-// start runs a node's process.
-func (c *siteCell) start(n *siteNode) {
+// startNode writes a node's settings and starts its process.
+func (c *siteCell) startNode(n *siteNode) {
 	c.t.Helper()
 	n.file = filepath.Join(c.dir, n.name+".yaml")
-	text := fmt.Sprintf(siteSettings, n.name, n.callers, n.ready, n.peers, n.peersAt, strings.Join(c.seeds, `", "`), n.store, c.rest[0], c.rest[1], c.perShard)
+	text := fmt.Sprintf(siteSettings, n.name, n.callers, n.ready, n.peers, n.advertisedPeers, strings.Join(c.seeds, `", "`), n.storeAddress, c.serviceAddresses[0], c.serviceAddresses[1], c.workersPerShard)
 	if err := os.WriteFile(n.file, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
@@ -202,11 +210,11 @@
 	if err := n.cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	c.t.Cleanup(func() { c.kill(n) })
+	c.t.Cleanup(func() { c.killNode(n) })
 }
 
-// kill ends a node's process, if it runs, and waits for it.
-func (c *siteCell) kill(n *siteNode) {
+// killNode kills a node's process, unless it has ended, and waits for it.
+func (c *siteCell) killNode(n *siteNode) {
 	if n.cmd.ProcessState != nil {
 		return
 	}
@@ -215,18 +223,18 @@
 	_ = n.log.Close()
 }
 
-// owner waits until a node other than one owns the shard, and returns it.
-func (c *siteCell) owner(but *siteNode) *siteNode {
+// waitForOwner waits until a node other than except owns the shard, and returns that node.
+func (c *siteCell) waitForOwner(except *siteNode) *siteNode {
 	c.t.Helper()
 	var owner *siteNode
-	c.until("a node owns the shard", func() bool {
+	c.waitUntil("a node owns the shard", func() bool {
 		for _, n := range c.nodes {
 			var reply struct {
 				Owns []struct {
 					Shard string `json:"shard"`
 				} `json:"owns"`
 			}
-			if n != but && c.call(http.MethodPost, "http://"+n.peers+"/peer/v2/ping", []byte("{}"), &reply) == http.StatusOK && len(reply.Owns) > 0 {
+			if n != except && c.call(http.MethodPost, "http://"+n.peers+"/peer/v2/ping", []byte("{}"), &reply) == http.StatusOK && len(reply.Owns) > 0 {
 				owner = n
 			}
 		}
@@ -235,19 +243,21 @@
 	return owner
 }
 
-// until waits for a condition; the test's own limit ends it.
-func (c *siteCell) until(what string, ok func() bool) {
+// waitUntil waits until ok returns true, and fails the test after testTimeout.
+func (c *siteCell) waitUntil(condition string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(pollPause) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
 
+// status returns the HTTP status of a call, or 0 if there was no complete answer.
 func (c *siteCell) status(method, url string, body []byte) int { return c.call(method, url, body, nil) }
 
-// call returns the status of a call, or 0 if there was no answer.
+// call makes a call, decodes the answer into reply unless that is nil, and returns the HTTP
+// status, or 0 if there was no complete answer.
 func (c *siteCell) call(method, url string, body []byte, reply any) int {
 	r, err := http.NewRequestWithContext(c.t.Context(), method, url, bytes.NewReader(body))
 	if err != nil {
@@ -273,46 +283,48 @@
 const siteJob = `{"Spec":"300 cpu=500","Steps":[{"Count":3,"Cpu":500,"MemMb":100,"EstimateMs":300},` +
 	`{"Count":3,"Cpu":500,"MemMb":100,"EstimateMs":300,"DependsOn":[0]}]}`
 
-// submit hands a job in at one node after the other until it is accepted.
+// submit sends the i-th job to one node after the other until one accepts it.
 func (c *siteCell) submit(i int) string {
 	id := fmt.Sprintf("%016x", i+1)
 	k := i
-	c.until("job "+id+" is accepted", func() bool {
+	c.waitUntil("job "+id+" is accepted", func() bool {
 		k++
 		return c.status(http.MethodPost, "http://"+c.nodes[k%len(c.nodes)].callers+"/urgent/"+id, []byte(siteJob)) == http.StatusOK
 	})
 	return id
 }
 
-// TestSite plays real processes on a stand-in of the users' platform: the owner is
-// killed and started again, its successor is stopped as planned, and one is paused.
+// TestSite runs nodes as processes on a stand-in of the users' platform and submits jobs. In
+// the meantime, the shard's owner is killed and restarted, its successor is stopped as
+// planned, and the next owner is paused until another node has taken the shard over. All
+// jobs must succeed without a violation.
 func TestSite(t *testing.T) {
 	c := newSiteCell(t)
 	faults := map[int]func(){
 		siteJobs / 4: func() {
-			n := c.owner(nil)
-			c.kill(n)
-			c.start(n)
+			n := c.waitForOwner(nil)
+			c.killNode(n)
+			c.startNode(n)
 		},
-		siteJobs / 2: func() { c.stop(c.owner(nil)) },
+		siteJobs / 2: func() { c.restartGracefully(c.waitForOwner(nil)) },
 		3 * siteJobs / 4: func() {
-			n := c.owner(nil)
+			n := c.waitForOwner(nil)
 			c.signal(n, syscall.SIGSTOP)
 			t.Cleanup(func() { c.signal(n, syscall.SIGCONT) })
-			c.owner(n)
+			c.waitForOwner(n)
 			c.signal(n, syscall.SIGCONT)
 		},
 	}
 	var ids []string
 	for i := range siteJobs {
 		ids = append(ids, c.submit(i))
-		if strike := faults[i]; strike != nil {
-			strike()
+		if inject := faults[i]; inject != nil {
+			inject()
 		}
-		time.Sleep(jobPause)
+		time.Sleep(jobInterval)
 	}
 	for _, id := range ids {
-		c.until("job "+id+" succeeds", func() bool {
+		c.waitUntil("job "+id+" succeeds", func() bool {
 			var s struct{ State string }
 			for _, n := range c.nodes {
 				if c.call(http.MethodGet, "http://"+n.callers+"/urgent/"+id, nil, &s) == http.StatusOK {
@@ -322,15 +334,15 @@
 			return false
 		})
 	}
-	c.judge()
+	c.checkViolations()
 }
 
-// judge holds what the workers saw against the promises.
-func (c *siteCell) judge() {
-	for _, wrong := range c.site.Violations(site.Expectations{}) {
-		c.t.Error(wrong)
+// checkViolations reports violations of guarantees according to the workers' events.
+func (c *siteCell) checkViolations() {
+	for _, violation := range c.site.Violations(site.Expectations{}) {
+		c.t.Error(violation)
 	}
-	// No worker drains in this play.
+	// No worker drains in this test.
 	for _, e := range c.site.Events() {
 		if e.Kind == site.EventStartWhileDraining {
 			c.t.Errorf("%s: %s on %s", e.Kind, e.Task, e.Worker)
@@ -338,22 +350,24 @@
 	}
 }
 
-// stop ends a node as planned, and starts it again.
-func (c *siteCell) stop(n *siteNode) {
+// restartGracefully stops a node with SIGTERM and starts it again.
+func (c *siteCell) restartGracefully(n *siteNode) {
 	c.signal(n, syscall.SIGTERM)
 	if err := n.cmd.Wait(); err != nil {
-		c.t.Errorf("%s ended with %v at a planned stop", n.name, err)
+		c.t.Errorf("planned stop of %s: %v", n.name, err)
 	}
-	c.start(n)
+	c.startNode(n)
 }
 
+// signal sends sig to a node's process, unless it has ended.
 func (c *siteCell) signal(n *siteNode, sig syscall.Signal) {
 	if n.cmd.ProcessState == nil {
 		_ = n.cmd.Process.Signal(sig)
 	}
 }
 
-// TestNodeSettings checks that a wrong settings file is told by its field, with exit code 2.
+// TestNodeSettings checks that an invalid settings file is reported with the name of the
+// field and exit code 2.
 func TestNodeSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(file, []byte("node: n1\nlisten: {callers: \"x\", ready: \"127.0.0.1:1\", peers: \"127.0.0.1:2\"}\nstore: \"127.0.0.1:3\"\n"), 0o600); err != nil {
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -18,14 +18,14 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// slopeSpan is how long each point is measured, after it has settled.
+// slopeDuration is how long each point is measured, after slopeWarmUp.
 const (
-	slopeSpan   = 20 * time.Second
-	slopeSettle = 6 * time.Second
+	slopeDuration = 20 * time.Second
+	slopeWarmUp   = 6 * time.Second
 )
 
-// usualSettings leaves the times at their defaults.
-const usualSettings = `
+// defaultSettings leaves all durations at their defaults.
+const defaultSettings = `
 node: entry-%d
 data_centre: kosice-1
 data_centres: [{name: kosice-1, worker_shards: 8}]
@@ -36,14 +36,14 @@
 log: {level: info}
 `
 
-// point is one measurement of the cost of a node.
+// point is one measurement of the resource usage of a node.
 type point struct {
 	name           string
 	nodes, workers int
 	tasks          int
-	// changes is how many bundle changes are rolled out in the span.
+	// changes is how many bundles are rolled out during the measurement.
 	changes int
-	// starts is how many short tasks are started in the span.
+	// starts is how many short tasks are started during the measurement.
 	starts int
 }
 
@@ -60,32 +60,33 @@
 	{name: "10 bundle changes", nodes: 1, changes: 10},
 }
 
-// cost is what the first node of a cell has used.
-type cost struct {
-	cpu   float64
-	rss   float64
-	bytes float64
-	by    map[string]float64
+// resourceUsage holds the resources that a node has used since its start.
+type resourceUsage struct {
+	cpu          float64
+	rss          float64
+	bytes        float64
+	bytesByClass map[string]float64
 }
 
-// TestSlopes measures points one after the other and writes a table.
+// TestSlopes measures the points one after the other and writes a table. Its rows show how a
+// node's resource usage grows with the workers, tasks, nodes and changes.
 func TestSlopes(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%-28s %10s %9s %12s %12s %12s %12s\n", "point", "core %", "MB", "bytes/s", "workers B/s", "peers B/s", "platform B/s")
 	for _, p := range points {
 		t.Run(p.name, func(t *testing.T) {
-			c := newCell(t, 0, 0, relayNone)
-			c.settings = usualSettings
+			c := newCell(t, 0, 0, noRelayedNode)
+			c.settings = defaultSettings
 			p.prepare(c)
-			wait(c, slopeSettle)
-			before := c.cost(0)
-			began := time.Now()
-			p.load(c)
-			wait(c, slopeSpan-time.Since(began))
-			after, span := c.cost(0), time.Since(began).Seconds()
-			rate := func(class string) float64 { return (after.by[class] - before.by[class]) / span }
-			fmt.Fprintf(&out, "%-28s %10.3f %9.1f %12.0f %12.0f %12.0f %12.0f\n", p.name, 100*(after.cpu-before.cpu)/span, after.rss/1e6,
-				(after.bytes-before.bytes)/span, rate("workers"), rate("peers"), rate("platform"))
+			sleep(c, slopeWarmUp)
+			before := c.measureUsage(0)
+			started := time.Now()
+			p.applyLoad(c)
+			sleep(c, slopeDuration-time.Since(started))
+			after, seconds := c.measureUsage(0), time.Since(started).Seconds()
+			rate := func(class string) float64 { return (after.bytesByClass[class] - before.bytesByClass[class]) / seconds }
+			fmt.Fprintf(&out, "%-28s %10.3f %9.1f %12.0f %12.0f %12.0f %12.0f\n", p.name, 100*(after.cpu-before.cpu)/seconds, after.rss/1e6,
+				(after.bytes-before.bytes)/seconds, rate("workers"), rate("peers"), rate("platform"))
 		})
 	}
 	t.Log("\n" + out.String())
@@ -96,9 +97,10 @@
 	}
 }
 
+// prepare starts the point's workers, nodes and long-running tasks.
 func (p point) prepare(c *cell) {
 	if p.workers > 0 {
-		c.start("dev", "worker", "--platform", c.platform, "--id", "w", "--data-centre", "kosice-1", "--rack", "r",
+		c.start("dev", "worker", "--platform", c.platformURL, "--id", "w", "--data-centre", "kosice-1", "--rack", "r",
 			"--cpu-milli", "64000", "--memory-mb", "256000", "--count", strconv.Itoa(p.workers))
 	}
 	for i := range p.nodes {
@@ -110,7 +112,7 @@
 	}
 }
 
-// submit declares a batch and waits until it runs or has ended.
+// submit declares a batch and waits until all its tasks run or have ended.
 func (p point) submit(c *cell, id string, tasks int, sleep string) {
 	cl := c.client(0, "inkasoft")
 	w := api.Workload{
@@ -125,7 +127,8 @@
 	}
 }
 
-func (p point) load(c *cell) {
+// applyLoad starts the short tasks and rolls out the bundle changes.
+func (p point) applyLoad(c *cell) {
 	if p.starts > 0 {
 		p.submit(c, "short", p.starts, "1ms")
 	}
@@ -136,8 +139,8 @@
 	}
 }
 
-// cost reads what a node has used from its metrics.
-func (c *cell) cost(i int) cost {
+// measureUsage reads a node's resource usage from its metrics.
+func (c *cell) measureUsage(i int) resourceUsage {
 	req, err := http.NewRequestWithContext(c.ctx, http.MethodGet, "http://"+c.nodes[i].operators+"/metrics", nil)
 	if err != nil {
 		c.t.Fatal(err)
@@ -147,20 +150,20 @@
 		c.t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	k := cost{by: make(map[string]float64)}
+	usage := resourceUsage{bytesByClass: make(map[string]float64)}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		name, value, _ := strings.Cut(lines.Text(), " ")
 		v, err := strconv.ParseFloat(value, 64)
 		switch {
 		case err != nil:
 		case name == "process_cpu_seconds_total":
-			k.cpu = v
+			usage.cpu = v
 		case name == "process_resident_memory_bytes":
-			k.rss = v
+			usage.rss = v
 		case strings.HasPrefix(name, "switchbank_bytes_total"):
-			k.bytes += v
-			k.by[strings.Split(name, `"`)[1]] += v
+			usage.bytes += v
+			usage.bytesByClass[strings.Split(name, `"`)[1]] += v
 		}
 	}
-	return k
+	return usage
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -21,46 +21,46 @@
 )
 
 const (
-	soakNodes   = 5
-	soakWorkers = 8
-	soakShard   = 4
-	// soakRejectOneIn keeps the chance small that advice rejects all four workers of
-	// a shard: a job that has begun doesn't move, and would wait for ever.
+	soakNodes           = 5
+	soakWorkers         = 8
+	soakWorkersPerShard = 4
+	// soakRejectOneIn makes it unlikely that advice rejects all four workers of a shard: a job
+	// that has begun doesn't move to another shard, and would wait for ever.
 	soakRejectOneIn = 64
-	// soakSlow nodes have links of 10 Mbit/s to the store, and others to them; the rate
-	// is in bytes a second.
-	soakSlow     = 2
-	soakSlowRate = 1_250_000
-	// soakTime is how long faults and jobs come.
-	soakTime = 20 * time.Second
-	// soakPause is the pause between two jobs.
-	soakPause = 120 * time.Millisecond
-	// The pause between two faults, and how long one lasts.
-	faultPauseLeast, faultPauseMost = 200 * time.Millisecond, 1500 * time.Millisecond
-	faultLeast, faultMost           = 300 * time.Millisecond, 5 * time.Second
+	// soakSlowNodes is the number of nodes whose links, to the store and from other nodes, are
+	// limited to 10 Mbit/s; the rate is in bytes per second.
+	soakSlowNodes    = 2
+	soakSlowLinkRate = 1_250_000
+	// soakDuration is how long faults are injected and jobs are submitted.
+	soakDuration = 20 * time.Second
+	// soakJobInterval is the time between two submitted jobs.
+	soakJobInterval = 120 * time.Millisecond
+	// The pause between the starts of two faults, and the duration of a fault.
+	minFaultPause, maxFaultPause       = 200 * time.Millisecond, 1500 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 300 * time.Millisecond, 5 * time.Second
 )
 
-// failedSeeds are those that ever failed, with the cause that was found.
+// failedSeeds are the seeds that have failed before, by cause.
 var failedSeeds = []uint64{
-	// A job that had moved came back to its first shard by a late feed and ran there too.
-	// Seed 27 failed once more in the harness: a process that was being started still
-	// had a copy of a listener, whose port a worker's next life could not take.
+	// A job that had moved to another shard returned to its first shard through a late feed
+	// and ran there too. Seed 27 also failed in the test harness: a child process held a copy
+	// of a listener between fork and exec, so that a restarted worker could not use its port.
 	27, 48,
-	// The harness: advice rejected all four workers of a shard for a step. Seed 4 failed
-	// once more in it: a task that fails succeeded from a checkpoint past its half.
+	// Test harness: advice rejected all four workers of a shard for a step. Seed 4 also failed
+	// because a task that must fail succeeded from a checkpoint past its half.
 	4,
-	// The harness: a lasting job that was accepted without an answer was never cancelled.
+	// Test harness: a long-running job that was accepted without an answer was never cancelled.
 	42,
-	// The harness: a crashed worker answered on an old connection, as another life.
+	// Test harness: a crashed worker answered on an old connection in the name of its successor.
 	39,
-	// The harness: orders that a relay had held for seconds brought tickets that had run out.
+	// Test harness: orders that a link had held back for seconds contained expired tickets.
 	16, 19, 20, 23, 24, 26, 30, 40, 41,
 }
 
-// ciSeeds are played in each run of CI, beside failedSeeds.
+// ciSeeds are run in each CI run, together with failedSeeds.
 var ciSeeds = []uint64{1}
 
-// soakSeeds returns the seeds to play: those of SOAK_SEEDS ("3,7" or "1-50"), or CI's.
+// soakSeeds returns the seeds to run: those in SOAK_SEEDS ("3,7" or "1-50"), or those of CI.
 func soakSeeds(t *testing.T) []uint64 {
 	text := os.Getenv("SOAK_SEEDS")
 	if text == "" {
@@ -75,7 +75,7 @@
 		from, err1 := strconv.ParseUint(first, 10, 64)
 		to, err2 := strconv.ParseUint(last, 10, 64)
 		if err1 != nil || err2 != nil {
-			t.Fatalf("SOAK_SEEDS: %q is no seed", part)
+			t.Fatalf("SOAK_SEEDS: %q is not a seed or a range of seeds", part)
 		}
 		for s := from; s <= to; s++ {
 			seeds = append(seeds, s)
@@ -84,13 +84,19 @@
 	return seeds
 }
 
-// TestSoak plays random faults, drawn from a seed, on real processes: nodes are
-// killed, paused, stopped as planned and started again; connections to the store,
-// to workers and between nodes are delayed, reset, held one way and silenced, for a
-// while or for good; the store and workers fail, some all that starts there; another writer spoils entries of the
-// directory; the configuration grows by many routes, also on nodes with slow links. What workers and callers saw is judged; once all is
-// mended, tasks that last and fail by themselves must run again within the bound for a
-// calm while, then every accepted job must end, and the last configuration be in force.
+// TestSoak injects random faults, drawn from a seed, into a cell of real processes under load:
+//
+//   - nodes are killed, paused, stopped as planned and started again;
+//   - connections to the store, to workers and between nodes are delayed, reset, held back in
+//     one or both directions, or silenced for good;
+//   - the store, parts of it, and workers fail; some workers fail all runs that start there;
+//   - another writer corrupts entries of the directory;
+//   - the configuration grows by many routes, also on nodes with slow links.
+//
+// No guarantee may be violated, according to the records of workers and callers. After the
+// last fault, long-running tasks that fail by themselves must run again within their bound
+// during a phase without faults. Then every accepted job must end, and the last configuration
+// must be in force.
 func TestSoak(t *testing.T) {
 	for _, seed := range soakSeeds(t) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -100,161 +106,169 @@
 	}
 }
 
-// soak is one play.
+// soak is the run of one seed.
 type soak struct {
 	*siteCell
 	seed uint64
 	rng  *rand.Rand
-	// ports are the addresses that nothing uses yet.
-	ports  []string
-	began  time.Time
-	faults sync.WaitGroup
+	// ports are the addresses that are not used yet.
+	ports   []string
+	started time.Time
+	faults  sync.WaitGroup
 
 	mu sync.Mutex
-	// version is the last configuration's, which has more routes beside those of the load.
-	version int64
-	more    int
-	// busy are the things that a fault of their own has at the moment.
-	busy     map[string]bool
-	workers  []*site.Worker
-	accepted []string
-	// lasting are the jobs that run until they are cancelled.
-	lasting []string
-	// held are the times in which the way to a worker was held up, by its address.
-	held     map[string][]heldTime
-	canceled map[string]bool
-	// addresses are the addresses of the workers' lives, by ID.
-	addresses map[string]string
-	refused   map[string]bool
-	// failing are the batches whose tasks fail by their own fault.
+	// version is the version of the last configuration. It has extraRoutes routes beside
+	// those of the load.
+	version     int64
+	extraRoutes int
+	// faultActive tells for each target whether a fault is active on it.
+	faultActive map[string]bool
+	workers     []*site.Worker
+	accepted    []string
+	// longRunning holds the jobs that run until they are cancelled.
+	longRunning []string
+	// linkHolds holds the intervals in which a link had a fault, by the link's address.
+	linkHolds map[string][]holdInterval
+	canceled  map[string]bool
+	// workerAddresses maps the ids of the workers, also of earlier ones, to their addresses.
+	workerAddresses map[string]string
+	refused         map[string]bool
+	// failing holds the batches whose tasks fail by themselves.
 	failing map[string]bool
-	// gangs are the jobs whose tasks start and fail as one.
+	// gangs holds the jobs whose tasks start and fail together.
 	gangs map[string]bool
 }
 
+// newSoak starts the cell for a seed.
 func newSoak(t *testing.T, seed uint64) *soak {
 	s := &soak{
-		siteCell: &siteCell{t: t, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), dir: t.TempDir(), links: make(map[string]*link), perShard: soakShard},
-		seed:     seed,
-		rng:      rand.New(rand.NewPCG(seed, seed)), //nolint:gosec // A seed must give the same play.
-		busy:     make(map[string]bool), canceled: make(map[string]bool), refused: make(map[string]bool), failing: make(map[string]bool), gangs: make(map[string]bool),
-		held: make(map[string][]heldTime), addresses: make(map[string]string),
+		siteCell:    &siteCell{t: t, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), dir: t.TempDir(), links: make(map[string]*link), workersPerShard: soakWorkersPerShard},
+		seed:        seed,
+		rng:         rand.New(rand.NewPCG(seed, seed)), //nolint:gosec // A seed must give the same faults.
+		faultActive: make(map[string]bool), canceled: make(map[string]bool), refused: make(map[string]bool), failing: make(map[string]bool), gangs: make(map[string]bool),
+		linkHolds: make(map[string][]holdInterval), workerAddresses: make(map[string]string),
 	}
 	s.ports = freePorts(t, 3+2*soakWorkers+5*soakNodes)
-	s.store, s.rest = s.port(), [2]string{s.port(), s.port()}
+	s.storeAddress, s.serviceAddresses = s.nextAddress(), [2]string{s.nextAddress(), s.nextAddress()}
 	s.addWorkers()
 	s.addNodes()
 	return s
 }
 
-// port returns an address that nothing uses yet.
-func (s *soak) port() string {
-	p := s.ports[0]
+// nextAddress returns an address that is not used yet.
+func (s *soak) nextAddress() string {
+	address := s.ports[0]
 	s.ports = s.ports[1:]
-	return p
+	return address
 }
 
-// linked returns the address of a new link to a listener that is still to come.
-func (s *soak) linked() string {
-	k := newLink(s.t, s.port(), s.port())
-	s.links[k.at] = k
-	return k.at
+// addLink starts a link to an address on which a listener will be started later, and
+// returns the link's address.
+func (s *soak) addLink() string {
+	k := newLink(s.t, s.nextAddress(), s.nextAddress())
+	s.links[k.listenAddress] = k
+	return k.listenAddress
 }
 
-// addWorkers serves the site and its workers, each behind a link.
+// addWorkers starts the stand-in platform and its workers, each worker behind a link.
 func (s *soak) addWorkers() {
 	var workers []string
 	for range soakWorkers {
-		workers = append(workers, s.linked())
+		workers = append(workers, s.addLink())
 	}
 	s.site = site.New(site.Config{
-		Service: "billing", StoreAddress: s.store, AdviceAddress: s.rest[0], MachinesAddress: s.rest[1],
+		Service: "billing", StoreAddress: s.storeAddress, AdviceAddress: s.serviceAddresses[0], MachinesAddress: s.serviceAddresses[1],
 		WorkerAddress: func(n int) string { return workers[n] }, Serve: s.serve, RejectOneIn: soakRejectOneIn,
 	})
 	s.t.Cleanup(s.site.Close)
 	s.configure()
 	for i := range soakWorkers {
-		// Seeds that failed before workers could start again under their IDs stay as they were.
-		tells := s.seed%2 == 1 && !slices.Contains(failedSeeds, s.seed)
-		w := s.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000, ReportStartTime: tells})
-		s.workers, s.addresses[w.ID] = append(s.workers, w), w.Address
+		// Only workers that report their start time can restart under their id. The failed
+		// seeds are excluded, so that they inject the same faults as when they failed.
+		reportStartTime := s.seed%2 == 1 && !slices.Contains(failedSeeds, s.seed)
+		w := s.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000, ReportStartTime: reportStartTime})
+		s.workers, s.workerAddresses[w.ID] = append(s.workers, w), w.Address
 	}
 }
 
-// addNodes starts the nodes, whose ways to the store and to each other are links.
+// addNodes starts the nodes, with links to the store and between each other.
 func (s *soak) addNodes() {
 	for i := range soakNodes {
-		n := &siteNode{name: fmt.Sprintf("n%d", i), callers: s.port(), ready: s.port(), peersAt: s.linked()}
-		n.peers = s.links[n.peersAt].to
-		k := newLink(s.t, s.port(), s.store)
-		s.links[k.at], n.store = k, k.at
-		if i >= soakNodes-soakSlow {
-			for _, slow := range []*link{k, s.links[n.peersAt]} {
-				slow.in.rate, slow.out.rate = soakSlowRate, soakSlowRate
+		n := &siteNode{name: fmt.Sprintf("n%d", i), callers: s.nextAddress(), ready: s.nextAddress(), advertisedPeers: s.addLink()}
+		n.peers = s.links[n.advertisedPeers].targetAddress
+		k := newLink(s.t, s.nextAddress(), s.storeAddress)
+		s.links[k.listenAddress], n.storeAddress = k, k.listenAddress
+		if i >= soakNodes-soakSlowNodes {
+			for _, slow := range []*link{k, s.links[n.advertisedPeers]} {
+				slow.in.rate, slow.out.rate = soakSlowLinkRate, soakSlowLinkRate
 			}
 		}
-		s.seeds = append(s.seeds, n.peersAt)
+		s.seeds = append(s.seeds, n.advertisedPeers)
 		s.nodes = append(s.nodes, n)
 	}
 	for _, n := range s.nodes {
-		s.start(n)
+		s.startNode(n)
 	}
 	for _, n := range s.nodes {
-		s.until(n.name+" is ready", func() bool { return s.status(http.MethodGet, "http://"+n.ready+"/", nil) == http.StatusOK })
+		s.waitUntil(n.name+" is ready", func() bool { return s.status(http.MethodGet, "http://"+n.ready+"/", nil) == http.StatusOK })
 	}
 }
 
+// run injects faults under load, waits for the recovery and checks the results.
 func (s *soak) run() {
-	s.began = time.Now()
+	s.started = time.Now()
 	var load sync.WaitGroup
-	load.Go(s.load)
-	load.Go(s.silences)
-	load.Go(s.partsAway)
+	load.Go(s.submitJobs)
+	load.Go(s.silenceLinks)
+	load.Go(s.interruptStoreParts)
 	load.Go(s.growConfig)
-	load.Go(s.spoilEntries)
-	load.Go(s.stay)
-	load.Go(s.failingLoad)
-	load.Go(s.failNew)
-	for time.Since(s.began) < soakTime {
-		time.Sleep(s.between(faultPauseLeast, faultPauseMost))
-		s.strike()
+	load.Go(s.corruptEntries)
+	load.Go(s.submitPersistentJobs)
+	load.Go(s.submitFailingJobs)
+	load.Go(s.failNewRuns)
+	for time.Since(s.started) < soakDuration {
+		time.Sleep(s.randomDuration(minFaultPause, maxFaultPause))
+		s.injectFault()
 	}
 	load.Wait()
 	s.faults.Wait()
-	for i, id := range s.lasting {
-		// One may have been accepted by a write that came later than its cancel.
+	for i, id := range s.longRunning {
+		// The job may have been accepted by a write that was late and followed its cancellation.
 		s.cancel(i, id)
 	}
-	lasting := s.calm()
-	for i := range stayingJobs {
-		s.cancel(i, jobID(stayingBase, i))
+	checkedJobs := s.runCalmPhase()
+	for i := range persistentJobs {
+		s.cancel(i, jobID(persistentJobBase, i))
 	}
-	open := "not looked"
+	unfinished := "not checked"
 	s.t.Cleanup(func() {
 		if s.t.Failed() {
-			s.t.Logf("open: %s", open)
+			s.t.Logf("unfinished: %s", unfinished)
 		}
 	})
-	s.until("every accepted job ends", func() bool {
-		open = s.open()
-		return open == ""
+	s.waitUntil("every accepted job ends", func() bool {
+		unfinished = s.findUnfinished()
+		return unfinished == ""
 	})
 	s.checkConfig()
-	for _, wrong := range s.site.Violations(site.Expectations{Refused: s.refused, OrdersDelayed: s.heldUp, LongRunning: lasting}) {
-		s.t.Error(wrong)
+	for _, violation := range s.site.Violations(site.Expectations{Refused: s.refused, OrdersDelayed: s.ordersDelayed, LongRunning: checkedJobs}) {
+		s.t.Error(violation)
 	}
 }
 
-// between draws a time from the play's own random numbers.
-func (s *soak) between(least, most time.Duration) time.Duration { return between(s.rng, least, most) }
+// randomDuration draws a duration from the run's main sequence of random numbers.
+func (s *soak) randomDuration(shortest, longest time.Duration) time.Duration {
+	return randomDuration(s.rng, shortest, longest)
+}
 
-// between draws a time.
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)))
+// randomDuration draws a duration from shortest up to, but not including, longest.
+func randomDuration(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 }
 
-// open names what is not yet as it should be at the end; "": nothing.
-func (s *soak) open() string {
+// findUnfinished describes a job or worker that has not reached its final state yet. It
+// returns "" if there is none.
+func (s *soak) findUnfinished() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, id := range s.accepted {
@@ -262,10 +276,11 @@
 		n := s.nodes[i%len(s.nodes)]
 		status := s.call(http.MethodGet, "http://"+n.callers+"/batch/"+id, nil, &got)
 		switch {
-		case status == http.StatusOK && s.endedRight(id, got.State):
+		case status == http.StatusOK && s.endedAsExpected(id, got.State):
 		case status == http.StatusOK && slices.Contains([]string{"succeeded", "failed", "cancelled"}, got.State):
-			// Told at once: states are forgotten before the test's own limit is over.
-			s.t.Fatalf("job %s at %s has %s", id, n.name, got.State)
+			// Fails immediately: the nodes forget the states of ended jobs before the test
+			// times out.
+			s.t.Fatalf("job %s at %s has the wrong final state %s", id, n.name, got.State)
 		default:
 			return fmt.Sprintf("job %s at %s: %d %q", id, n.name, status, got.State)
 		}
--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -18,186 +18,189 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// strike begins one fault, drawn at random.
-func (s *soak) strike() {
-	kinds := []func(){s.strikeProcess, s.strikeProcess, s.strikeLink, s.strikeLink, s.strikeStore, s.strikeWorker, s.configure}
+// injectFault starts a random fault.
+func (s *soak) injectFault() {
+	kinds := []func(){s.injectProcessFault, s.injectProcessFault, s.injectLinkFault, s.injectLinkFault, s.injectStoreFault, s.injectWorkerFault, s.configure}
 	kinds[s.rng.IntN(len(kinds))]()
 }
 
-func (s *soak) strikeProcess() {
+// injectProcessFault kills, pauses or stops a random node, or sends it a hangup signal.
+func (s *soak) injectProcessFault() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(4) {
 	case 0:
-		s.during(n.name, "killed", func() { s.kill(n) }, func() { s.start(n) })
+		s.runFault(n.name, "killed", func() { s.killNode(n) }, func() { s.startNode(n) })
 	case 1:
-		s.during(n.name, "paused", func() { s.signal(n, syscall.SIGSTOP) }, func() { s.signal(n, syscall.SIGCONT) })
+		s.runFault(n.name, "paused", func() { s.signal(n, syscall.SIGSTOP) }, func() { s.signal(n, syscall.SIGCONT) })
 	case 2:
-		s.during(n.name, "stopped as planned", func() { s.signal(n, syscall.SIGTERM) }, func() {
+		s.runFault(n.name, "stopped as planned", func() { s.signal(n, syscall.SIGTERM) }, func() {
 			_ = n.cmd.Wait()
-			s.start(n)
+			s.startNode(n)
 		})
 	default:
-		s.during(n.name, "hung up", func() { s.signal(n, syscall.SIGHUP) }, func() {})
+		s.runFault(n.name, "gets SIGHUP", func() { s.signal(n, syscall.SIGHUP) }, func() {})
 	}
 }
 
-func (s *soak) strikeLink() {
-	var at, what string
+// injectLinkFault delays, holds back or resets the connections of a random link.
+func (s *soak) injectLinkFault() {
+	var address, target string
 	switch k := s.rng.IntN(soakNodes*2 + soakWorkers); {
 	case k < soakNodes:
-		at, what = s.nodes[k].store, s.nodes[k].name+" to the store"
+		address, target = s.nodes[k].storeAddress, s.nodes[k].name+" to the store"
 	case k < soakNodes*2:
-		at, what = s.nodes[k-soakNodes].peersAt, "others to "+s.nodes[k-soakNodes].name
+		address, target = s.nodes[k-soakNodes].advertisedPeers, "others to "+s.nodes[k-soakNodes].name
 	default:
 		s.mu.Lock()
-		at = s.workers[k-soakNodes*2].Address
+		address = s.workers[k-soakNodes*2].Address
 		s.mu.Unlock()
-		what = fmt.Sprintf("to worker %d", k-soakNodes*2)
+		target = fmt.Sprintf("to worker %d", k-soakNodes*2)
 	}
 	states := []linkState{{delay: 50 * time.Millisecond}, {holdIn: true}, {holdOut: true}, {holdIn: true, holdOut: true}, {reset: true}}
 	state := states[s.rng.IntN(len(states))]
-	k := s.links[at]
+	k := s.links[address]
 	var from time.Time
-	s.during(what, fmt.Sprintf("%+v", state), func() {
+	s.runFault(target, fmt.Sprintf("%+v", state), func() {
 		from = time.Now()
-		k.set(state)
+		k.setState(state)
 	}, func() {
-		k.set(linkState{})
+		k.setState(linkState{})
 		s.mu.Lock()
-		s.held[at] = append(s.held[at], heldTime{from, time.Now()})
+		s.linkHolds[address] = append(s.linkHolds[address], holdInterval{from, time.Now()})
 		s.mu.Unlock()
 	})
 }
 
-// The pause between two silences, which have random numbers of their own: so the
-// seeds that are kept go on playing what they played when they failed.
-const silenceLeast, silenceMost = 2 * time.Second, 9 * time.Second
+// The pause between two silences. Silences and the other repeated faults each have their own
+// sequence of random numbers, so that failed seeds inject the same faults as when they failed.
+const minSilencePause, maxSilencePause = 2 * time.Second, 9 * time.Second
 
-// draw returns one in so many of a list, on average.
-func draw(rng *rand.Rand, list []string, oneIn int) []string {
-	var drawn []string
+// sample returns each element of a list with a chance of one in oneIn.
+func sample(rng *rand.Rand, list []string, oneIn int) []string {
+	var sampled []string
 	for _, x := range list {
 		if rng.IntN(oneIn) == 0 {
-			drawn = append(drawn, x)
+			sampled = append(sampled, x)
 		}
 	}
-	return drawn
+	return sampled
 }
 
-// silences lets the open connections of some or all links go silent now and then.
-func (s *soak) silences() {
+// silenceLinks repeatedly silences the open connections of some or all links.
+func (s *soak) silenceLinks() {
 	rng := rand.New(rand.NewPCG(s.seed, ^s.seed)) //nolint:gosec // A seed must give the same play.
 	addresses := slices.Sorted(maps.Keys(s.links))
 	for {
-		time.Sleep(between(rng, silenceLeast, silenceMost))
-		// All links, or one in two or three.
+		time.Sleep(randomDuration(rng, minSilencePause, maxSilencePause))
+		// All links, or on average every second or third.
 		oneIn := rng.IntN(3) + 1
-		if time.Since(s.began) > soakTime {
+		if time.Since(s.started) > soakDuration {
 			return
 		}
-		silenced := draw(rng, addresses, oneIn)
-		for _, at := range silenced {
-			s.links[at].silence()
+		silenced := sample(rng, addresses, oneIn)
+		for _, address := range silenced {
+			s.links[address].silence()
 		}
-		s.t.Logf("%6.2f s: the open connections of %d of %d links go silent", time.Since(s.began).Seconds(), len(silenced), len(addresses))
+		s.t.Logf("%6.2f s: the open connections of %d of %d links go silent", time.Since(s.started).Seconds(), len(silenced), len(addresses))
 	}
 }
 
-// How long parts of the store are away, and the pause between two such times, which
-// have random numbers of their own as well.
+// The duration of an outage of parts of the store, and the pause between two outages.
 const (
-	awayLeast, awayMost           = time.Second, 4 * time.Second
-	awayPauseLeast, awayPauseMost = 3 * time.Second, 10 * time.Second
+	minPartOutage, maxPartOutage           = time.Second, 4 * time.Second
+	minPartOutagePause, maxPartOutagePause = 3 * time.Second, 10 * time.Second
 )
 
-// storeParts returns the parts of the jobs, of the owners' rows and of the shards' progress.
+// storeParts returns the parts of the store: those of the jobs, that of the owners' rows
+// (""), and those of the shards' progress.
 func storeParts() []string {
 	parts := append(owner.JobParts("billing"), "")
-	for i := range soakWorkers / soakShard {
+	for i := range soakWorkers / soakWorkersPerShard {
 		parts = append(parts, owner.ProgressPart(cluster.ShardID{Service: "billing", Index: i}))
 	}
 	return parts
 }
 
-// partsAway takes a random share of the store's parts away now and then: of those of
-// the jobs, of the shards' progress, and at times the one of the owners' rows.
-func (s *soak) partsAway() {
+// interruptStoreParts repeatedly makes a random selection of the store's parts unavailable.
+func (s *soak) interruptStoreParts() {
 	rng := rand.New(rand.NewPCG(^s.seed, s.seed)) //nolint:gosec // A seed must give the same play.
 	parts := storeParts()
 	for {
-		time.Sleep(between(rng, awayPauseLeast, awayPauseMost))
+		time.Sleep(randomDuration(rng, minPartOutagePause, maxPartOutagePause))
 		oneIn := rng.IntN(3) + 2
-		away := draw(rng, parts, oneIn)
-		d := between(rng, awayLeast, awayMost)
-		if time.Since(s.began)+d > soakTime {
+		unavailable := sample(rng, parts, oneIn)
+		d := randomDuration(rng, minPartOutage, maxPartOutage)
+		if time.Since(s.started)+d > soakDuration {
 			return
 		}
-		s.t.Logf("%6.2f s: %d of %d parts of the store are away for %s, that of the owners' rows: %v",
-			time.Since(s.began).Seconds(), len(away), len(parts), d, slices.Contains(away, ""))
-		s.site.Store.SetUnavailableParts(away...)
+		s.t.Logf("%6.2f s: %d of %d parts of the store unavailable for %s, that of the owners' rows: %v",
+			time.Since(s.started).Seconds(), len(unavailable), len(parts), d, slices.Contains(unavailable, ""))
+		s.site.Store.SetUnavailableParts(unavailable...)
 		time.Sleep(d)
 		s.site.Store.SetUnavailableParts()
 	}
 }
 
-func (s *soak) strikeStore() {
+// injectStoreFault makes the store fail in a random way.
+func (s *soak) injectStoreFault() {
 	faults := []site.StoreFaults{
 		{Down: true}, {Down: true, Busy: true}, {Delay: 200 * time.Millisecond}, {LoseReplies: 8}, {Late: 8, LateBy: 3 * time.Second}, {NoHistory: true},
 	}
 	f := faults[s.rng.IntN(len(faults))]
-	s.during("store", fmt.Sprintf("%+v", f), func() { s.site.Store.SetFaults(f) }, func() { s.site.Store.SetFaults(site.StoreFaults{}) })
+	s.runFault("store", fmt.Sprintf("%+v", f), func() { s.site.Store.SetFaults(f) }, func() { s.site.Store.SetFaults(site.StoreFaults{}) })
 }
 
-func (s *soak) strikeWorker() {
+// injectWorkerFault restarts, drains, stalls or delays a random worker.
+func (s *soak) injectWorkerFault() {
 	i := s.rng.IntN(soakWorkers)
 	s.mu.Lock()
 	w := s.workers[i]
 	s.mu.Unlock()
-	thing := fmt.Sprintf("worker %d", i)
+	target := fmt.Sprintf("worker %d", i)
 	restart := func() {
 		w.Crash()
 		next := s.site.Restart(w)
 		s.mu.Lock()
-		s.workers[i], s.addresses[next.ID] = next, next.Address
+		s.workers[i], s.workerAddresses[next.ID] = next, next.Address
 		s.mu.Unlock()
 	}
-	calm := func() { w.SetFaults(site.WorkerFaults{}) }
+	clearFaults := func() { w.SetFaults(site.WorkerFaults{}) }
 	switch s.rng.IntN(4) {
 	case 0:
 		if w.ReportsStartTime() {
-			s.during(thing, "starts again in series", func() { s.startAgain(i) }, func() {})
+			s.runFault(target, "restarts repeatedly", func() { s.restartRepeatedly(i) }, func() {})
 			return
 		}
-		s.during(thing, "crashes", w.Crash, restart)
+		s.runFault(target, "crashes", w.Crash, restart)
 	case 1:
-		s.during(thing, "drains and leaves", w.Drain, restart)
+		s.runFault(target, "drains and leaves", w.Drain, restart)
 	case 2:
-		s.during(thing, "stands still", func() { w.SetFaults(site.WorkerFaults{Stuck: true}) }, calm)
+		s.runFault(target, "is stuck", func() { w.SetFaults(site.WorkerFaults{Stuck: true}) }, clearFaults)
 	default:
-		s.during(thing, "carries out late", func() { w.SetFaults(site.WorkerFaults{Late: 3, LateBy: 3 * time.Second}) }, calm)
+		s.runFault(target, "carries out orders late", func() { w.SetFaults(site.WorkerFaults{Late: 3, LateBy: 3 * time.Second}) }, clearFaults)
 	}
 }
 
-// startAgain lets a worker crash and start again under its ID within milliseconds, a few
-// times in a row; its host's clock steps meanwhile.
-func (s *soak) startAgain(i int) {
-	const most = 30 // milliseconds
+// restartRepeatedly crashes a worker and restarts it under its id within milliseconds, up to
+// three times in a row. Each time, the clock of its host jumps by up to 3 s.
+func (s *soak) restartRepeatedly(i int) {
+	const maxPauseMS = 30
 	for range 1 + s.rng.IntN(3) {
 		s.mu.Lock()
 		w := s.workers[i]
 		s.mu.Unlock()
-		pause, clockSet := time.Duration(s.rng.IntN(most))*time.Millisecond, time.Duration(s.rng.IntN(7)-3)*time.Second
-		s.t.Logf("%6.2f s: worker %d starts again after %s, its clock set by %s", time.Since(s.began).Seconds(), i, pause, clockSet)
+		pause, clockStep := time.Duration(s.rng.IntN(maxPauseMS))*time.Millisecond, time.Duration(s.rng.IntN(7)-3)*time.Second
+		s.t.Logf("%6.2f s: worker %d restarts after %s, its clock changed by %s", time.Since(s.started).Seconds(), i, pause, clockStep)
 		w.Crash()
 		time.Sleep(pause)
-		next := s.site.RestartSameID(w, clockSet)
+		next := s.site.RestartSameID(w, clockStep)
 		s.mu.Lock()
 		s.workers[i] = next
 		s.mu.Unlock()
 	}
 }
 
-// configure puts the next version of the configuration in force.
+// configure publishes the next version of the configuration.
 func (s *soak) configure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,55 +212,55 @@
 	extra := route
 	extra.Name, extra.PathPrefix = fmt.Sprintf("extra%d", s.version), fmt.Sprintf("/extra%d/", s.version)
 	routes := []site.Route{urgent, route, extra}
-	for i := range s.more {
+	for i := range s.extraRoutes {
 		routes = append(routes, site.Route{Name: fmt.Sprintf("more%d", i), Host: "another", PathPrefix: fmt.Sprintf("/more%d/", i), MaxAttempts: 3, Stretch: 2, Upstream: "billing", Advice: urgent.Advice})
 	}
 	s.site.Configure(s.version, routes...)
 }
 
-// The pause between two times at which the configuration grows, and by how many routes.
+// The pause between two extensions of the configuration, and the routes that each one adds.
 const (
-	growLeast, growMost = 2 * time.Second, 6 * time.Second
-	growBy              = 700
+	minGrowPause, maxGrowPause = 2 * time.Second, 6 * time.Second
+	routesPerGrowth            = 700
 )
 
-// growConfig lets the configuration grow by many routes now and then.
+// growConfig repeatedly adds many routes to the configuration.
 func (s *soak) growConfig() {
 	rng := rand.New(rand.NewPCG(^s.seed, ^s.seed)) //nolint:gosec // A seed must give the same play.
 	for {
-		time.Sleep(between(rng, growLeast, growMost))
-		if time.Since(s.began) > soakTime {
+		time.Sleep(randomDuration(rng, minGrowPause, maxGrowPause))
+		if time.Since(s.started) > soakDuration {
 			return
 		}
 		s.mu.Lock()
-		s.more += growBy
+		s.extraRoutes += routesPerGrowth
 		s.mu.Unlock()
 		s.configure()
 	}
 }
 
-// The pause between two times at which another writer spoils entries of the directory.
-const spoilLeast, spoilMost = 500 * time.Millisecond, 4 * time.Second
+// The pause between two times at which another writer corrupts entries of the directory.
+const minCorruptPause, maxCorruptPause = 500 * time.Millisecond, 4 * time.Second
 
-// spoilEntries is another writer of the directory.
-func (s *soak) spoilEntries() {
+// corruptEntries simulates another writer that corrupts entries of the directory.
+func (s *soak) corruptEntries() {
 	rng := rand.New(rand.NewPCG(s.seed, s.seed+1)) //nolint:gosec // A seed must give the same play.
 	for {
-		time.Sleep(between(rng, spoilLeast, spoilMost))
-		if time.Since(s.began) > soakTime {
+		time.Sleep(randomDuration(rng, minCorruptPause, maxCorruptPause))
+		if time.Since(s.started) > soakDuration {
 			return
 		}
 		s.site.CorruptSomeEntries(rng)
 	}
 }
 
-// checkConfig checks that the last configuration comes into force on each node, and that
-// none goes back to an earlier one.
+// checkConfig checks that the last configuration comes into force on each node, and that no
+// node still serves a route that it removed.
 func (s *soak) checkConfig() {
 	s.configure()
 	path := func(version int64) string { return fmt.Sprintf("/extra%d/", version) }
 	for _, n := range s.nodes {
-		s.until(n.name+" has the last configuration", func() bool {
+		s.waitUntil(n.name+" has the last configuration", func() bool {
 			return s.status(http.MethodGet, "http://"+n.callers+path(s.version), nil) == http.StatusOK
 		})
 		if status := s.status(http.MethodGet, "http://"+n.callers+path(s.version-1), nil); status != http.StatusNotFound {
@@ -266,39 +269,41 @@
 	}
 }
 
-// during lets a fault last for a while, unless the thing has one already.
-func (s *soak) during(thing, what string, begin, end func()) {
-	d := s.between(faultLeast, faultMost)
+// runFault starts a fault and ends it after a random duration. It does nothing if a fault is
+// already active on the target.
+func (s *soak) runFault(target, fault string, begin, end func()) {
+	d := s.randomDuration(minFaultDuration, maxFaultDuration)
 	s.mu.Lock()
-	taken := s.busy[thing]
-	s.busy[thing] = true
+	active := s.faultActive[target]
+	s.faultActive[target] = true
 	s.mu.Unlock()
-	if taken {
+	if active {
 		return
 	}
-	s.t.Logf("%6.2f s: %s: %s for %s", time.Since(s.began).Seconds(), thing, what, d.Round(time.Millisecond))
+	s.t.Logf("%6.2f s: %s: %s for %s", time.Since(s.started).Seconds(), target, fault, d.Round(time.Millisecond))
 	begin()
 	s.faults.Go(func() {
 		time.Sleep(d)
 		end()
 		s.mu.Lock()
-		s.busy[thing] = false
+		s.faultActive[target] = false
 		s.mu.Unlock()
 	})
 }
 
-// heldTime is a time in which a link was held up.
-type heldTime struct{ from, to time.Time }
+// holdInterval is an interval in which a link had a fault.
+type holdInterval struct{ from, to time.Time }
 
-// heldSlack is how long after its link is mended a worker may still read old orders.
-const heldSlack = time.Second
+// holdSlack is how long after the end of a link's fault a worker may still read old orders.
+const holdSlack = time.Second
 
-// heldUp reports whether orders that a worker read at a time may have been held up.
-func (s *soak) heldUp(worker string, at time.Time) bool {
+// ordersDelayed reports whether a link's fault may have delayed the orders that a worker read
+// at the given time.
+func (s *soak) ordersDelayed(worker string, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.held[s.addresses[worker]] {
-		if at.After(h.from) && at.Before(h.to.Add(heldSlack)) {
+	for _, h := range s.linkHolds[s.workerAddresses[worker]] {
+		if at.After(h.from) && at.Before(h.to.Add(holdSlack)) {
 			return true
 		}
 	}
--- a/e2e/soaklasting_test.go
+++ b/e2e/soaklasting_test.go
@@ -15,19 +15,20 @@
 	"switchbank.example/switchbank/standin/site"
 )
 
-// stayingJob is a job whose tasks last and fail by themselves, and which stays until the
-// play's end. Its room is small: each worker could hold all tasks of all of them.
-type stayingJob struct {
+// persistentJob is a job of long-running tasks that fail by themselves. It runs until the end
+// of the test. Its tasks are so small that one worker has capacity for all tasks of all
+// persistent jobs.
+type persistentJob struct {
 	queue string
 	tasks int
-	// spread is set where a worker takes one of its tasks: three of a shard's four workers
-	// have room for them all, so that advice may reject one.
+	// spread allows at most one of the job's tasks on a worker. Its three tasks need three of
+	// a shard's four workers, so that advice may reject one worker.
 	spread bool
-	// mean is the mean time after which a run fails.
-	mean time.Duration
+	// meanTimeToFailure is the mean time until a run fails.
+	meanTimeToFailure time.Duration
 }
 
-var stayingJobs = []stayingJob{
+var persistentJobs = []persistentJob{
 	{"urgent", 3, true, 2 * time.Second},
 	{"batch", 3, true, 3 * time.Second},
 	{"urgent", 3, true, 4 * time.Second},
@@ -37,80 +38,85 @@
 }
 
 const (
-	// Bases of the ids of jobs beside the load's, which number them from 1.
-	stayingBase, failingBase, calmBase = 0x1000, 0x2000, 0x3000
-	// stayingPause is the pause between two jobs that stay, so that some come amid faults.
-	stayingPause = time.Second
-	// failingPause is the pause between two batches that fail.
-	failingPause = 900 * time.Millisecond
-	// calmPause is the pause between two jobs of the calm phase: a fifth of the room is used.
-	calmPause = 400 * time.Millisecond
-	// settleTime is how long after the last fault nothing is judged: what a lost owner had
-	// running on a worker that doesn't answer waits for the end of its lease, of 8 s, and
-	// up to 2 s go by until another node has taken the shard over.
+	// First ids of the jobs of each kind; those of the load start at 1.
+	persistentJobBase, failingJobBase, calmJobBase = 0x1000, 0x2000, 0x3000
+	// persistentJobInterval is the time between two persistent jobs, which lets some of them
+	// be submitted during faults.
+	persistentJobInterval = time.Second
+	// failingJobInterval is the time between two batches that fail.
+	failingJobInterval = 900 * time.Millisecond
+	// calmJobInterval is the time between two jobs of the calm phase; they use a fifth of the
+	// capacity.
+	calmJobInterval = 400 * time.Millisecond
+	// settleTime is how long after the last fault nothing is checked: runs that a lost owner
+	// had on a worker that doesn't answer must wait for the end of their lease of 8 s, and
+	// it takes up to 2 s until another node has taken the shard over.
 	settleTime = 10 * time.Second
-	// calmTime is twice the bound within which a task that lasts runs again.
-	calmTime = 12 * time.Second
-	// attempts is how often a batch's task may fail, as the routes say.
-	attempts = 3
+	// calmDuration is twice the time within which a long-running task must run again.
+	calmDuration = 12 * time.Second
+	// maxAttempts is how often a task of a batch is tried; the routes set the same number.
+	maxAttempts = 3
 )
 
-// failingJob is a batch whose tasks fail by their own fault.
+// failingJob is a batch whose tasks fail by themselves.
 const failingJob = `{"Spec":"300 failing cpu=500","Steps":[{"Count":2,"Cpu":500,"MemMb":100,"EstimateMs":300}]}`
 
-func (j stayingJob) body() string {
+// body returns the body of the request that submits the job.
+func (j persistentJob) body() string {
 	spread := ""
 	if j.spread {
 		spread = `,"AntiAffinity":1`
 	}
 	return fmt.Sprintf(`{"Spec":"100 lasting cpu=200 fails_after=%d","Steps":[{"Count":%d,"Cpu":200,"MemMb":100,"LongRunning":true%s}]}`,
-		j.mean.Milliseconds(), j.tasks, spread)
+		j.meanTimeToFailure.Milliseconds(), j.tasks, spread)
 }
 
+// jobID returns the id of the i-th job whose ids start at base.
 func jobID(base, i int) string { return fmt.Sprintf("%016x", base+i) }
 
-// stay hands the jobs that stay in.
-func (s *soak) stay() {
-	for i, j := range stayingJobs {
-		s.handIn(i, j.queue, jobID(stayingBase, i), j.body())
-		time.Sleep(stayingPause)
+// submitPersistentJobs submits the persistent jobs.
+func (s *soak) submitPersistentJobs() {
+	for i, j := range persistentJobs {
+		s.submitJob(i, j.queue, jobID(persistentJobBase, i), j.body())
+		time.Sleep(persistentJobInterval)
 	}
 }
 
-// failingLoad hands batches in that fail.
-func (s *soak) failingLoad() {
-	for i := 0; time.Since(s.began) < soakTime; i++ {
-		s.handInFailing(i, jobID(failingBase, i))
-		time.Sleep(failingPause)
+// submitFailingJobs submits batches that fail until soakDuration is over.
+func (s *soak) submitFailingJobs() {
+	for i := 0; time.Since(s.started) < soakDuration; i++ {
+		s.submitFailingJob(i, jobID(failingJobBase, i))
+		time.Sleep(failingJobInterval)
 	}
 }
 
-func (s *soak) handInFailing(i int, id string) {
+// submitFailingJob submits a batch whose tasks fail by themselves.
+func (s *soak) submitFailingJob(i int, id string) {
 	s.mu.Lock()
 	s.failing[id] = true
 	s.mu.Unlock()
-	s.handIn(i, "batch", id, failingJob)
+	s.submitJob(i, "batch", id, failingJob)
 }
 
-// The pause between two times at which workers fail all that starts there, how long that
-// lasts, and how many they are, with random numbers of their own as well.
+// The pause between two periods in which some workers fail all new runs, the duration of a
+// period, and the maximum number of these workers.
 const (
-	failNewPauseLeast, failNewPauseMost = time.Second, 4 * time.Second
-	failNewLeast, failNewMost           = time.Second, 5 * time.Second
-	failNewWorkers                      = 3
+	minFailNewPause, maxFailNewPause       = time.Second, 4 * time.Second
+	minFailNewDuration, maxFailNewDuration = time.Second, 5 * time.Second
+	maxFailNewWorkers                      = 3
 )
 
-// failNew lets some workers fail all that starts there now and then.
-func (s *soak) failNew() {
+// failNewRuns repeatedly makes some workers fail all runs that start there.
+func (s *soak) failNewRuns() {
 	rng := rand.New(rand.NewPCG(s.seed+1, s.seed)) //nolint:gosec // A seed must give the same play.
 	for {
-		time.Sleep(between(rng, failNewPauseLeast, failNewPauseMost))
-		drawn := rng.Perm(soakWorkers)[:rng.IntN(failNewWorkers)+1]
-		d := between(rng, failNewLeast, failNewMost)
-		if time.Since(s.began) > soakTime {
+		time.Sleep(randomDuration(rng, minFailNewPause, maxFailNewPause))
+		drawn := rng.Perm(soakWorkers)[:rng.IntN(maxFailNewWorkers)+1]
+		d := randomDuration(rng, minFailNewDuration, maxFailNewDuration)
+		if time.Since(s.started) > soakDuration {
 			return
 		}
-		s.t.Logf("%6.2f s: workers %v fail all that starts for %s", time.Since(s.began).Seconds(), drawn, d.Round(time.Millisecond))
+		s.t.Logf("%6.2f s: workers %v fail all new runs for %s", time.Since(s.started).Seconds(), drawn, d.Round(time.Millisecond))
 		var failing []*site.Worker
 		s.mu.Lock()
 		for _, i := range drawn {
@@ -127,44 +133,45 @@
 	}
 }
 
-// calm lets the system settle after the last fault, and then a light load go on for a
-// while in which every task that lasts has room. It returns what is judged of them.
-func (s *soak) calm() []site.LongRunningJob {
+// runCalmPhase waits until the cell has recovered from the last fault, and then applies a
+// light load that leaves capacity for every long-running task. It returns the persistent jobs
+// whose tasks must run again within their bound in this phase.
+func (s *soak) runCalmPhase() []site.LongRunningJob {
 	time.Sleep(settleTime)
 	from := time.Now()
-	s.t.Logf("%6.2f s: calm", from.Sub(s.began).Seconds())
+	s.t.Logf("%6.2f s: calm phase", from.Sub(s.started).Seconds())
 	var calls sync.WaitGroup
-	for i := 0; time.Since(from) < calmTime; i++ {
+	for i := 0; time.Since(from) < calmDuration; i++ {
 		kind := i % len(soakJobs)
-		id := jobID(calmBase, i)
+		id := jobID(calmJobBase, i)
 		calls.Go(func() {
-			if kind == lastingJob {
-				s.handInFailing(i, id)
+			if kind == longRunningJob {
+				s.submitFailingJob(i, id)
 				return
 			}
-			s.handIn(i, soakJobs[kind].queue, id, soakJobs[kind].body)
+			s.submitJob(i, soakJobs[kind].queue, id, soakJobs[kind].body)
 		})
-		time.Sleep(calmPause)
+		time.Sleep(calmJobInterval)
 	}
 	until := time.Now()
 	calls.Wait()
-	var judged []site.LongRunningJob
-	for i, j := range stayingJobs {
-		id := jobID(stayingBase, i)
-		if s.hasRoom(id, j) {
-			judged = append(judged, site.LongRunningJob{Job: id, Tasks: j.tasks, From: from, Until: until})
+	var checked []site.LongRunningJob
+	for i, j := range persistentJobs {
+		id := jobID(persistentJobBase, i)
+		if s.hasCapacity(id, j) {
+			checked = append(checked, site.LongRunningJob{Job: id, Tasks: j.tasks, From: from, Until: until})
 		}
 	}
-	return judged
+	return checked
 }
 
-// hasRoom reports whether a job was accepted, and whether at most one of the workers is
-// rejected for it: a step that is spread has no room in a shard in which two are.
-func (s *soak) hasRoom(id string, j stayingJob) bool {
+// hasCapacity reports whether a job was accepted and all its tasks can run. Advice may reject
+// at most one worker for a step that is spread: a shard in which it rejects two has too few.
+func (s *soak) hasCapacity(id string, j persistentJob) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(s.accepted, id) {
-		s.t.Logf("%s isn't judged: no call told that it was accepted", id)
+		s.t.Logf("%s isn't checked: no call reported that it was accepted", id)
 		return false
 	}
 	rejected := 0
@@ -174,44 +181,45 @@
 		}
 	}
 	if rejected > 1 && j.spread {
-		s.t.Logf("%s isn't judged: advice rejects %d workers", id, rejected)
+		s.t.Logf("%s isn't checked: advice rejects %d workers", id, rejected)
 		return false
 	}
 	return true
 }
 
-// endedRight reports whether a job has ended as it must. One may have failed only if one
-// of its tasks has used up its attempts, and must have if its tasks fail by their own fault.
-func (s *soak) endedRight(id, state string) bool {
+// endedAsExpected reports whether a job's final state is correct. A job whose tasks fail by
+// themselves must have failed; any other may have failed only if one of its tasks has used up
+// its attempts.
+func (s *soak) endedAsExpected(id, state string) bool {
 	switch {
 	case s.canceled[id]:
 		return state == "cancelled"
 	case s.failing[id]:
 		return state == "failed"
 	case state == "failed":
-		return s.usedUp(id)
+		return s.attemptsExhausted(id)
 	default:
 		return state == "succeeded"
 	}
 }
 
-// usedUp reports whether runs of one of a job's tasks have failed as often as they may.
-// A gang's run fails once, however many of its tasks do.
-func (s *soak) usedUp(job string) bool {
-	failed := make(map[string]map[int64]bool)
+// attemptsExhausted reports whether one of a job's tasks has used up its attempts. A gang has
+// the same run for all its tasks, which counts as one failure however many of them fail.
+func (s *soak) attemptsExhausted(job string) bool {
+	failedRuns := make(map[string]map[int64]bool)
 	for _, e := range s.site.Events() {
-		of, task, _ := strings.Cut(e.Task, ".")
-		if of != job || !e.Failed {
+		eventJob, task, _ := strings.Cut(e.Task, ".")
+		if eventJob != job || !e.Failed {
 			continue
 		}
 		if s.gangs[job] {
 			task = ""
 		}
-		if failed[task] == nil {
-			failed[task] = make(map[int64]bool)
+		if failedRuns[task] == nil {
+			failedRuns[task] = make(map[int64]bool)
 		}
-		failed[task][e.Run] = true
-		if len(failed[task]) >= attempts {
+		failedRuns[task][e.Run] = true
+		if len(failedRuns[task]) >= maxAttempts {
 			return true
 		}
 	}
--- a/e2e/soakload_test.go
+++ b/e2e/soakload_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// The jobs of the load; a task's room stands in its Spec too, for the workers to check.
+// soakJobs are the jobs of the load. The Spec repeats the size of the tasks, so that the
+// workers can check their load independently of the nodes.
 var soakJobs = []struct{ queue, body string }{
 	{"urgent", `{"Spec":"400 cpu=500","Steps":[{"Count":2,"Cpu":500,"MemMb":100,"EstimateMs":400},{"Count":2,"Cpu":500,"MemMb":100,"EstimateMs":400,"DependsOn":[0]}]}`},
 	{"urgent", `{"Spec":"400 cpu=500","Steps":[{"Count":3,"Cpu":500,"MemMb":100,"EstimateMs":400}]}`},
@@ -21,35 +22,35 @@
 	{"batch", `{"Spec":"100 lasting cpu=200","Steps":[{"Count":4,"Cpu":200,"MemMb":100,"LongRunning":true}]}`},
 }
 
-// lastingJob is the index of the job that runs until it is cancelled.
-const lastingJob = 4
+// longRunningJob is the index in soakJobs of the job that runs until it is cancelled.
+const longRunningJob = 4
 
-// load hands jobs in, and cancels those that last.
-func (s *soak) load() {
+// submitJobs submits jobs until soakDuration is over, and cancels the long-running ones.
+func (s *soak) submitJobs() {
 	var calls sync.WaitGroup
-	for i := 0; time.Since(s.began) < soakTime; i++ {
+	for i := 0; time.Since(s.started) < soakDuration; i++ {
 		kind := i % (len(soakJobs) - 1)
 		if i%20 == 19 {
-			kind = lastingJob
+			kind = longRunningJob
 		}
 		calls.Go(func() {
 			id := fmt.Sprintf("%016x", i+1)
-			s.handIn(i, soakJobs[kind].queue, id, soakJobs[kind].body)
-			if kind == lastingJob {
+			s.submitJob(i, soakJobs[kind].queue, id, soakJobs[kind].body)
+			if kind == longRunningJob {
 				s.mu.Lock()
-				s.lasting = append(s.lasting, id)
+				s.longRunning = append(s.longRunning, id)
 				s.mu.Unlock()
 				time.Sleep(time.Second)
 				s.cancel(i, id)
 			}
 		})
-		time.Sleep(soakPause)
+		time.Sleep(soakJobInterval)
 	}
 	calls.Wait()
 }
 
-// handIn calls one node after the other until the job is accepted, five times at most.
-func (s *soak) handIn(i int, queue, id, body string) {
+// submitJob sends a job to one node after the other until one accepts it, at most five times.
+func (s *soak) submitJob(i int, queue, id, body string) {
 	s.mu.Lock()
 	s.gangs[id] = strings.Contains(body, `"Gang":true`)
 	s.mu.Unlock()
@@ -70,10 +71,10 @@
 	s.mu.Unlock()
 }
 
-// cancel cancels a job, also one of which it isn't known whether it was accepted:
-// 410 says that there is none.
+// cancel cancels a job, also one that may not have been accepted: status 410 means that there
+// is no such job.
 func (s *soak) cancel(i int, id string) {
-	s.until("cancel of "+id+" is taken", func() bool {
+	s.waitUntil("the cancellation of "+id+" is accepted", func() bool {
 		i++
 		status := s.status(http.MethodDelete, "http://"+s.nodes[i%len(s.nodes)].callers+"/batch/"+id, nil)
 		return status == http.StatusOK || status == http.StatusGone
