--- a/internal/cell/configuration.go
+++ b/internal/cell/configuration.go
@@ -30,9 +30,9 @@
 func (n *Node) followConfig(ctx context.Context) {
 	f := tables.Follower{
 		Service: directStore{n.store, n.relay}, Table: n.Configs.Table(), Parts: []string{""}, FeedWait: configFeedWait,
-		Apply: func(rows []tables.Row, whole bool) {
+		Apply: func(rows []tables.Row, full bool) {
 			for _, r := range rows {
-				n.applyConfigRow(r, whole)
+				n.applyConfigRow(r, full)
 			}
 		},
 		OnError: n.logReadFailure(n.Configs.Table()),
--- a/internal/cell/metrics.go
+++ b/internal/cell/metrics.go
@@ -77,8 +77,8 @@
 	n.metrics.GetOrCreateHistogram(`switchbank_call_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// countRejectedEntry counts an entry of the directory that describes no valid worker.
-func (n *Node) countRejectedEntry(reason cluster.Kind) {
+// countInvalidEntry counts an entry of the directory that describes no valid worker.
+func (n *Node) countInvalidEntry(reason cluster.Kind) {
 	n.metrics.GetOrCreateCounter(`switchbank_worker_entries_refused_total{reason="` + string(reason) + `"}`).Inc()
 }
 
--- a/internal/conns/stall.go
+++ b/internal/conns/stall.go
@@ -72,15 +72,15 @@
 // ResponseStarted reports whether the response of a call under a stall timeout has begun to
 // arrive.
 func ResponseStarted(ctx context.Context) bool {
-	l, ok := ctx.Value(stallTimerKey{}).(*stallTimer)
-	return ok && l.arrived.Load()
+	t, ok := ctx.Value(stallTimerKey{}).(*stallTimer)
+	return ok && t.arrived.Load()
 }
 
 // recordProgress records that a part of a call's response has arrived, and restarts its stall
 // timer.
 func recordProgress(ctx context.Context) {
-	if l, ok := ctx.Value(stallTimerKey{}).(*stallTimer); ok && ctx.Err() == nil {
-		l.arrived.Store(true)
-		l.timer.Reset(StallTimeout)
+	if t, ok := ctx.Value(stallTimerKey{}).(*stallTimer); ok && ctx.Err() == nil {
+		t.arrived.Store(true)
+		t.timer.Reset(StallTimeout)
 	}
 }
--- a/internal/owner/deleteloop.go
+++ b/internal/owner/deleteloop.go
@@ -22,9 +22,9 @@
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, deleteInterval)
 		o.mu.Lock()
-		droppedJobs := o.shard.TakeForgottenJobs()
+		forgottenJobs := o.shard.TakeForgottenJobs()
 		o.mu.Unlock()
-		for _, id := range droppedJobs {
+		for _, id := range forgottenJobs {
 			o.deleteQueue.add(pinRow(o.cfg.Shard, id))
 		}
 		if rows := o.deleteQueue.takeBatch(); len(rows) > 0 {
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -26,9 +26,9 @@
 	minDirectoryPause       = 200 * time.Millisecond
 	directoryPausePerWorker = 2 * time.Millisecond
 	maxDirectoryPause       = time.Second
-	// maxRefusedEntries is how many refused entries are remembered, so that each is reported
+	// maxInvalidEntries is how many invalid entries are remembered, so that each is reported
 	// once: as many as a large shard has workers.
-	maxRefusedEntries = 1000
+	maxInvalidEntries = 1000
 )
 
 // followWorkers keeps the list of workers current and a hold loop running for each.
@@ -93,24 +93,24 @@
 // decodeEntry decodes a row of the directory.
 func (o *Owner) decodeEntry(r tables.Row) directoryEntry {
 	if r.Deleted {
-		o.refusedEntries.Remove(r.Key)
+		o.invalidEntries.Remove(r.Key)
 		return directoryEntry{key: r.Key, deleted: true}
 	}
 	w, err := o.Directory.Worker(r)
 	if err != nil {
-		o.reportRefused(r.Key, err)
+		o.reportInvalid(r.Key, err)
 		return directoryEntry{key: r.Key}
 	}
-	o.refusedEntries.Remove(r.Key)
+	o.invalidEntries.Remove(r.Key)
 	if !o.inShard(w.Service, w.Rack) {
 		return directoryEntry{key: r.Key}
 	}
 	return directoryEntry{key: r.Key, worker: &w}
 }
 
-// reportRefused logs and counts an entry that names no valid worker, once for each reason: the
+// reportInvalid logs and counts an entry that names no valid worker, once for each reason: the
 // entry is decoded again with each list and each time that it is written.
-func (o *Owner) reportRefused(key string, err error) {
+func (o *Owner) reportInvalid(key string, err error) {
 	reason := cluster.KindUnreadable
 	var field string
 	var e *cluster.Error
@@ -118,18 +118,18 @@
 		reason, field = e.Kind, e.Field
 	}
 	reported := string(reason) + " " + field
-	if previous, ok := o.refusedEntries.Get(key); ok && previous == reported {
+	if previous, ok := o.invalidEntries.Get(key); ok && previous == reported {
 		return
 	}
-	o.refusedEntries.Add(key, reported)
+	o.invalidEntries.Add(key, reported)
 	o.Log.Warn("invalid worker row skipped", events.RowSkipped, zap.String("table", o.Directory.Table()), zap.String("key", key),
 		zap.String("reason", string(reason)), zap.String("field", field), zap.Error(err))
 	o.CountInvalidEntry(reason)
 }
 
-// newRefusedEntries returns an empty cache for the field refusedEntries.
-func newRefusedEntries() *lru.Cache[string, string] {
-	c, err := lru.New[string, string](maxRefusedEntries)
+// newInvalidEntries returns an empty cache: by an entry's key, the reason last reported for it.
+func newInvalidEntries() *lru.Cache[string, string] {
+	c, err := lru.New[string, string](maxInvalidEntries)
 	if err != nil {
 		panic("owner: the memory of refused entries has no size: " + err.Error())
 	}
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -524,11 +524,11 @@
 }
 
 // setCancel writes the cancel on condition of the pin.
-func (m *systemState) setCancel(pin, at int8) bool {
+func (m *systemState) setCancel(pin, shard int8) bool {
 	if m.pinVersion != pin {
 		return false
 	}
-	m.cancel[at] = true
+	m.cancel[shard] = true
 	return true
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -86,8 +86,8 @@
 	shard *scheduler.Shard
 	// holdLoops are the workers for which a holdLoop runs.
 	holdLoops map[string]bool
-	// refusedEntries maps the key of each invalid directory entry to the reason last reported.
-	refusedEntries *lru.Cache[string, string]
+	// invalidEntries maps the key of each invalid directory entry to the reason last reported.
+	invalidEntries *lru.Cache[string, string]
 	loaded         bool
 	startedAt      time.Time
 	// feedVersion is the version from which the jobs' feed continues after the load, and
@@ -118,7 +118,7 @@
 	cfg.MaxWriteBytes = cmp.Or(cfg.MaxWriteBytes, math.MaxInt)
 	return &Owner{
 		cfg: cfg, Deps: deps, startedAt: time.Now(), shard: scheduler.New(cfg.Params, time.Now(), deps.Log),
-		holdLoops: make(map[string]bool), refusedEntries: newRefusedEntries(),
+		holdLoops: make(map[string]bool), invalidEntries: newInvalidEntries(),
 		wakeScheduler: make(chan struct{}, 1), wakePersist: make(chan struct{}, 1), wakeMachineList: make(chan struct{}, 1),
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -34,13 +34,13 @@
 	sameRack := empty
 	sameRack.RackTasks = 1
 	tests := []struct {
-		name       string
-		size       resource.Amount
-		candidates []policy.Candidate
-		shape      policy.Constraints
-		weights    policy.Weights
-		want       int
-		ok         bool
+		name        string
+		size        resource.Amount
+		candidates  []policy.Candidate
+		constraints policy.Constraints
+		weights     policy.Weights
+		want        int
+		ok          bool
 	}{
 		{"packing prefers the fuller worker", amount(500, 500, 0), []policy.Candidate{empty, full}, policy.Constraints{}, packing, 1, true},
 		{"waiting prefers the emptier worker", amount(500, 500, 0), []policy.Candidate{full, empty}, policy.Constraints{}, waiting, 1, true},
@@ -52,7 +52,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, ok := policy.Place(tt.size, tt.candidates, tt.shape, tt.weights)
+			got, ok := policy.Place(tt.size, tt.candidates, tt.constraints, tt.weights)
 			if got != tt.want || ok != tt.ok {
 				t.Errorf("got %d, %t", got, ok)
 			}
