--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -59,7 +59,7 @@
 
 // simulation runs one workload under one strategy in virtual time.
 type simulation struct {
-	strat         strategy
+	strategy      strategy
 	teams         []policy.Team
 	total         resource.Amount
 	workers       []policy.Candidate
@@ -107,7 +107,7 @@
 }
 
 func newSimulation(d strategy, w workload) *simulation {
-	s := &simulation{strat: d, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
+	s := &simulation{strategy: d, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
 	for range w.workers {
 		s.workers = append(s.workers, policy.Candidate{Free: w.capacity, Capacity: w.capacity})
 		s.total = s.total.Add(w.capacity)
@@ -200,7 +200,7 @@
 		return
 	}
 	var failed []*waitingJob
-	for _, i := range s.strat.order(s.now, s.queue, s.teams, s.total) {
+	for _, i := range s.strategy.order(s.now, s.queue, s.teams, s.total) {
 		p := s.queue[i]
 		// A job whose tasks are no smaller and no more urgent than those of a job that did
 		// not fit does not fit either.
@@ -213,7 +213,7 @@
 		if p.remaining > 0 {
 			failed = append(failed, p)
 		}
-		if p.remaining > 0 && s.strat.headBlocks {
+		if p.remaining > 0 && s.strategy.headBlocks {
 			break
 		}
 	}
@@ -222,8 +222,8 @@
 
 func (s *simulation) placeTask(p *waitingJob) bool {
 	s.res.decisions++
-	w, ok := s.strat.place(p.size, s.workers)
-	if !ok && s.strat.canPreempt {
+	w, ok := s.strategy.place(p.size, s.workers)
+	if !ok && s.strategy.canPreempt {
 		w, ok = s.preemptFor(p)
 	}
 	if !ok {
--- a/measure/workloads_test.go
+++ b/measure/workloads_test.go
@@ -32,7 +32,7 @@
 }
 
 // The placement weights of two kinds of cells: one fills workers up first, the other
-// prefers emptier workers, on which urgent tasks find room at once.
+// prefers emptier workers, on which a task is disturbed least.
 var (
 	mostlyPacking = policy.Weights{Waiting: 0.2, Packing: 0.8}
 	mostlyWaiting = policy.Weights{Waiting: 0.8, Packing: 0.2}
