--- a/matrix/cluster_test.go
+++ b/matrix/cluster_test.go
@@ -113,9 +113,9 @@
 // rackIn returns the name of a rack whose workers belong to the i-th worker shard.
 func rackIn(i int) string {
 	dc := shard.DataCentre{Name: dataCentre, WorkerShards: workerShardCount}
-	want := shard.Layout(0, []shard.DataCentre{dc})[i]
+	key := shard.Layout(0, []shard.DataCentre{dc})[i]
 	for n := 0; ; n++ {
-		if rack := fmt.Sprintf("rack%d", n); shard.WorkerKey(dc, rack) == want {
+		if rack := fmt.Sprintf("rack%d", n); shard.WorkerKey(dc, rack) == key {
 			return rack
 		}
 	}
@@ -479,19 +479,19 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	step, to, jobs := stepOfMessage(r, body), network.HostOf(r.URL.Host), jobsStarted(body)
-	fault := ic.c.steps.onStep(step, before, ic.node, to, jobs...)
-	if fault.delay > 0 {
-		sleep(r.Context(), fault.delay)
+	effect := ic.c.steps.onStep(step, before, ic.node, to, jobs...)
+	if effect.delay > 0 {
+		sleep(r.Context(), effect.delay)
 	}
-	if fault.copyDelay > 0 {
-		ic.sendCopy(r, body, fault.copyDelay)
+	if effect.copyDelay > 0 {
+		ic.sendCopy(r, body, effect.copyDelay)
 	}
-	if fault.sendTwice {
+	if effect.sendTwice {
 		ic.sendCopy(r, body, 0)
 	}
 	resp, err := ic.next.RoundTrip(r)
-	fault = ic.c.steps.onStep(step, after, ic.node, to, jobs...)
-	if fault.loseReply && err == nil {
+	effect = ic.c.steps.onStep(step, after, ic.node, to, jobs...)
+	if effect.loseReply && err == nil {
 		_ = resp.Body.Close()
 		return nil, errNoReply
 	}
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -155,7 +155,7 @@
 		}},
 		{name: "all workers die in a rush", cutsAnswers: true, inject: func(c *cluster, s *scenario, _, _ string) messageFault {
 			go func() {
-				s.burst()
+				s.sendBurst()
 				if sleep(c.ctx, burstDelay); c.ctx.Err() != nil {
 					return
 				}
@@ -167,7 +167,7 @@
 			return messageFault{}
 		}},
 		{name: "requests rush", inject: func(_ *cluster, s *scenario, _, _ string) messageFault {
-			go s.burst()
+			go s.sendBurst()
 			return messageFault{}
 		}},
 		{name: "worker fails all", inject: func(c *cluster, s *scenario, _, to string) messageFault {
--- a/matrix/guarantees_test.go
+++ b/matrix/guarantees_test.go
@@ -54,8 +54,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []violation
-	add := func(promise, format string, args ...any) {
-		found = append(found, violation{promise, fmt.Sprintf(format, args...)})
+	add := func(guarantee, format string, args ...any) {
+		found = append(found, violation{guarantee, fmt.Sprintf(format, args...)})
 	}
 	events := s.c.events()
 	slices.SortStableFunc(events, func(x, y standinworker.Event) int { return x.At.Compare(y.At) })
@@ -75,26 +75,28 @@
 	task int
 }
 
+// checkTasks checks the starts and ends of tasks, and the refusals that show that a worker
+// or an instance was given too much.
 func (s *scenario) checkTasks(events []standinworker.Event, add func(string, string, ...any)) {
 	running, started := make(map[taskKey]int), make(map[taskKey]int)
 	for _, e := range events {
-		name := taskKey{e.Attempt.Job, e.Attempt.Task}
+		key := taskKey{e.Attempt.Job, e.Attempt.Task}
 		switch e.Kind {
 		case standinworker.EventStart:
-			running[name]++
-			started[name]++
-			if running[name] > 1 {
+			running[key]++
+			started[key]++
+			if running[key] > 1 {
 				add(guaranteeOnePlace, "%s runs in two places at %s", e.Attempt, e.At.Format("05.000"))
 			}
-			if started[name] > 1 && name.job == "once" {
+			if started[key] > 1 && key.job == "once" {
 				add(guaranteeOnce, "%s started again", e.Attempt)
 			}
-			if at, ok := s.cancelled[name.job]; ok && e.At.After(at) {
+			if at, ok := s.cancelled[key.job]; ok && e.At.After(at) {
 				add(guaranteeNotRun, "%s started %s after it was cancelled", e.Attempt, e.At.Sub(at))
 			}
 			s.checkLeaving(e, add)
 		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLapsed:
-			running[name]--
+			running[key]--
 		case standinworker.EventOverload:
 			add(guaranteeCapacity, "worker %s was given %s beyond its capacity", e.Worker, e.Attempt)
 		case standinworker.EventRequest:
@@ -152,12 +154,15 @@
 	}
 }
 
+// checkLeaving checks that a worker that began to leave long enough ago gets no work.
 func (s *scenario) checkLeaving(e standinworker.Event, add func(string, string, ...any)) {
 	if at, ok := s.leaving[e.Worker]; ok && e.At.Sub(at) > leavingDeadline {
 		add(guaranteeLeaving, "worker %s got a %s %s after it began to leave", e.Worker, e.Kind, e.At.Sub(at))
 	}
 }
 
+// checkCalls checks what callers were told about their requests against the requests that
+// ran.
 func (s *scenario) checkCalls(events []standinworker.Event, cutsAnswers bool, add func(string, string, ...any)) {
 	runs := make(map[string]int)
 	for _, e := range events {
@@ -201,6 +206,7 @@
 	}
 }
 
+// checkBundles checks the bundle versions that the nodes applied.
 func (s *scenario) checkBundles(add func(string, string, ...any)) {
 	highest := make(map[*clusterNode]int64)
 	for _, v := range s.versions {
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -171,8 +171,8 @@
 				mu.Lock()
 				results = append(results, out)
 				mu.Unlock()
-				for _, b := range out.violations {
-					t.Errorf("guarantee %s: %s", b.guarantee, b.detail)
+				for _, v := range out.violations {
+					t.Errorf("guarantee %s: %s", v.guarantee, v.detail)
 				}
 			})
 		}
@@ -226,8 +226,8 @@
 	}
 	slices.Sort(rows)
 	fmt.Fprintf(&b, "%-66s %6s %8s", "fault", "cells", "reached")
-	for _, p := range guarantees {
-		fmt.Fprintf(&b, " %14s", p)
+	for _, g := range guarantees {
+		fmt.Fprintf(&b, " %14s", g)
 	}
 	b.WriteString("\n")
 	passed, failed := 0, 0
@@ -248,18 +248,18 @@
 				failed++
 			}
 			seen := make(map[string]bool)
-			for _, br := range o.violations {
-				if !seen[br.guarantee] {
-					seen[br.guarantee] = true
-					broken[br.guarantee]++
+			for _, v := range o.violations {
+				if !seen[v.guarantee] {
+					seen[v.guarantee] = true
+					broken[v.guarantee]++
 				}
 			}
 		}
 		fmt.Fprintf(&b, "%-66s %6d %8d", row, n, reached)
-		for _, p := range guarantees {
+		for _, g := range guarantees {
 			mark := "held"
-			if broken[p] > 0 {
-				mark = fmt.Sprintf("BROKEN %d", broken[p])
+			if broken[g] > 0 {
+				mark = fmt.Sprintf("BROKEN %d", broken[g])
 			}
 			fmt.Fprintf(&b, " %14s", mark)
 		}
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -18,10 +18,11 @@
 )
 
 const (
-	callInterval      = 250 * time.Millisecond
-	callTimeout       = 2 * time.Second
-	keyedCallInterval = 4
-	scenarioTimeout   = 150 * time.Second
+	callInterval = 250 * time.Millisecond
+	callTimeout  = 2 * time.Second
+	// Every keyStride-th call has a key.
+	keyStride       = 4
+	scenarioTimeout = 150 * time.Second
 )
 
 // call is one request of a caller and its result.
@@ -167,7 +168,7 @@
 		id := fmt.Sprintf("joiner%d", i)
 		taken := make(map[shard.Kind]int)
 		for _, key := range shard.Layout(jobShardCount, []shard.DataCentre{{Name: dataCentre, WorkerShards: workerShardCount}}) {
-			if want, _ := shard.PreferredOwner(key, append(nodes, lease.Node{ID: id, DataCentre: dataCentre})); want.ID == id {
+			if owner, _ := shard.PreferredOwner(key, append(nodes, lease.Node{ID: id, DataCentre: dataCentre})); owner.ID == id {
 				taken[key.Kind()]++
 			}
 		}
@@ -265,7 +266,7 @@
 	for i := 0; s.running(); i++ {
 		sleep(s.c.ctx, callInterval)
 		cl := call{body: fmt.Sprintf("sleep 20ms #%d", i)}
-		if i%keyedCallInterval == 0 {
+		if i%keyStride == 0 {
 			cl.key = fmt.Sprintf("key-%d", i)
 		}
 		created := time.Now()
@@ -304,7 +305,7 @@
 }
 
 // sendBurst sends more requests at once than there are slots.
-func (s *scenario) burst() {
+func (s *scenario) sendBurst() {
 	const n = 60
 	s.mu.Lock()
 	s.bursts++
--- a/matrix/steps_test.go
+++ b/matrix/steps_test.go
@@ -10,8 +10,9 @@
 )
 
 // The steps of a request, a key, a task, a change of ownership and the roll-out of a bundle,
-// at which faults are injected. A step "kept" is a write to the journal; stepKeyBeginCall is
-// the call to the owner of a key's shard, and stepEvents the report that a task has ended.
+// at which faults are injected. Steps whose name ends in "kept" are writes to the journal;
+// stepKeyBeginCall is the call to the owner of a key's shard, and stepEvents the report that
+// a task has ended.
 const (
 	stepNone         = ""
 	stepForward      = "request: hand over"
@@ -61,7 +62,8 @@
 
 // messageFault says what happens to the message whose step triggered a fault.
 type messageFault struct {
-	// delay holds the message back, and copyDelay sends a copy of it that much later.
+	// delay holds the message back, and copyDelay sends a copy of it that much later;
+	// sendTwice sends a copy at once.
 	delay, copyDelay time.Duration
 	sendTwice        bool
 	loseReply        bool
