--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -121,7 +121,7 @@
 // signal sends sig to the process.
 func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-// kill ends the process and waits for it.
+// kill sends SIGKILL to the process and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	_ = p.cmd.Wait()
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -81,9 +81,9 @@
 				}
 			}
 			l.stop()
-			v := summarizeEvents(c.workerEvents(), ids...)
-			v.checkInvariants(t)
-			n := l.countOutcomes(v.requestRuns)
+			summary := summarizeEvents(c.workerEvents(), ids...)
+			summary.checkInvariants(t)
+			n := l.countOutcomes(summary.requestRuns)
 			n.checkInvariants(t)
 			if f.lossless && n.noReply+n.unknown > 0 {
 				t.Errorf("a planned stop interrupted requests: %+v", n)
@@ -144,9 +144,9 @@
 		}
 	}
 	l.stop()
-	v := summarizeEvents(c.workerEvents(), append(ids, service.ID)...)
-	v.checkInvariants(t)
-	l.countOutcomes(v.requestRuns).checkInvariants(t)
+	summary := summarizeEvents(c.workerEvents(), append(ids, service.ID)...)
+	summary.checkInvariants(t)
+	l.countOutcomes(summary.requestRuns).checkInvariants(t)
 	during := l.stats(down.Add(time.Second), up, false)
 	t.Logf("plain: before %+v, during %+v, after %+v", l.stats(began, down, false), during, l.stats(up.Add(time.Second), time.Now(), false))
 	t.Logf("keyed: before %+v, during %+v, after %+v", l.stats(began, down, true), l.stats(down.Add(time.Second), up, true), l.stats(up.Add(time.Second), time.Now(), true))
@@ -168,9 +168,9 @@
 	c.platformProc.kill()
 	sleep(c, longerThanLease)
 	l.stop()
-	v := summarizeEvents(c.workerEvents(), service.ID)
-	v.checkInvariants(t)
-	l.countOutcomes(v.requestRuns).checkInvariants(t)
+	summary := summarizeEvents(c.workerEvents(), service.ID)
+	summary.checkInvariants(t)
+	l.countOutcomes(summary.requestRuns).checkInvariants(t)
 	after := l.stats(killed.Add(time.Second), time.Now(), false)
 	t.Logf("requests without a key after the kill: %+v", after)
 	if after.done < after.sent || after.sent == 0 {
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -127,9 +127,9 @@
 	accepted    []string
 	// longRunning holds the jobs that run until they are cancelled.
 	longRunning []string
-	// linkHolds holds the intervals in which a link had a fault, by the link's address.
-	linkHolds map[string][]holdInterval
-	canceled  map[string]bool
+	// linkFaults holds the intervals in which a link had a fault, by the link's address.
+	linkFaults map[string][]faultInterval
+	canceled   map[string]bool
 	// workerAddresses maps the ids of the workers, also of earlier ones, to their addresses.
 	workerAddresses map[string]string
 	refused         map[string]bool
@@ -146,7 +146,7 @@
 		seed:        seed,
 		rng:         rand.New(rand.NewPCG(seed, seed)), //nolint:gosec // A seed must give the same faults.
 		faultActive: make(map[string]bool), canceled: make(map[string]bool), refused: make(map[string]bool), failing: make(map[string]bool), gangs: make(map[string]bool),
-		linkHolds: make(map[string][]holdInterval), workerAddresses: make(map[string]string),
+		linkFaults: make(map[string][]faultInterval), workerAddresses: make(map[string]string),
 	}
 	s.ports = freePorts(t, 3+2*soakWorkers+5*soakNodes)
 	s.storeAddress, s.serviceAddresses = s.nextAddress(), [2]string{s.nextAddress(), s.nextAddress()}
--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -66,7 +66,7 @@
 	}, func() {
 		k.setState(linkState{})
 		s.mu.Lock()
-		s.linkHolds[address] = append(s.linkHolds[address], holdInterval{from, time.Now()})
+		s.linkFaults[address] = append(s.linkFaults[address], faultInterval{from, time.Now()})
 		s.mu.Unlock()
 	})
 }
@@ -88,7 +88,7 @@
 
 // silenceLinks repeatedly silences the open connections of some or all links.
 func (s *soak) silenceLinks() {
-	rng := rand.New(rand.NewPCG(s.seed, ^s.seed)) //nolint:gosec // A seed must give the same play.
+	rng := rand.New(rand.NewPCG(s.seed, ^s.seed)) //nolint:gosec // A seed must give the same faults.
 	addresses := slices.Sorted(maps.Keys(s.links))
 	for {
 		time.Sleep(randomDuration(rng, minSilencePause, maxSilencePause))
@@ -123,7 +123,7 @@
 
 // interruptStoreParts repeatedly makes a random selection of the store's parts unavailable.
 func (s *soak) interruptStoreParts() {
-	rng := rand.New(rand.NewPCG(^s.seed, s.seed)) //nolint:gosec // A seed must give the same play.
+	rng := rand.New(rand.NewPCG(^s.seed, s.seed)) //nolint:gosec // A seed must give the same faults.
 	parts := storeParts()
 	for {
 		time.Sleep(randomDuration(rng, minPartOutagePause, maxPartOutagePause))
@@ -226,7 +226,7 @@
 
 // growConfig repeatedly adds many routes to the configuration.
 func (s *soak) growConfig() {
-	rng := rand.New(rand.NewPCG(^s.seed, ^s.seed)) //nolint:gosec // A seed must give the same play.
+	rng := rand.New(rand.NewPCG(^s.seed, ^s.seed)) //nolint:gosec // A seed must give the same faults.
 	for {
 		time.Sleep(randomDuration(rng, minGrowPause, maxGrowPause))
 		if time.Since(s.started) > soakDuration {
@@ -244,7 +244,7 @@
 
 // corruptEntries simulates another writer that corrupts entries of the directory.
 func (s *soak) corruptEntries() {
-	rng := rand.New(rand.NewPCG(s.seed, s.seed+1)) //nolint:gosec // A seed must give the same play.
+	rng := rand.New(rand.NewPCG(s.seed, s.seed+1)) //nolint:gosec // A seed must give the same faults.
 	for {
 		time.Sleep(randomDuration(rng, minCorruptPause, maxCorruptPause))
 		if time.Since(s.started) > soakDuration {
@@ -291,19 +291,19 @@
 	})
 }
 
-// holdInterval is an interval in which a link had a fault.
-type holdInterval struct{ from, to time.Time }
+// faultInterval is an interval in which a link had a fault.
+type faultInterval struct{ from, to time.Time }
 
-// holdSlack is how long after the end of a link's fault a worker may still read old orders.
-const holdSlack = time.Second
+// linkFaultSlack is how long after the end of a link's fault a worker may still read old orders.
+const linkFaultSlack = time.Second
 
 // ordersDelayed reports whether a link's fault may have delayed the orders that a worker read
 // at the given time.
 func (s *soak) ordersDelayed(worker string, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.linkHolds[s.workerAddresses[worker]] {
-		if at.After(h.from) && at.Before(h.to.Add(holdSlack)) {
+	for _, h := range s.linkFaults[s.workerAddresses[worker]] {
+		if at.After(h.from) && at.Before(h.to.Add(linkFaultSlack)) {
 			return true
 		}
 	}
--- a/e2e/soaklasting_test.go
+++ b/e2e/soakpersistent_test.go
@@ -108,18 +108,18 @@
 
 // failNewRuns repeatedly makes some workers fail all runs that start there.
 func (s *soak) failNewRuns() {
-	rng := rand.New(rand.NewPCG(s.seed+1, s.seed)) //nolint:gosec // A seed must give the same play.
+	rng := rand.New(rand.NewPCG(s.seed+1, s.seed)) //nolint:gosec // A seed must give the same faults.
 	for {
 		time.Sleep(randomDuration(rng, minFailNewPause, maxFailNewPause))
-		drawn := rng.Perm(soakWorkers)[:rng.IntN(maxFailNewWorkers)+1]
+		indexes := rng.Perm(soakWorkers)[:rng.IntN(maxFailNewWorkers)+1]
 		d := randomDuration(rng, minFailNewDuration, maxFailNewDuration)
 		if time.Since(s.started) > soakDuration {
 			return
 		}
-		s.t.Logf("%6.2f s: workers %v fail all new runs for %s", time.Since(s.started).Seconds(), drawn, d.Round(time.Millisecond))
+		s.t.Logf("%6.2f s: workers %v fail all new runs for %s", time.Since(s.started).Seconds(), indexes, d.Round(time.Millisecond))
 		var failing []*site.Worker
 		s.mu.Lock()
-		for _, i := range drawn {
+		for _, i := range indexes {
 			failing = append(failing, s.workers[i])
 		}
 		s.mu.Unlock()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -41,10 +41,10 @@
 	TableSnapshots = "snapshots"
 	tableShards    = "shards"
 
-	maxPending     = 20_000
-	maxBatch       = 2_000
-	firstRetryWait = 50 * time.Millisecond
-	maxRetryWait   = time.Second
+	maxPendingAppends  = 20_000
+	maxAppendsPerWrite = 2_000
+	firstRetryWait     = 50 * time.Millisecond
+	maxRetryWait       = time.Second
 )
 
 // Kind classifies the errors of this package.
@@ -203,7 +203,7 @@
 	if c.downLocked() {
 		return nil, &Error{"append", KindUnavailable, errors.New("the store does not take writes")}
 	}
-	if len(c.pending) >= maxPending {
+	if len(c.pending) >= maxPendingAppends {
 		return nil, &Error{"append", KindUnavailable, errors.New("too many records wait for the store")}
 	}
 	c.pending = append(c.pending, p)
@@ -258,11 +258,11 @@
 	}
 }
 
-// take removes up to maxBatch appends from the queue.
+// take removes up to maxAppendsPerWrite appends from the queue.
 func (c *Committer) take() []*Pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(c.pending), maxBatch)
+	n := min(len(c.pending), maxAppendsPerWrite)
 	batch := c.pending[:n:n]
 	c.pending = c.pending[n:]
 	return batch
--- a/internal/requests/balancer.go
+++ b/internal/requests/balancer.go
@@ -84,9 +84,9 @@
 	// overcommit disables the limit on the slots of an instance; see AllowOvercommit.
 	overcommit bool
 
-	mu       sync.Mutex
-	services map[string]*service
-	byID     map[worker.Attempt]*instance
+	mu        sync.Mutex
+	services  map[string]*service
+	byAttempt map[worker.Attempt]*instance
 }
 
 type service struct {
@@ -123,7 +123,7 @@
 
 // NewBalancer returns a balancer without instances.
 func NewBalancer(b func() *bundle.Bundle) *Balancer {
-	return &Balancer{bundle: b, services: make(map[string]*service), byID: make(map[worker.Attempt]*instance)}
+	return &Balancer{bundle: b, services: make(map[string]*service), byAttempt: make(map[worker.Attempt]*instance)}
 }
 
 // AllowOvercommit disables the limit on the slots of an instance. Tests call it to verify
@@ -134,13 +134,13 @@
 func (b *Balancer) Add(i pool.Instance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, ok := b.byID[i.Attempt]; ok {
+	if _, ok := b.byAttempt[i.Attempt]; ok {
 		return
 	}
 	s := b.serviceLocked(i.Service)
 	inst := &instance{Instance: i, service: s, open: true}
 	s.instances = append(s.instances, inst)
-	b.byID[i.Attempt] = inst
+	b.byAttempt[i.Attempt] = inst
 	b.dispatchLocked(s)
 }
 
@@ -153,11 +153,12 @@
 	return s
 }
 
-// SetOpen sets whether an instance takes new requests. A draining instance stays closed.
+// SetOpen sets whether an instance takes new requests. It has no effect while Drain waits
+// for the instance's requests.
 func (b *Balancer) SetOpen(a worker.Attempt, open bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if inst, ok := b.byID[a]; ok && inst.idle == nil {
+	if inst, ok := b.byAttempt[a]; ok && inst.idle == nil {
 		inst.open = open
 		b.dispatchLocked(inst.service)
 	}
@@ -168,12 +169,12 @@
 func (b *Balancer) Remove(a worker.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	inst, ok := b.byID[a]
+	inst, ok := b.byAttempt[a]
 	if !ok {
 		return
 	}
 	inst.open = false
-	delete(b.byID, a)
+	delete(b.byAttempt, a)
 	s := inst.service
 	s.instances = slices.DeleteFunc(s.instances, func(i *instance) bool { return i == inst })
 	if len(s.instances) == 0 {
@@ -197,7 +198,7 @@
 	var waits []chan struct{}
 	b.mu.Lock()
 	for _, a := range attempts {
-		inst, ok := b.byID[a]
+		inst, ok := b.byAttempt[a]
 		if !ok {
 			continue
 		}
--- a/internal/requests/dispatch.go
+++ b/internal/requests/dispatch.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return notRun(KindUpstreamNotReached, err.Error())
 	}
-	// Without GetBody and without an idempotency header, net/http never sends the request a second time.
+	// Without GetBody and an idempotency header, net/http never sends the request again by itself.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", r.ContentType)
 	req.Header.Set(api.HeaderRequestID, r.ID)
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -144,7 +144,7 @@
 	return res
 }
 
-// storedAnswer returns the result of a request that an earlier one with its key has run.
+// storedAnswer returns the result of a request whose key belongs to a request that has run.
 func storedAnswer(a *peer.Answer) Result {
 	if a == nil || a.Dropped {
 		return unknown(KindAnswerTooLarge, "the request has run; its answer was too large to be kept")
