--- a/internal/cell/claim.go
+++ b/internal/cell/claim.go
@@ -22,8 +22,8 @@
 
 // claim waits until it is this node's turn to take a shard, and returns false if another node
 // took it first. Claimed shards count in the rank like owned ones. So when several shards
-// lose their owner at once, this node takes one and leaves the others to nodes with more free
-// CPU.
+// lose their owner at once, this node takes one and leaves the others to nodes with more CPU
+// for each shard.
 func (n *Node) claim(ctx context.Context, shard cluster.ShardID, version int64) bool {
 	for waited := time.Duration(0); ; waited += rankPollInterval {
 		if _, current := n.owner(shard); current != version || n.Draining() || ctx.Err() != nil {
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -33,7 +33,7 @@
 
 	mu     sync.Mutex
 	byName map[string]*peer
-	// sorted holds the nodes of list in the order of their names.
+	// sorted holds the nodes of byName in the order of their names.
 	sorted []*peer
 	// pingCursor is the position of the next peer to ping, or to ask about an owner.
 	pingCursor int
@@ -262,7 +262,7 @@
 	return *q, true
 }
 
-// isDown reports whether the last call to a node failed.
+// isDown reports whether a node has failed to answer and has not answered since.
 func (p *peers) isDown(name string) bool {
 	q, ok := p.get(name)
 	return ok && !q.failingSince.IsZero()
--- a/internal/cell/pins.go
+++ b/internal/cell/pins.go
@@ -28,7 +28,7 @@
 func newPins() *lru.Cache[string, []cluster.ShardID] {
 	c, err := lru.New[string, []cluster.ShardID](pinCacheSize)
 	if err != nil {
-		panic("cell: the cache of pins has no size: " + err.Error())
+		panic("cell: invalid size of the cache of pins: " + err.Error())
 	}
 	return c
 }
--- a/internal/cell/waiting.go
+++ b/internal/cell/waiting.go
@@ -16,7 +16,7 @@
 // waitingTimeout bounds the query for the length of a queue.
 const waitingTimeout = 600 * time.Millisecond
 
-// Waiting returns how many jobs of a queue have not started.
+// Waiting returns how many jobs of a queue have not begun.
 func (n *Node) Waiting(ctx context.Context, service, queue string) (int, Answer) {
 	layout, ok := n.layout(service)
 	if !ok {
@@ -42,7 +42,7 @@
 	return total, AnswerOK
 }
 
-// waitingInShard asks a shard's owner how many jobs of a queue have not started.
+// waitingInShard asks a shard's owner how many jobs of a queue have not begun.
 func (n *Node) waitingInShard(ctx context.Context, shard cluster.ShardID, queue string) (int, error) {
 	reply, err := callOwner(ctx, n, shard, pathWaiting, waitingQuery{shard, queue}, waitingTimeout, n.handleWaiting)
 	return reply.Waiting, err
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -271,7 +271,7 @@
 func TestHelperMakesNoExpiredCalls(t *testing.T) {
 	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		body, lines := io.Pipe()
-		packed, err := flate.NewWriter(lines, flate.BestSpeed)
+		compressed, err := flate.NewWriter(lines, flate.BestSpeed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -288,8 +288,8 @@
 		}()
 		began := time.Now()
 		send := func(n int, sent time.Duration) {
-			_, _ = fmt.Fprintf(packed, `[{"n":%d,"o":"start","w":"w%d","f":1,"z":%d,"l":300,"t":"j.0.0.0","r":1}]`+"\n", n, n, sent.Milliseconds())
-			_ = packed.Flush()
+			_, _ = fmt.Fprintf(compressed, `[{"n":%d,"o":"start","w":"w%d","f":1,"z":%d,"l":300,"t":"j.0.0.0","r":1}]`+"\n", n, n, sent.Milliseconds())
+			_ = compressed.Flush()
 		}
 		for n := range 3 {
 			send(n, time.Since(began))
--- a/internal/owner/advice_test.go
+++ b/internal/owner/advice_test.go
@@ -44,8 +44,8 @@
 
 // TestUrgentLongCallIsNotStarved keeps all nodes busy with short calls of the advice service,
 // and checks that a more urgent long call is sent soon. A long call needs a node without calls
-// in flight, and less urgent short calls took each free place: long tasks waited 3.8 s for a
-// call that takes 0.5 s.
+// in flight, and less urgent short calls took each free place: long-running tasks waited
+// 3.8 s for a call that takes 0.5 s.
 func TestUrgentLongCallIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -87,7 +87,7 @@
 }
 
 // TestLongCallsLeaveNodesToShortCalls queues more long calls than there are nodes for them, and
-// checks that the nodes reserved for short calls get none. Where a node was set aside for the
+// checks that the nodes reserved for short calls get none. Where a node was kept free for the
 // next long call, the reserved share was computed from the remaining nodes, and a long call
 // went to a reserved node.
 func TestLongCallsLeaveNodesToShortCalls(t *testing.T) {
@@ -150,7 +150,7 @@
 // before starts used them, and workers rejected the starts.
 func TestLateAnswerDoesNotExtendTickets(t *testing.T) {
 	// maxLag is how much later than issued an answer may count, so that the 0.25 s by which
-	// each ticket is shortened cover both this and the way of the start.
+	// each ticket is shortened cover both this and the time until the start arrives.
 	const maxLag = 150 * time.Millisecond
 	for _, delay := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/owner/deletequeue.go
+++ b/internal/owner/deletequeue.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// maxDeleteRows is the most rows of one deletion, each with a condition, beside the
+	// maxDeleteRows is the most rows of one deletion, each with a condition, in addition to the
 	// condition on the fence. A deletion costs a write, and each takeover reads the rows that
-	// are left, so it waits for minDeleteRows rows, or for maxDeleteWait if they stay fewer.
+	// are left: a deletion is made once minDeleteRows rows are queued, and of fewer after
+	// maxDeleteWait.
 	maxDeleteRows = (tables.MaxTxnRows - 1) / 2
 	minDeleteRows = 10
 	maxDeleteWait = 10 * time.Second
--- a/internal/owner/directory.go
+++ b/internal/owner/directory.go
@@ -131,7 +131,7 @@
 func newInvalidEntries() *lru.Cache[string, string] {
 	c, err := lru.New[string, string](maxInvalidEntries)
 	if err != nil {
-		panic("owner: the memory of refused entries has no size: " + err.Error())
+		panic("owner: invalid size of the cache of invalid entries: " + err.Error())
 	}
 	return c
 }
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -16,7 +16,7 @@
 	"switchbank.example/switchbank/internal/tables"
 )
 
-// A takeover takes two writes, since the rows lie in two parts of the store: first the row that
+// A takeover makes two writes, since the rows lie in two parts of the store: first the row that
 // names the owner, then the fence row beside the progress. Every write of progress is
 // conditional on the fence's version, so that the previous owner can persist nothing after the
 // second write; only then is the progress read. Between the two writes the previous owner may
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -56,7 +56,7 @@
 		}
 		renewsLease := order.DeadlineMS != 0
 		if !renewsLease {
-			// The worker has not answered yet, or not of late: ask at once what it runs.
+			// The worker has not answered yet, or is silent: ask at once what it runs.
 			wait = 0
 		}
 		c, cancel := context.WithTimeout(ctx, wait+holdTimeoutSlack)
@@ -81,7 +81,7 @@
 			o.EndOwnership("worker " + id + " has seen a higher epoch")
 			return
 		case cluster.ReplyOtherIncarnation:
-			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerEnded(now, id, "another life answers at its address") })
+			o.updateShard(func(s *scheduler.Shard, now time.Time) { s.WorkerEnded(now, id, "another incarnation has its address") })
 			return
 		}
 		notify(o.wakeMachineList)
--- a/internal/owner/machines.go
+++ b/internal/owner/machines.go
@@ -126,7 +126,7 @@
 	machine, seen := w.lastMachine[id]
 	if m, listed := machines[machine]; seen && listed {
 		if m.Up {
-			return "its machine has another life"
+			return "its machine is up without it"
 		}
 		return "its machine is down"
 	}
--- a/internal/owner/move.go
+++ b/internal/owner/move.go
@@ -48,7 +48,7 @@
 	moveRetryDelay = 100 * time.Millisecond
 )
 
-// moveLoop moves jobs of which nothing runs to shards that have room for them.
+// moveLoop moves jobs of which nothing runs to shards that are less loaded or can run them.
 func (o *Owner) moveLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		tables.Sleep(ctx, moveInterval)
--- a/internal/owner/unreadparts.go
+++ b/internal/owner/unreadparts.go
@@ -76,7 +76,7 @@
 		zap.Int("jobs", jobs), zap.Int("parts_left", left), zap.Duration("after", now.Sub(o.startedAt)))
 }
 
-// deferUnreadJobs sets aside the progress of jobs in parts that have not been read. The caller
+// deferUnreadJobs holds back the progress of jobs in parts that have not been read. The caller
 // holds mu.
 func (o *Owner) deferUnreadJobs(rows *loadedRows) {
 	o.unreadParts = unreadParts{parts: rows.missingParts, progress: make(map[string]tables.Row)}
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -24,7 +24,8 @@
 type WaitingJob struct {
 	// TeamIndex is an index into the teams.
 	TeamIndex int
-	Priority  int
+	// Priority: a higher number is more urgent, unlike in cluster.Policy.
+	Priority int
 	// Deadline is zero if there is none.
 	Deadline time.Time
 	// RunTime is the declared or learned run time.
--- a/internal/policy/preempt.go
+++ b/internal/policy/preempt.go
@@ -14,6 +14,7 @@
 
 // RunningTask is a task that may have to be preempted.
 type RunningTask struct {
+	// Priority is as in WaitingJob.
 	Priority int
 	Size     resource.Amount
 	// Attempt is the number of the task's attempt; a higher one has been interrupted before.
--- a/internal/tables/follow_test.go
+++ b/internal/tables/follow_test.go
@@ -25,7 +25,7 @@
 // List returns an empty list, or an error for the unavailable part.
 func (s *partialService) List(_ context.Context, req tables.ListRequest) (tables.ListResult, error) {
 	if req.Part == s.unavailablePart {
-		return tables.ListResult{}, &tables.Error{Op: "fake", Kind: tables.KindRefused, Err: errors.New("away")}
+		return tables.ListResult{}, &tables.Error{Op: "fake", Kind: tables.KindRefused, Err: errors.New("unavailable")}
 	}
 	return tables.ListResult{Version: s.version()}, nil
 }
--- a/internal/tables/relay.go
+++ b/internal/tables/relay.go
@@ -20,7 +20,7 @@
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
 	// maxRelayPeers is how many peers one call may try. If the service is unavailable to a
-	// third of the nodes, it serves each peer with a probability of two thirds.
+	// third of the nodes, two in three peers can relay a call.
 	maxRelayPeers = 3
 )
 
