--- a/internal/scheduler/advice_test.go
+++ b/internal/scheduler/advice_test.go
@@ -29,8 +29,8 @@
 }
 
 // TestGangAsksAboutMoreWorkers checks that a gang, whose members must all start at once,
-// asks about more workers than tasks that start one by one. If the allowed workers have too
-// little free capacity, another call costs half a second more.
+// asks about more workers than tasks that start one by one. If the approved workers have too
+// little room, another call costs half a second more.
 func TestGangAsksAboutMoreWorkers(t *testing.T) {
 	single, gang := workersAsked(t, false), workersAsked(t, true)
 	if gang < 3*single/2 {
--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -16,9 +16,9 @@
 )
 
 // TestStalledLongRunningTaskMoves checks that a long-running task that makes no progress on its
-// first worker soon is at work on another one. If only batch runs are watched for progress, it
-// stays at 0% forever, and since it counts as unavailable, no other task of its step can leave
-// a worker either.
+// first worker soon runs at 100% on another one. If only batch runs are watched for progress,
+// it stays at 0% forever, and since it counts as unavailable, no other task of its step can
+// leave a worker either.
 func TestStalledLongRunningTaskMoves(t *testing.T) {
 	const within = 10 * time.Second
 	r := newRig(t, 2)
@@ -39,7 +39,7 @@
 }
 
 // TestSlowlyStartingLongRunningTaskIsKept checks that a long-running task that makes no progress
-// for its first two seconds and is at work then is not stopped.
+// for its first two seconds and then runs at 100% is not stopped.
 func TestSlowlyStartingLongRunningTaskIsKept(t *testing.T) {
 	r := newRig(t, 2)
 	r.upsertWorkers()
@@ -85,7 +85,7 @@
 }
 
 // TestTaskMovesWhenBothRunsStall checks that a speculative task that stalls together with its
-// copy starts on a third, sound worker.
+// copy starts on a third, healthy worker.
 func TestTaskMovesWhenBothRunsStall(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -109,9 +109,9 @@
 }
 
 // TestTaskAvoidsBusyWorker checks that a job that is alone in the shard soon starts elsewhere
-// while one worker answers all starts as busy. Such a worker is set aside only after two jobs
-// have met that, so a single job must not choose the same worker again each 50 ms while
-// another one has capacity.
+// while one worker answers all starts as busy. Such a worker is quarantined only after it has
+// refused two jobs, so a single job must not choose the same worker again each 50 ms while
+// another one has room.
 func TestTaskAvoidsBusyWorker(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gang=%v", gang), func(t *testing.T) {
@@ -175,17 +175,17 @@
 	}
 }
 
-// TestHeldFillerResumes checks that a filler, a task that uses only CPU time that others leave,
-// resumes after it was held because the serving task beside it exceeded its latency target, while
-// that task stays at 0.7 of the target. If the latency had to fall below 0.6 of the target, a
-// serving task that is above that by itself would hold the filler forever.
-func TestHeldFillerResumes(t *testing.T) {
+// TestPausedBestEffortTaskResumes checks that a best-effort task resumes after it was paused
+// because the serving task beside it exceeded its latency target, while that task stays at 0.7
+// of the target. If the latency had to fall below 0.6 of the target, the best-effort task would
+// stay paused forever beside a serving task that is above that by itself.
+func TestPausedBestEffortTaskResumes(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	serving, filler := longRunningTasks(1, 500), tasks(1, 500)
-	serving.LatencyTargetMS, filler.BestEffortCPU = 100, true
+	serving, bestEffort := longRunningTasks(1, 500), tasks(1, 500)
+	serving.LatencyTargetMS, bestEffort.BestEffortCPU = 100, true
 	r.addLongRunning(batch("serves", serving))
-	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("fills", bestEffort), nil, false)
 	pace := 100
 	runAtLatency := func(ms int64, d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
@@ -203,11 +203,11 @@
 	runAtLatency(50, time.Second)
 	runAtLatency(150, 5*time.Second)
 	if pace != 0 {
-		t.Fatalf("the filler's pace is %d beside a serving task over its target, want 0", pace)
+		t.Fatalf("the best-effort task's pace is %d beside a serving task over its target, want 0", pace)
 	}
 	runAtLatency(70, 10*time.Second)
 	if pace == 0 {
-		t.Error("the filler is still held 10 s after the latency fell to 0.7 of the target")
+		t.Error("the best-effort task is still paused 10 s after the latency fell to 0.7 of the target")
 	}
 }
 
@@ -344,10 +344,10 @@
 	}
 }
 
-// TestStalledFillerMoves checks that a filler that makes no progress on its first worker moves
-// to a sound one. Fillers get only unused CPU time and may stall for a while, but they must not
-// be exempt from the check for progress.
-func TestStalledFillerMoves(t *testing.T) {
+// TestStalledBestEffortTaskMoves checks that a best-effort task that makes no progress on its
+// first worker moves to a healthy one. Such tasks get only unused CPU time and may stall for a
+// while, but they must not be exempt from the check for progress.
+func TestStalledBestEffortTaskMoves(t *testing.T) {
 	const within = 12 * time.Second
 	r := newRig(t, 2)
 	r.upsertWorkers()
@@ -358,20 +358,20 @@
 	stalledOn := r.workerOf("j")
 	r.runFor(within)
 	if w := r.workerOf("j"); w != otherWorker(stalledOn) {
-		t.Errorf("the filler runs on %q %v after it stalled on %q", w, within, stalledOn)
+		t.Errorf("the best-effort task runs on %q %v after it stalled on %q", w, within, stalledOn)
 	}
 }
 
-// TestHeldFillerMoves checks that a filler that is held beside a serving task that stays over
-// its latency target moves to a second worker once there is one.
-func TestHeldFillerMoves(t *testing.T) {
+// TestPausedBestEffortTaskMoves checks that a best-effort task that is paused beside a serving
+// task that stays over its latency target moves to a second worker once there is one.
+func TestPausedBestEffortTaskMoves(t *testing.T) {
 	const within = 15 * time.Second
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	serving, filler := longRunningTasks(1, 500), tasks(1, 500)
-	serving.LatencyTargetMS, filler.BestEffortCPU = 100, true
+	serving, bestEffort := longRunningTasks(1, 500), tasks(1, 500)
+	serving.LatencyTargetMS, bestEffort.BestEffortCPU = 100, true
 	r.addLongRunning(batch("serves", serving))
-	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("fills", bestEffort), nil, false)
 	runOverTarget := func(d time.Duration) {
 		for end := r.now.Add(d); r.now.Before(end); {
 			r.runFor(100 * time.Millisecond)
@@ -387,15 +387,14 @@
 	r.upsertWorkers()
 	runOverTarget(within)
 	if w := r.workerOf("fills"); w != "w1" {
-		t.Errorf("the filler runs on %q %v after another worker was added, want w1", w, within)
+		t.Errorf("the best-effort task runs on %q %v after another worker was added, want w1", w, within)
 	}
 }
 
-// TestUnplaceableStepsDoNotBlockOthers checks that steps that never get capacity beside
-// long-running tasks do not delay a less urgent step that fits once some small tasks end. There
-// are more of them than may have capacity reserved in a round, so a step for which none can be
-// reserved must not count towards that limit; otherwise small tasks take all capacity that
-// becomes free.
+// TestUnplaceableStepsDoNotBlockOthers checks that steps that never get room beside long-running
+// tasks do not delay a less urgent step that fits once some small tasks end. There are more of
+// them than may reserve room in a round, so a step for which none can be reserved must not count
+// towards that limit in each round; otherwise small tasks take all room that becomes free.
 func TestUnplaceableStepsDoNotBlockOthers(t *testing.T) {
 	for _, unplaceable := range []int{0, 10} {
 		t.Run(fmt.Sprintf("unplaceable=%d", unplaceable), func(t *testing.T) {
@@ -423,16 +422,17 @@
 	}
 }
 
-// TestOverdueFillerIsPreempted checks that a filler that has exceeded its estimate and holds the
-// memory that a long-running task needs is soon preempted. If the capacity of an overdue run
-// counted as about to be free, nothing would be preempted: the task started after 6.8 s instead
-// of 0.2 s, and behind a stalled speculative run not within 60 s.
-func TestOverdueFillerIsPreempted(t *testing.T) {
+// TestOverdueBestEffortTaskIsPreempted checks that a best-effort task that has exceeded its
+// estimate and occupies the memory that a long-running task needs is soon preempted. If the room
+// of an overdue run counted as about to be free, anew each 0.3 s, nothing would be preempted: the
+// long-running task started after 6.8 s instead of 0.2 s, and behind a stalled speculative run
+// not within 60 s.
+func TestOverdueBestEffortTaskIsPreempted(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	filler := tasks(1, 500)
-	filler.BestEffortCPU, filler.Need.MemoryMB = true, 8000
-	r.shard.AddJob(r.now, batch("filler", filler), nil, false)
+	bestEffort := tasks(1, 500)
+	bestEffort.BestEffortCPU, bestEffort.Need.MemoryMB = true, 8000
+	r.shard.AddJob(r.now, batch("filler", bestEffort), nil, false)
 	r.runFor(1500 * time.Millisecond)
 	r.addLongRunning(batch("lasts", longRunningTasks(1, 1000)))
 	r.runFor(3 * time.Second)
@@ -504,9 +504,9 @@
 	}
 }
 
-// TestWaitLogNamesBlockingReason lets a long-running task wait for a worker that is set aside and
-// also full of long-running tasks, and checks that the log names the lack of capacity: it is
-// what blocks the task, since long-running tasks use workers that are set aside. The log must
+// TestWaitLogNamesBlockingReason lets a long-running task wait for a worker that is quarantined
+// and also full of long-running tasks, and checks that the log names the lack of room: it is
+// what blocks the task, since long-running tasks may start on quarantined workers. The log must
 // not name the worker's health only because that is checked first.
 func TestWaitLogNamesBlockingReason(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
--- a/internal/scheduler/gangfails_test.go
+++ b/internal/scheduler/gangfails_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestGangAvoidsFailingWorker runs a gang of two beside one worker that fails every run and
-// two sound ones; the gang must run on the sound ones. The failing worker is not set aside,
-// since failures of one job may be the job's own, so a gang that returns to it uses up all its
-// attempts there.
+// two healthy ones; the gang must run on the healthy ones. The failing worker is not
+// quarantined, since failures of one job may be the job's own, so a gang that returns to it
+// uses up all its attempts there.
 func TestGangAvoidsFailingWorker(t *testing.T) {
 	const (
 		bad    = "w0"
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -13,7 +13,7 @@
 // newRuns is the number of new runs that fail, each followed by the success of an old run.
 const newRuns = 3
 
-// TestOldSuccessDoesNotClearWorker checks that a worker that fails every new run is set aside
+// TestOldSuccessDoesNotClearWorker checks that a worker that fails every new run is quarantined
 // although runs that started earlier succeed there.
 func TestOldSuccessDoesNotClearWorker(t *testing.T) {
 	r := newRig(t, 1)
@@ -35,7 +35,7 @@
 		r.runFor(100 * time.Millisecond)
 	}
 	if n := r.shard.Counts().Quarantines; n == 0 {
-		t.Error("a worker on which all new runs failed was not set aside")
+		t.Error("a worker on which all new runs failed was not quarantined")
 	}
 }
 
@@ -55,7 +55,7 @@
 		r.runFor(100 * time.Millisecond)
 	}
 	if n := r.shard.Counts().Quarantines; n != 0 {
-		t.Errorf("a worker on which every second run succeeded was set aside %d times", n)
+		t.Errorf("a worker on which every second run succeeded was quarantined %d times", n)
 	}
 }
 
--- a/internal/scheduler/life_test.go
+++ b/internal/scheduler/incarnation_test.go
@@ -35,7 +35,7 @@
 			t.Fatalf("the generation is %d (known: %t), want one above %d", order.Generation, ok, last)
 		}
 		last = order.Generation
-		r.shard.WorkerEnded(r.now, worker.ID, "its lease is over")
+		r.shard.WorkerEnded(r.now, worker.ID, "its lease has expired")
 		for i := range others {
 			id := fmt.Sprintf("o%d", i)
 			r.upsertIncarnation(cluster.Incarnation{ID: id})
--- a/internal/scheduler/jointadvice_test.go
+++ b/internal/scheduler/jointadvice_test.go
@@ -11,10 +11,10 @@
 )
 
 // TestJointGangKeepsTickets checks that a gang that several shards run together holds valid
-// tickets for all allowed workers at any time, also for those that are full of other work. It
-// guards against asking only about workers with free capacity: capacity comes and goes within
-// tenths of a second, a call takes half a second, and all shards must have capacity at the same
-// time, so that a gang of 130 tasks in six shards started only when the load had ended.
+// tickets for all approved workers at any time, also for those that are full of other work. It
+// guards against asking only about workers with room: room comes and goes within tenths of a
+// second, a call takes half a second, and all shards must have room at the same time, so that a
+// gang of 130 tasks in six shards started only when the load had ended.
 func TestJointGangKeepsTickets(t *testing.T) {
 	const (
 		validTime = 2500 * time.Millisecond
--- a/internal/scheduler/longrunning_test.go
+++ b/internal/scheduler/longrunning_test.go
@@ -12,13 +12,13 @@
 )
 
 // restartWithin is the time within which a long-running task must run again after its last
-// run has ended, if there is capacity. Callers count a task that takes longer as lost.
+// run has ended, if there is room. Callers count a task that takes longer as lost.
 const restartWithin = 6 * time.Second
 
 // TestLongRunningTasksRestart checks that long-running tasks of two jobs that fail keep being
-// restarted on a worker on which a third job keeps running. A worker that is set aside after
+// restarted on a worker on which a third job keeps running. A worker that is quarantined after
 // failures of two jobs must become usable without being empty, which the third job prevents,
-// and without a success, which long-running tasks never have.
+// and without a task that succeeds, which long-running tasks never do.
 func TestLongRunningTasksRestart(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
@@ -38,7 +38,7 @@
 }
 
 // TestWorkerWithLongRunningTaskRecovers checks that a worker on which a long-running task
-// stays is set aside after two batch jobs fail there, and is used in full again once runs
+// stays is quarantined after two batch jobs fail there, and is used in full again once runs
 // succeed, although it is never empty. If it needed to be empty, seven eighths of its capacity
 // would stay unused.
 func TestWorkerWithLongRunningTaskRecovers(t *testing.T) {
@@ -53,7 +53,7 @@
 		r.runWithProgress(100 * time.Millisecond)
 	}
 	if n := r.shard.Counts().Quarantines; n != 1 {
-		t.Errorf("the worker was set aside %d times, want once", n)
+		t.Errorf("the worker was quarantined %d times, want once", n)
 	}
 	for _, id := range []string{"c", "d", "e"} {
 		r.shard.AddJob(r.now, batch(id, tasks(1, 500)), nil, false)
@@ -74,9 +74,9 @@
 }
 
 // TestSpreadStepAsksAboutOtherWorkers checks that a step of three long-running tasks, at most
-// one per worker, gets its third worker. Two allowed workers already run its first two tasks
-// and have capacity left; the third is full of less urgent work. It guards against a step that
-// asks again and again about the two workers with free capacity and never about the third.
+// one per worker, gets its third worker. Two approved workers already run its first two tasks
+// and have room left; the third is full of less urgent work. It guards against a step that asks
+// again and again about the two workers with room and never about the third.
 func TestSpreadStepAsksAboutOtherWorkers(t *testing.T) {
 	r := newRig(t, 4)
 	r.upsertWorkers()
@@ -93,10 +93,10 @@
 	job := batch("j", step)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 5, ValidMS: 2500}
 	r.addLongRunning(job)
-	allowed := map[string]bool{"w0": true, "w1": true, "w3": true}
+	approved := map[string]bool{"w0": true, "w1": true, "w3": true}
 	for end := r.now.Add(restartWithin); r.now.Before(end); {
 		r.runWithProgress(100 * time.Millisecond)
-		r.answerAdvice(allowed)
+		r.answerAdvice(approved)
 	}
 	n := 0
 	for task := range r.running() {
@@ -109,11 +109,11 @@
 	}
 }
 
-// TestLongRunningTaskUsesWorkerSetAside checks that a long-running task runs on a worker that
-// is set aside if there is no other, while a batch job, which has only two attempts, waits.
-// With 70% of the workers failing 70% of their runs for a minute, long-running tasks waited
-// up to 21 s for a worker that was not set aside.
-func TestLongRunningTaskUsesWorkerSetAside(t *testing.T) {
+// TestLongRunningTaskUsesQuarantinedWorker checks that a long-running task runs on a quarantined
+// worker if there is no other, while a batch job, which has only two attempts, waits. With 70%
+// of the workers failing 70% of their runs for a minute, long-running tasks waited up to 21 s
+// for a worker that was not quarantined.
+func TestLongRunningTaskUsesQuarantinedWorker(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	for i := 0; r.shard.Counts().Quarantines < 3; i++ {
@@ -132,13 +132,13 @@
 		t.Error("the long-running task does not run 2 s after it was submitted")
 	}
 	if r.isRunning("waits") {
-		t.Error("the batch job runs on a worker that is set aside")
+		t.Error("the batch job runs on a quarantined worker")
 	}
 }
 
-// TestLongProbeDoesNotBlockWorker checks that a worker that was set aside gets more runs while
-// its first long run has not ended, instead of being judged by one run at a time, however long
-// that takes.
+// TestLongProbeDoesNotBlockWorker checks that a worker gets more runs after its quarantine while
+// the first, long one has not ended, instead of being probed with one run at a time, however
+// long that takes.
 func TestLongProbeDoesNotBlockWorker(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
@@ -155,14 +155,14 @@
 	}
 	r.runWithProgress(12 * time.Second)
 	if n := len(r.running()); n < 3 {
-		t.Errorf("%d tasks run 12 s after the worker was set aside for 2 s, want at least 3", n)
+		t.Errorf("%d tasks run 12 s after the worker was quarantined for 2 s, want at least 3", n)
 	}
 }
 
-// TestOldSuccessDoesNotShortenSetAside checks that a worker on which runs stall stays set
-// aside for the whole time although a run that started earlier succeeds there. Otherwise a
-// worker that has become slow gets new tasks as soon as an old run ends, and more jobs fail.
-func TestOldSuccessDoesNotShortenSetAside(t *testing.T) {
+// TestOldSuccessDoesNotShortenQuarantine checks that a worker on which runs stall stays
+// quarantined for the whole time although a run that started earlier succeeds there. Otherwise
+// a worker that has become slow gets new tasks as soon as an old run ends, and more jobs fail.
+func TestOldSuccessDoesNotShortenQuarantine(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	old := tasks(1, 500)
@@ -180,11 +180,11 @@
 	before := r.shard.Counts().Starts
 	r.runFor(1700 * time.Millisecond)
 	if n := r.shard.Counts().Starts - before; n > 0 {
-		t.Errorf("%d runs start on a worker that is set aside for 2 s", n)
+		t.Errorf("%d runs start on a worker that is quarantined for 2 s", n)
 	}
 	r.runFor(500 * time.Millisecond)
 	if len(r.running()) == 0 {
-		t.Error("no task runs after the worker's time aside")
+		t.Error("no task runs after the worker's quarantine")
 	}
 }
 
@@ -227,9 +227,8 @@
 
 // TestLongRunningTaskPreempts checks that a long-running task soon runs on a worker that is
 // full of batch work, while its tickets are valid for less time than one batch task takes. It
-// guards against reserving capacity where a run is expected to end within 4 s instead of
-// preempting: by then the tickets have expired, and nothing stays reserved while the step asks
-// again.
+// guards against reserving room where a run is expected to end within 4 s instead of preempting:
+// by then the tickets have expired, and nothing stays reserved while the step asks again.
 func TestLongRunningTaskPreempts(t *testing.T) {
 	const (
 		batchTime = 2500 * time.Millisecond
@@ -319,12 +318,12 @@
 	}
 }
 
-// answerAdvice answers the advice calls of the last round with tickets for the allowed workers.
-func (r *rig) answerAdvice(allowed map[string]bool) {
+// answerAdvice answers the advice calls of the last round with tickets for the approved workers.
+func (r *rig) answerAdvice(approved map[string]bool) {
 	for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
 		var tickets []cluster.Ticket
 		for _, w := range c.Workers {
-			if allowed[w] {
+			if approved[w] {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
 		}
--- a/internal/scheduler/longrunningadvice_test.go
+++ b/internal/scheduler/longrunningadvice_test.go
@@ -13,7 +13,7 @@
 
 // The tests below guard against long-running tasks that miss workers which come into use one
 // after the other. Each worker was asked about only after the call about the one before had
-// ended, and until the answer came, other work that can't be preempted took its capacity.
+// ended, and until the answer came, other work that can't be preempted took its room.
 
 // longRunningJobWithAdvice returns a job of n long-running tasks, at most one per worker,
 // that need advice.
@@ -25,10 +25,9 @@
 	return job
 }
 
-// TestCapacityIsReservedDuringAdviceCall checks that capacity for a long-running task stays
-// reserved on a worker during the advice call about it, although a gang that would fill the
-// worker waits.
-func TestCapacityIsReservedDuringAdviceCall(t *testing.T) {
+// TestRoomIsReservedDuringAdviceCall checks that room for a long-running task stays reserved on a
+// worker during the advice call about it, although a gang that would fill the worker waits.
+func TestRoomIsReservedDuringAdviceCall(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
 	r.addLongRunning(longRunningJobWithAdvice(1))
@@ -44,7 +43,7 @@
 	r.shard.AdviceReplied(r.now, calls[0].Step, calls[0].Workers, []cluster.Ticket{{Worker: "w0", Value: "t"}}, 0, nil)
 	r.runFor(200 * time.Millisecond)
 	if !r.isRunning("lasts") {
-		t.Error("the long-running task does not run on the worker that advice allows")
+		t.Error("the long-running task does not run on the approved worker")
 	}
 }
 
--- a/internal/scheduler/move_test.go
+++ b/internal/scheduler/move_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestJobsThatMove checks which jobs may move: only those that have not started and are not
-// split, and for lack of capacity only out of a full shard.
+// split, and for lack of room only out of a full shard.
 func TestJobsThatMove(t *testing.T) {
 	r := newRig(t, 2)
 	r.upsertWorkers()
--- a/internal/scheduler/movedprogress_test.go
+++ b/internal/scheduler/movedprogress_test.go
@@ -10,9 +10,9 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// Advice for a step is asked only once the steps before it have ended. If it then allows too
-// few workers of the shard, the job has to move although it has started: gangs of 69 and 91
-// tasks waited forever in shards of 110 workers, a third of which were allowed, because jobs
+// Which workers are approved for a step shows only once the steps before it have ended. If too
+// few workers of the shard are, the job has to move although it has started: gangs of 69 and 91
+// tasks waited forever in shards of 110 workers, a third of which were approved, because jobs
 // that had started never moved.
 
 // gangJob returns a job with a step of one task followed by a gang of three tasks, each of
@@ -24,8 +24,8 @@
 }
 
 // startGangJob returns a shard of four workers in which the first step of the job has ended
-// and advice allows the gang on the given number of workers.
-func startGangJob(t *testing.T, allowedWorkers int) *rig {
+// and the given number of workers is approved for the gang.
+func startGangJob(t *testing.T, approvedWorkers int) *rig {
 	r := newRig(t, 4)
 	r.upsertWorkers()
 	r.runFor(200 * time.Millisecond)
@@ -37,12 +37,12 @@
 		r.reportAll()
 		r.round()
 		for _, c := range commandsOf[scheduler.RequestAdvice](r.lastCommands) {
-			allowed := c.Workers
+			approved := c.Workers
 			if c.Step.Step == 1 {
-				allowed = allowed[:min(allowedWorkers, len(allowed))]
+				approved = approved[:min(approvedWorkers, len(approved))]
 			}
 			var tickets []cluster.Ticket
-			for _, w := range allowed {
+			for _, w := range approved {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 			}
 			r.shard.AdviceReplied(r.now, c.Step, c.Workers, tickets, time.Second, nil)
@@ -56,7 +56,7 @@
 }
 
 // TestStartedJobMovesWhenItsGangCannotFit checks that a job moves to another shard with its
-// progress if advice allows too few workers for its gang, and that its finished step does not
+// progress if too few workers are approved for its gang, and that its finished step does not
 // run again there.
 func TestStartedJobMovesWhenItsGangCannotFit(t *testing.T) {
 	r := startGangJob(t, 2)
@@ -81,8 +81,8 @@
 	to.wantState(cluster.StateSucceeded)
 }
 
-// TestStartedJobStaysWhereItsGangFits checks that a started job does not move while advice
-// allows enough workers for its gang, however long the gang waits for them.
+// TestStartedJobStaysWhereItsGangFits checks that a started job does not move while enough
+// workers are approved for its gang, however long the gang waits for them.
 func TestStartedJobStaysWhereItsGangFits(t *testing.T) {
 	r := startGangJob(t, 3)
 	r.runFor(2 * time.Second)
--- a/internal/scheduler/reserve_test.go
+++ b/internal/scheduler/reserve_test.go
@@ -58,8 +58,8 @@
 }
 
 // TestReservationAvoidsPreemption checks that a large task that can wait for small ones to end
-// is placed without preemption, and that waiting small tasks do not take the capacity
-// reserved for it.
+// is placed without preemption, and that waiting small tasks do not take the room reserved
+// for it.
 func TestReservationAvoidsPreemption(t *testing.T) {
 	r := newRigFullOfSmallTasks(t, 700*time.Millisecond)
 	r.addWholeWorkerJob(2.2)
@@ -72,7 +72,7 @@
 			t.Fatalf("%d runs were stopped, want none", stops)
 		}
 		if n := r.runningByJob()["small"]; n > 2 {
-			t.Fatalf("%d small tasks run in reserved capacity, want at most 2", n)
+			t.Fatalf("%d small tasks run in reserved room, want at most 2", n)
 		}
 	}
 	if n := r.runningByJob()["urgent"]; n != 1 {
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestShortTaskUsesReservedCapacity checks that a task that ends before reserved capacity is
-// needed may use it.
-func TestShortTaskUsesReservedCapacity(t *testing.T) {
+// TestShortTaskUsesReservedRoom checks that a task that ends before reserved room is needed may
+// use it.
+func TestShortTaskUsesReservedRoom(t *testing.T) {
 	r := newRigFullOfSmallTasks(t, 300*time.Millisecond)
 	r.addWholeWorkerJob(3)
 	r.endSomeRuns(2)
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestLateTaskDoesNotPreempt checks that a large task that is already late takes the next free
-// capacity but preempts nothing, since that would make other tasks late too.
+// TestLateTaskDoesNotPreempt checks that a large task that is already late takes the next room
+// that becomes free but preempts nothing, since that would make other tasks late too.
 func TestLateTaskDoesNotPreempt(t *testing.T) {
 	r := newRigFullOfSmallTasks(t, 300*time.Millisecond)
 	r.addWholeWorkerJob(1)
--- a/internal/scheduler/rig_test.go
+++ b/internal/scheduler/rig_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// reportAll delivers a report of every worker that is not silent. Long-running tasks
-// report that they are at work (100%).
+// reportAll delivers a report of every worker that is not silent. Long-running tasks are at
+// 100% in it.
 func (r *rig) reportAll() {
 	for _, id := range r.workerIDs() {
 		f := r.workers[id]
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -145,7 +145,7 @@
 
 // TestTakeoverWaitsForAllWorkers checks that a new owner starts no task of an earlier job while
 // a live worker has not answered, even if the directory does not list that worker and others
-// have free capacity.
+// have room.
 func TestTakeoverWaitsForAllWorkers(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -293,17 +293,16 @@
 	return paces
 }
 
-// TestFillersArePaced checks that a filler, a task that uses only CPU time that others leave, is
-// slowed down while the serving task beside it exceeds its latency target, and gets its pace back
-// afterwards.
-func TestFillersArePaced(t *testing.T) {
+// TestBestEffortTasksArePaced checks that a best-effort task is slowed down while the serving
+// task beside it exceeds its latency target, and gets its pace back afterwards.
+func TestBestEffortTasksArePaced(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	serving, filler := tasks(1, 1000), tasks(1, 1000)
+	serving, bestEffort := tasks(1, 1000), tasks(1, 1000)
 	serving.LongRunning, serving.LatencyTargetMS = true, 100
-	filler.BestEffortCPU = true
+	bestEffort.BestEffortCPU = true
 	r.shard.AddJob(r.now, batch("serves", serving), nil, false)
-	r.shard.AddJob(r.now, batch("fills", filler), nil, false)
+	r.shard.AddJob(r.now, batch("fills", bestEffort), nil, false)
 	r.runFor(300 * time.Millisecond)
 	if got := len(r.running()); got != 2 {
 		t.Fatalf("%d tasks run beside each other, want 2", got)
@@ -316,14 +315,14 @@
 	}
 }
 
-// TestPaceAfterTakeover checks that the next owner sets the pace of a filler that an earlier
-// owner has slowed down.
+// TestPaceAfterTakeover checks that the next owner sets the pace of a best-effort task that an
+// earlier owner may have slowed down.
 func TestPaceAfterTakeover(t *testing.T) {
 	r := newRig(t, 1)
 	r.upsertWorkers()
-	filler := tasks(1, 1000)
-	filler.BestEffortCPU = true
-	job := batch("fills", filler)
+	bestEffort := tasks(1, 1000)
+	bestEffort.BestEffortCPU = true
+	job := batch("fills", bestEffort)
 	r.shard.AddJob(r.now, job, nil, false)
 	r.runFor(300 * time.Millisecond)
 	r.takeOver()
--- a/internal/scheduler/search_test.go
+++ b/internal/scheduler/search_test.go
@@ -40,8 +40,8 @@
 	finishTime = 30 * time.Second
 	// maxBacklog is the backlog up to which more jobs are submitted.
 	maxBacklog = 8 * time.Second
-	// recoveryTime is the time within which no worker is set aside any more once tasks succeed
-	// on all of them.
+	// recoveryTime is the time within which no worker is quarantined or on probation any more
+	// once tasks succeed on all of them.
 	recoveryTime = 40 * time.Second
 )
 
@@ -74,7 +74,7 @@
 	runs         map[runKey]*simRun
 	// runningOn holds the worker on which each task runs.
 	runningOn map[cluster.TaskID]string
-	// These hold since when a long-running task does not run although an allowed worker could
+	// These hold since when a long-running task does not run although an approved worker could
 	// hold two such tasks, or one, beside its long-running tasks.
 	roomForTwoSince, roomForOneSince map[cluster.TaskID]time.Time
 
@@ -86,15 +86,15 @@
 }
 
 // TestSearchTasksStart searches seeded simulations for tasks that are due and don't start
-// although there is capacity. Workers fail runs, stall, are slow or silent, drain or die; starts
-// and advice calls are rejected; the owner is replaced. After these faults, only long-running
-// tasks fail for a while, by themselves, and then nothing does.
+// although there is room. Workers fail runs, stall, are slow or silent, drain or die; starts and
+// advice calls are rejected; the owner is replaced. After these faults, only long-running tasks
+// fail for a while, by themselves, and then nothing does.
 //
 // It guards against these failures of long-running tasks:
-//   - workers that were set aside don't become usable again;
+//   - workers that were quarantined don't become usable again;
 //   - a free place goes to the waiting task of a step with the lowest index, so that the last
 //     tasks of the step never run (seed 138);
-//   - no capacity is reserved for a step while it asks for advice, or less urgent work is not
+//   - no room is reserved for a step while it asks for advice, or less urgent work is not
 //     preempted for it for up to 4 s, which is longer than tickets are valid (seed 91).
 //
 // SEARCH_SEED=n runs one seed and prints its trace, SEARCH_PLAYS=n runs the first n seeds, and
@@ -136,14 +136,14 @@
 }
 
 // TestSearchSeedsThatFailed runs the seeds that failed once, each with a long-running task that
-// did not run for over 6 s although there was capacity for it.
+// did not run for over 6 s although there was room for it.
 func TestSearchSeedsThatFailed(t *testing.T) {
 	for seed, cause := range map[uint64]string{
 		138: "a free place went to the waiting task with the lowest index",
-		91:  "no capacity was reserved while the step asked for advice",
-		667: "a step that found no capacity was skipped for half a second, and a gang took what became free",
+		91:  "no room was reserved while the step asked for advice",
+		667: "a step that found no room was skipped for half a second, and a gang took what became free",
 		878: "as seed 667",
-		// The cause is not certain; it passes since capacity is searched for in each round.
+		// The cause is not certain; it passes since room is looked for in each round.
 		24019: "twelve tasks share six workers, and places stay free while advice is asked again",
 	} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -348,13 +348,13 @@
 	j.spec.Queue, j.spec.Service, j.spec.Epoch = fmt.Sprintf("q%d", s.rng.IntN(3)), "svc", s.epoch
 	j.spec.AcceptedMS = s.now.UnixMilli()
 	if s.chance(0.5) {
-		j.adviceShare = 0.35 + 0.65*s.rng.Float64()
+		j.approvalRate = 0.35 + 0.65*s.rng.Float64()
 		j.spec.Policy.Advice = &cluster.AdviceCost{BaseMS: 100 + s.rng.Float64()*800, PerWorkerMS: 5 * s.rng.Float64(), ValidMS: 1500 + s.rng.Int64N(3000)}
 	}
 	s.jobs = append(s.jobs, j)
 	s.byID[j.spec.ID] = j
 	st := j.step()
-	s.tracef("%s is submitted: %+v, duration %s, advice share %.2f, fails %t", j.spec.ID, *st, j.duration, j.adviceShare, j.fails)
+	s.tracef("%s is submitted: %+v, duration %s, approval rate %.2f, fails %t", j.spec.ID, *st, j.duration, j.approvalRate, j.fails)
 }
 
 // submitLongRunning draws the long-running jobs, which take up to 45% of the capacity.
@@ -415,11 +415,11 @@
 	}
 }
 
-// pendingFor returns for how long a task has not run although an allowed worker could hold the
+// pendingFor returns for how long a task has not run although an approved worker could hold the
 // given number of such tasks beside its long-running ones.
 func (s *simulation) pendingFor(since map[cluster.TaskID]time.Time, task cluster.TaskID, j *simJob, times int64) time.Duration {
 	_, runs := s.runningOn[task]
-	if runs || !s.hasCapacity(j, times) {
+	if runs || !s.hasRoom(j, times) {
 		delete(since, task)
 		return 0
 	}
@@ -429,18 +429,18 @@
 	return s.now.Sub(since[task])
 }
 
-// hasCapacity reports whether an allowed worker could hold the given number of tasks of a job
+// hasRoom reports whether an approved worker could hold the given number of tasks of a job
 // beside its long-running ones.
-func (s *simulation) hasCapacity(j *simJob, times int64) bool {
+func (s *simulation) hasRoom(j *simJob, times int64) bool {
 	return slices.ContainsFunc(s.workerIDs(), func(id string) bool { return s.tasksThatFit(id, j, true) >= times })
 }
 
 // tasksThatFit returns how many tasks of a job a worker can hold beside its long-running ones;
-// none if it is faulty or not allowed. If spread is set, a worker that has the step's maximum
+// none if it is faulty or not approved. If spread is set, a worker that has the step's maximum
 // per worker holds no more.
 func (s *simulation) tasksThatFit(id string, j *simJob, spread bool) int64 {
 	m, st := s.workerStates[id], j.step()
-	if m.fault != noFault || !m.drainedAt.IsZero() || !s.adviceAllows(j, id) {
+	if m.fault != noFault || !m.drainedAt.IsZero() || !s.adviceApproves(j, id) {
 		return 0
 	}
 	free := m.info.Capacity.Sub(s.used(id, true))
@@ -474,7 +474,7 @@
 func (s *simulation) finishTimeout() time.Duration {
 	sum := finishTime
 	for _, j := range s.jobs {
-		if capacity := s.capacityFor(j); !j.step().LongRunning && !j.ended && s.canRun(j) {
+		if capacity := s.roomFor(j); !j.step().LongRunning && !j.ended && s.canRun(j) {
 			waves := 1 + (int64(j.step().Count)-1)/capacity
 			sum += 2 * time.Duration(waves*int64(j.spec.Policy.MaxAttempts)) * j.duration
 		}
@@ -509,13 +509,13 @@
 // canRun reports whether the workers can run a job beside the long-running tasks.
 func (s *simulation) canRun(j *simJob) bool {
 	if st := j.step(); st.Gang {
-		return s.capacityFor(j) >= int64(st.Count)
+		return s.roomFor(j) >= int64(st.Count)
 	}
-	return s.capacityFor(j) > 0
+	return s.roomFor(j) > 0
 }
 
-// capacityFor returns how many tasks of a job the workers can hold beside the long-running ones.
-func (s *simulation) capacityFor(j *simJob) (total int64) {
+// roomFor returns how many tasks of a job the workers can hold beside the long-running ones.
+func (s *simulation) roomFor(j *simJob) (total int64) {
 	for _, id := range s.workerIDs() {
 		n := s.tasksThatFit(id, j, false)
 		if limit := int64(j.step().MaxPerWorker); limit > 0 {
@@ -538,13 +538,14 @@
 	return fmt.Sprintf("%s is %q (known: %t), %d of %d tasks run, %+v", j.spec.ID, state, ok, n, j.step().Count, *j.step())
 }
 
-// checkWorkersRecover runs short tasks on all workers and checks that none stays set aside.
+// checkWorkersRecover runs short tasks on all workers and checks that none stays quarantined or
+// on probation.
 func (s *simulation) checkWorkersRecover() {
 	const interval = 4 * time.Second
 	probe := resource.Amount{CPUMilli: 50, MemoryMB: 1}
 	for end := s.now.Add(recoveryTime); s.failure == "" && s.shard.QuarantinedWorkers() > s.fullWorkers(probe); {
 		if s.now.After(end) {
-			s.fail("%d workers are set aside, want only full ones, of which there are %d", s.shard.QuarantinedWorkers(), s.fullWorkers(probe))
+			s.fail("%d workers are quarantined or on probation, want only full ones, of which there are %d", s.shard.QuarantinedWorkers(), s.fullWorkers(probe))
 			return
 		}
 		st := cluster.Step{Count: len(s.workers), Need: probe, EstimateMS: 1000, MaxPerWorker: 1}
@@ -556,7 +557,7 @@
 	}
 }
 
-// fullWorkers returns the number of workers without the given capacity beside their long-running
+// fullWorkers returns the number of workers without room for need beside their long-running
 // tasks.
 func (s *simulation) fullWorkers(need resource.Amount) int {
 	n := 0
--- a/internal/scheduler/searchrestart_test.go
+++ b/internal/scheduler/searchrestart_test.go
@@ -28,7 +28,7 @@
 
 // TestSearchWorkersStartAgain runs the simulations of TestSearchTasksStart with workers that
 // restart under their IDs, with their hosts' clocks set back or ahead, until the faults end. No
-// task may run twice, and all tasks with capacity must run at the end, whichever of a restarted
+// task may run twice, and all tasks with room must run at the end, whichever of a restarted
 // worker's entry, its list of runs and an order comes first.
 //
 // SEARCH_SEED=n runs one seed and prints its trace, and MODEL=full runs 4,000.
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -35,7 +35,7 @@
 )
 
 var faultNames = [faultCount]string{
-	"is sound", "fails its runs", "stalls", "is slow", "is silent", "is busy", "has an invalid entry", "drains", "dies",
+	"is healthy", "fails its runs", "stalls", "is slow", "is silent", "is busy", "has an invalid entry", "drains", "dies",
 }
 
 // workerState is the part of a worker's state that fakeWorker does not hold.
@@ -75,8 +75,8 @@
 type simJob struct {
 	spec     cluster.Job
 	duration time.Duration
-	// adviceShare is the fraction of workers that advice allows.
-	adviceShare float64
+	// approvalRate is the fraction of workers that the advice service approves.
+	approvalRate float64
 	// fails is set if the long-running tasks fail by themselves, or if the batch tasks always
 	// fail.
 	fails bool
@@ -97,8 +97,8 @@
 	run  int64
 }
 
-// adviceAllows reports whether advice allows a job on a worker.
-func (s *simulation) adviceAllows(j *simJob, worker string) bool {
+// adviceApproves reports whether the advice service approves a worker for a job.
+func (s *simulation) adviceApproves(j *simJob, worker string) bool {
 	if j.spec.Policy.Advice == nil {
 		return true
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic("write to hash: " + err.Error())
 	}
-	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() < j.adviceShare //nolint:gosec // Each seed must be reproducible.
+	return rand.New(rand.NewPCG(h.Sum64(), 0)).Float64() < j.approvalRate //nolint:gosec // Each seed must be reproducible.
 }
 
 // randomDuration draws a duration between two bounds.
@@ -379,7 +379,7 @@
 	}
 }
 
-// speed returns the speed of runs on a worker relative to a sound one.
+// speed returns the speed of runs on a worker relative to a healthy one.
 func (s *simulation) speed(id string) float64 {
 	const slow = 0.15
 	switch s.workerStates[id].fault {
@@ -455,7 +455,7 @@
 		valid := time.Duration(j.spec.Policy.Advice.ValidMS) * time.Millisecond
 		var tickets []cluster.Ticket
 		for _, w := range c.Workers {
-			if s.adviceAllows(j, w) {
+			if s.adviceApproves(j, w) {
 				tickets = append(tickets, cluster.Ticket{Worker: w, Value: strconv.FormatInt(s.now.Add(valid).UnixMilli(), 10)})
 			}
 		}
--- a/internal/scheduler/slow_test.go
+++ b/internal/scheduler/slow_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// In each workTick a sound worker does soundPercent of a task, so that a task takes 1 s,
+	// In each workTick a healthy worker does healthyPercent of a task, so that a task takes 1 s,
 	// and a slow worker slowPercent, so that it takes 8 s.
-	workTick     = 50 * time.Millisecond
-	soundPercent = 5
-	slowPercent  = 0.625
+	workTick       = 50 * time.Millisecond
+	healthyPercent = 5
+	slowPercent    = 0.625
 )
 
 // slowRig is a rig whose workers make progress, some of them slowly.
@@ -70,7 +70,7 @@
 		if r.slow[id] {
 			r.done[on] += slowPercent
 		} else {
-			r.done[on] += soundPercent
+			r.done[on] += healthyPercent
 		}
 		s.Percent = int(min(100, r.done[on]))
 	}
@@ -87,7 +87,7 @@
 }
 
 // TestSlowTaskMoves checks that a task that was stopped because it was slow starts on another
-// worker, even if the slow one has the least free capacity.
+// worker, even if the slow one has the least room.
 func TestSlowTaskMoves(t *testing.T) {
 	r := newSlowRig(t, 3, "w0")
 	r.add("j", 9)
@@ -131,16 +131,16 @@
 	r.wantState(cluster.StateSucceeded)
 }
 
-// TestSlowWorkerIsSetAside checks that a worker on which the tasks of several steps are slow
+// TestSlowWorkerIsQuarantined checks that a worker on which the tasks of several steps are slow
 // gets no new tasks for a while, and only one probe at a time after that.
-func TestSlowWorkerIsSetAside(t *testing.T) {
+func TestSlowWorkerIsQuarantined(t *testing.T) {
 	r := newSlowRig(t, 3, "w0")
 	for i := range 6 {
 		r.add(fmt.Sprintf("j%d", i), 9)
 		r.simulate(4 * time.Second)
 	}
 	if n := r.shard.Counts().Quarantines; n == 0 {
-		t.Error("the slow worker was never set aside")
+		t.Error("the slow worker was never quarantined")
 	}
 	onSlow := 0
 	for task, on := range r.started {
@@ -148,7 +148,7 @@
 			onSlow++
 		}
 	}
-	// Without being set aside it would get one in four tasks of each job at the first attempt.
+	// Without a quarantine it would get one in four tasks of each job at the first attempt.
 	const probes = 4
 	if onSlow > probes {
 		t.Errorf("%d tasks of the last four jobs were started on the slow worker, want at most %d probes", onSlow, probes)
--- a/internal/scheduler/stale_test.go
+++ b/internal/scheduler/stale_test.go
@@ -12,9 +12,9 @@
 
 // TestOlderListDoesNotDropListedRun guards against a task that runs twice on one worker. After
 // a start without an answer two requests are open at the worker: the hold, which is a long
-// poll, and an immediate poll. The poll may be answered before the start arrives, but its answer
-// read after the answer to the hold, which lists the run; a busy host reads answers up to 0.1 s
-// late. The older answer must not make the listed run count as gone.
+// poll, and an immediate poll. The poll may be answered before the start arrives, and its answer
+// be read after the answer to the hold, which lists the run: a busy host reads answers up to
+// 0.1 s late. The older answer must not make the listed run count as lost.
 func TestOlderListDoesNotDropListedRun(t *testing.T) {
 	for _, reply := range []cluster.Reply{cluster.ReplyOK, cluster.ReplyUnknown} {
 		t.Run(string(reply), func(t *testing.T) { testOlderList(t, reply) })
--- a/internal/scheduler/widegang_test.go
+++ b/internal/scheduler/widegang_test.go
@@ -11,17 +11,16 @@
 	"switchbank.example/switchbank/internal/scheduler"
 )
 
-// TestWideGangStartsAmongSmallTasks checks that a gang that needs most of the workers that
-// advice allows starts soon in a shard in which small tasks come and go. It guards against a
-// gang that asks only once, about the workers with free capacity: one of 124 tasks asked about
-// 31 of 157 workers and learned of 13 of some 66 allowed ones. It then only renewed those
-// tickets, and no capacity was reserved for it, since that takes as many allowed workers as the
-// gang has tasks.
+// TestWideGangStartsAmongSmallTasks checks that a gang that needs most of the approved workers
+// starts soon in a shard in which small tasks come and go. It guards against a gang that asks
+// only once, about the workers with room: one of 124 tasks asked about 31 of 157 workers, and 13
+// of some 66 suitable ones were approved. It then only renewed those tickets, and no room was
+// reserved for it, since that takes as many approved workers as the gang has tasks.
 func TestWideGangStartsAmongSmallTasks(t *testing.T) {
 	const (
-		workers      = 30
-		allowedOneIn = 3
-		members      = 8
+		workers       = 30
+		approvedOneIn = 3
+		members       = 8
 	)
 	r := newRig(t, workers)
 	r.upsertWorkers()
@@ -40,14 +39,14 @@
 	job := batch("j", gang)
 	job.Policy.Advice = &cluster.AdviceCost{BaseMS: 400, PerWorkerMS: 6, ValidMS: 2500}
 	r.shard.AddJob(r.now, job, nil, false)
-	isAllowed := func(w string) bool { return len(w) > 0 && (w[len(w)-1]-'0')%allowedOneIn == 0 }
+	isApproved := func(w string) bool { return len(w) > 0 && (w[len(w)-1]-'0')%approvedOneIn == 0 }
 	for i := range 100 {
 		r.now = r.now.Add(100 * time.Millisecond)
 		r.reportAll()
 		for _, c := range commandsOf[scheduler.RequestAdvice](r.round()) {
 			var tickets []cluster.Ticket
 			for _, w := range c.Workers {
-				if isAllowed(w) {
+				if isApproved(w) {
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
@@ -88,16 +87,16 @@
 	}
 }
 
-// TestGangAsksUntilItFits checks that a gang asks about workers without free capacity as long as
-// the allowed workers it knows could barely hold it. A gang of 66 tasks knew 31 allowed workers
-// that could hold little more than that, and they were never free at the same time.
+// TestGangAsksUntilItFits checks that a gang asks about workers without room as long as the
+// approved workers could barely hold it. A gang of 66 tasks had 31 approved workers that could
+// hold little more than that, and they were never free at the same time.
 func TestGangAsksUntilItFits(t *testing.T) {
-	for _, allowedOneIn := range []int{2, 3} {
-		t.Run(fmt.Sprintf("one worker in %d allowed", allowedOneIn), func(t *testing.T) { testGangAsks(t, allowedOneIn) })
+	for _, approvedOneIn := range []int{2, 3} {
+		t.Run(fmt.Sprintf("one worker in %d approved", approvedOneIn), func(t *testing.T) { testGangAsks(t, approvedOneIn) })
 	}
 }
 
-func testGangAsks(t *testing.T, allowedOneIn int) {
+func testGangAsks(t *testing.T, approvedOneIn int) {
 	const workers, idle, members = 160, 10, 30
 	r := newRig(t, workers)
 	r.upsertWorkers()
@@ -119,7 +118,7 @@
 			var tickets []cluster.Ticket
 			for i, w := range c.Workers {
 				asked[w] = true
-				if i%allowedOneIn == 0 {
+				if i%approvedOneIn == 0 {
 					tickets = append(tickets, cluster.Ticket{Worker: w, Value: "t"})
 				}
 			}
@@ -127,13 +126,13 @@
 		}
 	}
 	if len(asked) != workers {
-		t.Errorf("the gang asked about %d workers, want all %d: the allowed ones with free capacity can't hold it", len(asked), workers)
+		t.Errorf("the gang asked about %d workers, want all %d: the approved ones with room can't hold it", len(asked), workers)
 	}
 }
 
-// TestGangWaitsForLongTasks checks that a gang gets capacity among tasks that take longer than
-// the time for which capacity is reserved for other work. One waited for 17 s in a shard whose
-// tasks took 6 s on average, although it knew all allowed workers after 2 s.
+// TestGangWaitsForLongTasks checks that a gang gets room among tasks that take longer than the
+// time for which room is reserved for other work. One waited for 17 s in a shard whose tasks
+// took 6 s on average, although all suitable workers were approved after 2 s.
 func TestGangWaitsForLongTasks(t *testing.T) {
 	const workers, taskRounds = 10, 80 // A round is 0.1 s.
 	r := newRig(t, workers)
