--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is the command line of a node.
+// Package cli implements the switchbank command line: it runs a node, or stand-ins for the
+// platform and workers to try switchbank out.
 //
 // # Usage
 //
@@ -37,7 +38,7 @@
 	ExitUsage  = 2
 )
 
-// Env is what a command writes to.
+// Env holds the output of a command.
 type Env struct {
 	Out io.Writer
 	Err io.Writer
@@ -76,6 +77,7 @@
 	return ExitOK
 }
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var ce *config.Error
 	if errors.As(err, &ce) {
@@ -115,7 +117,7 @@
 	LogLevel string `env:"SWITCHBANK_LOG_LEVEL" help:"Overrides the log level."`
 }
 
-// Run serves until SIGTERM or SIGINT, and then stops as planned.
+// Run runs a node until SIGTERM or SIGINT, and then drains and stops it.
 func (c serveCmd) Run(env *Env) error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
@@ -133,16 +135,17 @@
 	return serve(ctx, cfg, env)
 }
 
+// serve runs a node until ctx ends.
 func serve(ctx context.Context, cfg config.Config, env *Env) error {
 	log, err := telemetry.NewLogger(cfg.Log.Level, env.Err)
 	if err != nil {
 		return err
 	}
-	var traces io.Writer
+	var traceWriter io.Writer
 	if cfg.Trace == config.TraceStderr {
-		traces = env.Err
+		traceWriter = env.Err
 	}
-	flush, err := telemetry.StartTracing(traces)
+	flush, err := telemetry.StartTracing(traceWriter)
 	if err != nil {
 		return err
 	}
@@ -150,12 +153,12 @@
 	deps := node.Deps{Log: log}
 	var lc net.ListenConfig
 	for _, l := range []struct {
-		address string
-		to      *net.Listener
+		address  string
+		listener *net.Listener
 	}{
 		{cfg.Listen.Callers, &deps.Callers}, {cfg.Listen.Peers, &deps.Peers}, {cfg.Listen.Operators, &deps.Operators},
 	} {
-		if *l.to, err = lc.Listen(ctx, "tcp", l.address); err != nil {
+		if *l.listener, err = lc.Listen(ctx, "tcp", l.address); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -18,15 +18,16 @@
 	Worker   devWorkerCmd   `cmd:"" help:"Run a stand-in worker."`
 }
 
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends with SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
 type devRunCmd struct{}
 
-// Run runs the example.
+// Run runs the example cell and its workloads.
 func (devRunCmd) Run(env *Env) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return local.RunCell(ctx, env.Out)
 }
@@ -37,7 +38,7 @@
 
 // Run serves a stand-in platform until a signal.
 func (c devPlatformCmd) Run(env *Env) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return local.RunPlatform(ctx, c.Listen, env.Out)
 }
@@ -57,7 +58,7 @@
 
 // Run serves a stand-in worker until a signal.
 func (c devWorkerCmd) Run(env *Env) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return local.RunWorkers(ctx, c.Listen, c.Count, local.WorkerOptions{
 		Platform: c.Platform, FailAll: c.FailAll,
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -25,14 +25,15 @@
 }
 
 const (
-	// memoryShare is the part of the memory limit that the Go runtime aims at; the
-	// rest is for what it doesn't count, such as received bytes not yet read.
+	// memoryShare is the share of the memory limit that is given to the Go runtime; the
+	// rest is for memory that it doesn't count, such as received bytes not yet read.
 	memoryShare = 0.8
-	// gcPercent trades memory, which is plenty here, for processor time.
+	// gcPercent is above the default of 100: nodes have memory to spare, and fewer
+	// collections cost less processor time.
 	gcPercent = 200
 )
 
-// Run runs a node on a platform until SIGTERM or SIGINT; SIGHUP reads the settings again.
+// Run runs a node on a platform until SIGTERM or SIGINT; SIGHUP reloads the settings.
 func (c nodeCmd) Run(env *Env) error {
 	cfg, err := settings.Load(c.Settings)
 	if err != nil || c.Check {
@@ -61,8 +62,8 @@
 	}).Run(ctx)
 }
 
-// reload checks the settings again at each signal. The log level changes at
-// once; addresses and bounds take effect at the next start.
+// reload reads and checks the settings again at each signal. The log level changes at
+// once; all other settings take effect at the next start.
 func (c nodeCmd) reload(ctx context.Context, hup <-chan os.Signal, level zap.AtomicLevel, log *zap.Logger) {
 	for {
 		select {
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -12,17 +12,18 @@
 	"switchbank.example/switchbank/internal/cli"
 )
 
-// TestNodeRefusesOrdersItCanNotGive checks that a node does not start where workers take
-// orders in a way that is not built: it would accept jobs of which it could start nothing.
-func TestNodeRefusesOrdersItCanNotGive(t *testing.T) {
+// TestNodeRejectsUnsupportedWorkerOrders checks that a node does not start if its settings name
+// a way of giving orders to workers that is not implemented: it would accept jobs and could not
+// start any of their tasks.
+func TestNodeRejectsUnsupportedWorkerOrders(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "node.yaml")
-	const text = `
+	const settings = `
 node: n1
 listen: {callers: "127.0.0.1:1", ready: "127.0.0.1:2", peers: "127.0.0.1:3"}
 store: "127.0.0.1:4"
 worker_orders: heartbeat
 `
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out, errOut bytes.Buffer
--- a/internal/ctl/bundle.go
+++ b/internal/ctl/bundle.go
@@ -19,7 +19,7 @@
 	"switchbank.example/switchbank/internal/client"
 )
 
-const keyMode = 0o600
+const keyFileMode = 0o600
 
 type bundleCmd struct {
 	Keygen  keygenCmd        `cmd:"" help:"Make a reviewer's key."`
@@ -41,13 +41,13 @@
 	File string `arg:"" help:"Where to write the private key."`
 }
 
-// Run makes a key pair.
+// Run generates a key pair; it never overwrites a file.
 func (c keygenCmd) Run(env *Env) error {
 	pub, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return err
 	}
-	f, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyMode)
+	f, err := os.OpenFile(c.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
 		return err
 	}
@@ -58,10 +58,10 @@
 		return err
 	}
 	reply := KeyReply{Public: base64.StdEncoding.EncodeToString(pub)}
-	return env.print(reply, func(w io.Writer) { say(w, "%s", reply.Public) })
+	return env.print(reply, func(w io.Writer) { writef(w, "%s", reply.Public) })
 }
 
-// CheckReply tells of a bundle that is good.
+// CheckReply describes a valid bundle.
 type CheckReply struct {
 	Digest   string `json:"digest"`
 	Teams    int    `json:"teams"`
@@ -81,8 +81,8 @@
 	}
 	reply := CheckReply{Digest: b.Digest(), Teams: len(b.Teams), Classes: len(b.Classes), Services: len(b.Services)}
 	return env.print(reply, func(w io.Writer) {
-		say(w, "%s: good: %d teams, %d classes, %d services", c.Dir, reply.Teams, reply.Classes, reply.Services)
-		say(w, "digest %s", reply.Digest)
+		writef(w, "%s: good: %d teams, %d classes, %d services", c.Dir, reply.Teams, reply.Classes, reply.Services)
+		writef(w, "digest %s", reply.Digest)
 	})
 }
 
@@ -92,7 +92,7 @@
 	Key      string `required:"" help:"The file with the reviewer's private key."`
 }
 
-// Run writes a signature as JSON.
+// Run writes a signature of the bundle as JSON.
 func (c bundleSignCmd) Run(env *Env) error {
 	b, err := bundle.Load(c.Dir)
 	if err != nil {
@@ -115,7 +115,7 @@
 
 // Run compares a bundle with the one in force.
 func (c bundleDiffCmd) Run(env *Env) error {
-	next, err := bundle.Load(c.Dir)
+	proposed, err := bundle.Load(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -123,13 +123,13 @@
 	if err != nil {
 		return err
 	}
-	changes := bundle.Diff(st.Bundle, next)
+	changes := bundle.Diff(st.Bundle, proposed)
 	return env.print(changes, func(w io.Writer) {
-		for _, ch := range changes {
-			say(w, "%s %s", ch.Op, ch.Description)
+		for _, change := range changes {
+			writef(w, "%s %s", change.Op, change.Description)
 		}
 		if len(changes) == 0 {
-			say(w, "no difference to version %d", st.Head.Version)
+			writef(w, "no difference to version %d", st.Head.Version)
 		}
 	})
 }
@@ -166,7 +166,7 @@
 	if c.Accept {
 		return accept(env, cl, c.Change, true)
 	}
-	return env.print(p, func(w io.Writer) { say(w, "proposed version %d: %s", p.Version(), p.Digest) })
+	return env.print(p, func(w io.Writer) { writef(w, "proposed version %d: %s", p.Version(), p.Digest) })
 }
 
 func readSignatures(files []string) ([]bundle.Signature, error) {
@@ -192,11 +192,11 @@
 func (c bundleAcceptCmd) Run(env *Env) error { return accept(env, env.client(), c.Change, c.Wait) }
 
 func accept(env *Env, cl *client.Client, change string, wait bool) error {
-	call := cl.Accept
+	acceptChange := cl.Accept
 	if wait {
-		call = cl.AcceptWhenStaged
+		acceptChange = cl.AcceptWhenStaged
 	}
-	head, err := call(env.ctx, change)
+	head, err := acceptChange(env.ctx, change)
 	if err != nil {
 		return err
 	}
@@ -205,12 +205,12 @@
 			return err
 		}
 	}
-	return env.print(head, func(w io.Writer) { say(w, "accepted version %d: %s", head.Version, head.Digest) })
+	return env.print(head, func(w io.Writer) { writef(w, "accepted version %d: %s", head.Version, head.Digest) })
 }
 
-// waitInForce waits until every live node applies a version, and tells who does not yet.
+// waitInForce waits until every live node applies a version, and names those that do not yet.
 func waitInForce(env *Env, cl *client.Client, version int64) error {
-	const every = 200 * time.Millisecond
+	const pollInterval = 200 * time.Millisecond
 	for {
 		st, err := cl.Bundle(env.ctx)
 		if err != nil {
@@ -225,33 +225,33 @@
 		if len(behind) == 0 {
 			return nil
 		}
-		say(env.Err, "not in force yet on %s", strings.Join(behind, ", "))
+		writef(env.Err, "not in force yet on %s", strings.Join(behind, ", "))
 		select {
 		case <-env.ctx.Done():
 			return env.ctx.Err()
-		case <-time.After(every):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 type bundleStatusCmd struct{}
 
-// Run tells what is in force, what waits, and on whom.
+// Run prints the bundle in force, the pending proposal, and the nodes that have not staged it.
 func (bundleStatusCmd) Run(env *Env) error {
 	st, err := env.client().Bundle(env.ctx)
 	if err != nil {
 		return err
 	}
 	return env.print(st, func(w io.Writer) {
-		say(w, "in force: version %d, change %s by %s", st.Head.Version, st.Head.Change, st.Head.Operator)
+		writef(w, "in force: version %d, change %s by %s", st.Head.Version, st.Head.Change, st.Head.Operator)
 		if st.Proposal != nil {
-			say(w, "proposed: version %d, change %s by %s", st.Proposal.Version(), st.Proposal.Change, st.Proposal.Operator)
+			writef(w, "proposed: version %d, change %s by %s", st.Proposal.Version(), st.Proposal.Change, st.Proposal.Operator)
 		}
 		if len(st.Waiting) > 0 {
-			say(w, "not staged yet on %s", strings.Join(st.Waiting, ", "))
+			writef(w, "not staged yet on %s", strings.Join(st.Waiting, ", "))
 		}
 		for _, n := range st.Nodes {
-			say(w, "  node %s applies version %d", n.Node, n.InForce)
+			writef(w, "  node %s applies version %d", n.Node, n.InForce)
 		}
 	})
 }
@@ -266,7 +266,7 @@
 	}
 	return env.print(h, func(w io.Writer) {
 		for _, head := range h.Heads {
-			say(w, "%d %s %s by %s: %s", head.Version, head.Accepted.Format(time.RFC3339), head.Change, head.Operator, head.Digest)
+			writef(w, "%d %s %s by %s: %s", head.Version, head.Accepted.Format(time.RFC3339), head.Change, head.Operator, head.Digest)
 		}
 	})
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ctl is the operators' command line.
+// Package ctl implements switchbankctl, the command line tool of operators and callers.
+// Exit codes are stable, so that scripts can tell why a command failed.
 //
 // # Usage
 //
@@ -32,20 +33,20 @@
 	"switchbank.example/switchbank/internal/yamlx"
 )
 
-// The exit codes.
+// The exit codes of switchbankctl.
 const (
 	ExitOK = 0
-	// ExitFailed is a call that failed, or whose end is not known.
+	// ExitFailed is a call that failed, or whose result is not known.
 	ExitFailed = 1
-	// ExitUsage is a command line or a file that is wrong.
+	// ExitUsage is an invalid command line or input file.
 	ExitUsage = 2
-	// ExitRefused is a call that the node refused.
+	// ExitRefused is a call that the node rejected.
 	ExitRefused = 3
-	// ExitConflict is a change that lost against another.
+	// ExitConflict is a change that conflicts with another one, which came first.
 	ExitConflict = 4
 )
 
-// Env is what a command works with.
+// Env holds the input and output of a command and its global flags.
 type Env struct {
 	In  io.Reader
 	Out io.Writer
@@ -102,7 +103,7 @@
 	return ExitOK
 }
 
-// exitCode returns the stable exit code of an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	if p, ok := client.ProblemOf(err); ok {
 		switch {
@@ -127,55 +128,56 @@
 	return client.New(client.Config{Callers: c.Callers, Operators: c.Operators, Team: c.Team, Token: c.Token})
 }
 
-// print writes v as JSON, or as text by fn.
-func (e *Env) print(v any, fn func(w io.Writer)) error {
+// print writes v as JSON if --output is json, and otherwise calls writeText.
+func (e *Env) print(v any, writeText func(w io.Writer)) error {
 	if e.cmd.Output == "json" {
 		enc := json.NewEncoder(e.Out)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
-	fn(e.Out)
+	writeText(e.Out)
 	return nil
 }
 
-func say(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
+// writef writes a formatted line.
+func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
 
 type versionCmd struct{}
 
 // Run prints the version.
 func (versionCmd) Run(env *Env) error {
-	say(env.Out, "switchbankctl %s", version.String())
+	writef(env.Out, "switchbankctl %s", version.String())
 	return nil
 }
 
 type statusCmd struct{}
 
-// Run tells how a node and the cell are.
+// Run prints the status of a node and of the cell.
 func (statusCmd) Run(env *Env) error {
 	st, err := env.client().Status(env.ctx)
 	if err != nil {
 		return err
 	}
 	return env.print(st, func(w io.Writer) {
-		say(w, "node %s in %s: ready %t %s", st.Node, st.DataCentre, st.Ready, st.NotReady)
-		say(w, "lease held %t, store down %t", st.LeaseHeld, st.StoreDown)
-		say(w, "shards: %d job, %d worker; %d of the cell without owner", st.JobShards, st.WorkerShards, st.Unowned)
-		say(w, "bundle version %d", st.Bundle.Version)
+		writef(w, "node %s in %s: ready %t %s", st.Node, st.DataCentre, st.Ready, st.NotReady)
+		writef(w, "lease held %t, store down %t", st.LeaseHeld, st.StoreDown)
+		writef(w, "shards: %d job, %d worker; %d of the cell without owner", st.JobShards, st.WorkerShards, st.Unowned)
+		writef(w, "bundle version %d", st.Bundle.Version)
 		for _, n := range st.Nodes {
-			say(w, "  live node %s: bundle %d, draining %t", n.Node, n.InForce, n.Draining)
+			writef(w, "  live node %s: bundle %d, draining %t", n.Node, n.InForce, n.Draining)
 		}
 	})
 }
 
 type drainCmd struct{}
 
-// Run begins a planned stop.
+// Run starts a planned stop of the node.
 func (drainCmd) Run(env *Env) error {
 	reply, err := env.client().Drain(env.ctx)
 	if err != nil {
 		return err
 	}
-	return env.print(reply, func(w io.Writer) { say(w, "node %s drains and will stop", reply.Node) })
+	return env.print(reply, func(w io.Writer) { writef(w, "node %s drains and will stop", reply.Node) })
 }
 
 type submitCmd struct {
@@ -183,7 +185,7 @@
 	Wait bool   `help:"Wait for the workload's end, or for all tasks of a service to run."`
 }
 
-// Run declares a workload.
+// Run submits a workload.
 func (c submitCmd) Run(env *Env) error {
 	data, err := readFile(c.File, env.In)
 	if err != nil {
@@ -199,7 +201,7 @@
 	cl := env.client()
 	st, err := cl.Create(env.ctx, w)
 	if err == nil && c.Wait {
-		st, err = cl.Wait(env.ctx, w.ID, settled)
+		st, err = cl.Wait(env.ctx, w.ID, endedOrAllRunning)
 	}
 	if err != nil {
 		return err
@@ -207,11 +209,12 @@
 	return env.printStatus(st)
 }
 
-// settled reports whether a workload has ended, or is a service that runs whole.
-func settled(s api.Status) bool {
+// endedOrAllRunning reports whether a workload has ended, or is a service with all its tasks running.
+func endedOrAllRunning(s api.Status) bool {
 	return s.State.Final() || s.Workload.Kind == api.KindService && s.Counts.Running == s.Workload.Tasks
 }
 
+// readFile reads a file, or in if the name is "-".
 func readFile(name string, in io.Reader) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(in)
@@ -222,14 +225,14 @@
 func (e *Env) printStatus(st api.Status) error {
 	return e.print(st, func(w io.Writer) {
 		c := st.Counts
-		say(w, "%s (%s, team %s): %s %s", st.Workload.ID, st.Workload.Kind, st.Workload.Team, st.State, st.Reason)
-		say(w, "tasks: %d waiting, %d placed, %d running, %d done, %d failed, %d unknown, %d cancelled",
+		writef(w, "%s (%s, team %s): %s %s", st.Workload.ID, st.Workload.Kind, st.Workload.Team, st.State, st.Reason)
+		writef(w, "tasks: %d waiting, %d placed, %d running, %d done, %d failed, %d unknown, %d cancelled",
 			c.Waiting, c.Placed, c.Running, c.Done, c.Failed, c.Unknown, c.Cancelled)
 		if st.WaitReason != "" {
-			say(w, "waits: %s", st.WaitReason)
+			writef(w, "waits: %s", st.WaitReason)
 		}
 		for _, t := range st.Tasks {
-			say(w, "  task %d attempt %d: %s %s %s", t.Task, t.Attempt, t.State, t.Worker, t.Reason)
+			writef(w, "  task %d attempt %d: %s %s %s", t.Task, t.Attempt, t.State, t.Worker, t.Reason)
 		}
 	})
 }
@@ -239,7 +242,7 @@
 	Tasks bool   `help:"Tell of each task."`
 }
 
-// Run tells how a workload is.
+// Run prints the status of a workload.
 func (c getCmd) Run(env *Env) error {
 	st, err := env.client().Get(env.ctx, c.ID, 0, c.Tasks)
 	if err != nil {
@@ -258,10 +261,10 @@
 	}
 	return env.print(list, func(w io.Writer) {
 		for _, st := range list.Workloads {
-			say(w, "%-32s %-12s %-10s %d tasks", st.Workload.ID, st.Workload.Kind, st.State, st.Workload.Tasks)
+			writef(w, "%-32s %-12s %-10s %d tasks", st.Workload.ID, st.Workload.Kind, st.State, st.Workload.Tasks)
 		}
 		if list.Partial {
-			say(w, "some nodes did not answer: the list is not whole")
+			writef(w, "some nodes did not answer: the list is not whole")
 		}
 	})
 }
@@ -283,12 +286,12 @@
 	ID string `arg:"" name:"id" help:"The workload, or one of its tasks as JOB/TASK."`
 }
 
-// Run tells why tasks run where they run, or wait, in the words of the log and the API.
+// Run prints why tasks run where they run, or wait, with the reasons that the API gives.
 func (c explainCmd) Run(env *Env) error {
-	id, number, one := strings.Cut(c.ID, "/")
+	id, taskArg, hasTask := strings.Cut(c.ID, "/")
 	task := -1
-	if one {
-		n, err := strconv.Atoi(number)
+	if hasTask {
+		n, err := strconv.Atoi(taskArg)
 		if err != nil {
 			return httpx.FieldProblem("id", "want JOB or JOB/TASK, with a number for the task")
 		}
@@ -298,35 +301,35 @@
 	if err != nil {
 		return err
 	}
-	if one && (task < 0 || task >= len(st.Tasks)) {
+	if hasTask && (task < 0 || task >= len(st.Tasks)) {
 		return httpx.FieldProblem("id", fmt.Sprintf("the workload has tasks 0 to %d", len(st.Tasks)-1))
 	}
 	return env.print(st, func(w io.Writer) { explain(w, st, task) })
 }
 
-// explain writes what is known of a workload; task is one of its tasks, or -1 for all.
+// explain writes the state and reasons of one task of a workload, or of all if task is -1.
 func explain(w io.Writer, st api.Status, task int) {
-	say(w, "%s is %s, class %s, team %s. %s", st.Workload.ID, st.State, st.Workload.Class, st.Workload.Team, st.Reason)
+	writef(w, "%s is %s, class %s, team %s. %s", st.Workload.ID, st.State, st.Workload.Class, st.Workload.Team, st.Reason)
 	for _, t := range st.Tasks {
 		if task >= 0 && t.Task != task {
 			continue
 		}
 		switch {
 		case t.State.Active():
-			say(w, "task %d: attempt %d is %s on %s", t.Task, t.Attempt, t.State, t.Worker)
+			writef(w, "task %d: attempt %d is %s on %s", t.Task, t.Attempt, t.State, t.Worker)
 		case t.State == api.TaskWaiting && t.Reason != "":
-			say(w, "task %d: waits after attempt %d: %s", t.Task, t.Attempt, t.Reason)
+			writef(w, "task %d: waits after attempt %d: %s", t.Task, t.Attempt, t.Reason)
 		default:
-			say(w, "task %d: %s %s", t.Task, t.State, t.Reason)
+			writef(w, "task %d: %s %s", t.Task, t.State, t.Reason)
 		}
 	}
 	if st.WaitReason == "" {
 		return
 	}
-	say(w, "tasks wait: %s", st.WaitReason)
+	writef(w, "tasks wait: %s", st.WaitReason)
 	if len(st.JobsAhead) > 0 {
-		say(w, "these go first: %s", strings.Join(st.JobsAhead, ", "))
+		writef(w, "these go first: %s", strings.Join(st.JobsAhead, ", "))
 	}
-	say(w, "they start once a worker has %d thousandths of a core, %d MB and %d accelerators free for each",
+	writef(w, "they start once a worker has %d thousandths of a core, %d MB and %d accelerators free for each",
 		st.Workload.Size.CPUMilli, st.Workload.Size.MemoryMB, st.Workload.Size.Accelerators)
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -20,15 +20,15 @@
 // run runs the command line and returns its exit code and output.
 func run(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
-	var o, e bytes.Buffer
-	code = ctl.Main(args, strings.NewReader(""), &o, &e)
-	return code, o.String(), e.String()
+	var outBuf, errBuf bytes.Buffer
+	code = ctl.Main(args, strings.NewReader(""), &outBuf, &errBuf)
+	return code, outBuf.String(), errBuf.String()
 }
 
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	bad := filepath.Join(dir, "bad.json")
-	if err := os.WriteFile(bad, []byte(`{"id":"x","taks":1}`), 0o600); err != nil {
+	invalidFile := filepath.Join(dir, "bad.json")
+	if err := os.WriteFile(invalidFile, []byte(`{"id":"x","taks":1}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,29 +43,29 @@
 	}))
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
-	at := []string{"--callers", address, "--operators", address, "--team", "a"}
+	flags := []string{"--callers", address, "--operators", address, "--team", "a"}
 	tests := []struct {
-		name string
-		args []string
-		code int
-		says string
+		name   string
+		args   []string
+		code   int
+		stderr string
 	}{
 		{"version", []string{"version"}, ctl.ExitOK, ""},
 		{"no command", nil, ctl.ExitUsage, ""},
 		{"unknown command", []string{"fly"}, ctl.ExitUsage, "fly"},
 		{"no such file", []string{"submit", filepath.Join(dir, "none.json")}, ctl.ExitUsage, "none.json"},
-		{"unknown field", []string{"submit", bad}, ctl.ExitUsage, "taks"},
+		{"unknown field", []string{"submit", invalidFile}, ctl.ExitUsage, "taks"},
 		{"no bundle", []string{"bundle", "check", dir}, ctl.ExitUsage, "yaml"},
 		{"not reached", []string{"--operators", "127.0.0.1:1", "status"}, ctl.ExitFailed, "transport"},
-		{"not found", append(at, "get", "x"), ctl.ExitRefused, "not_found"},
-		{"refused", append(at, "cancel", "x"), ctl.ExitRefused, "store_unavailable"},
-		{"conflict", append(at, "bundle", "accept", "mine"), ctl.ExitConflict, "anna"},
-		{"bad task", append(at, "explain", "x/y"), ctl.ExitUsage, "JOB/TASK"},
+		{"not found", append(flags, "get", "x"), ctl.ExitRefused, "not_found"},
+		{"refused", append(flags, "cancel", "x"), ctl.ExitRefused, "store_unavailable"},
+		{"conflict", append(flags, "bundle", "accept", "mine"), ctl.ExitConflict, "anna"},
+		{"bad task", append(flags, "explain", "x/y"), ctl.ExitUsage, "JOB/TASK"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			code, _, errOut := run(t, tt.args...)
-			if code != tt.code || !strings.Contains(errOut, tt.says) {
+			if code != tt.code || !strings.Contains(errOut, tt.stderr) {
 				t.Errorf("exit %d, want %d: %s", code, tt.code, errOut)
 			}
 		})
@@ -92,8 +92,9 @@
 	}
 }
 
-// TestBundleByHand makes a key, signs and checks a bundle as a reviewer does.
-func TestBundleByHand(t *testing.T) {
+// TestBundleKeygenCheckSign generates a key, then checks and signs a bundle, as a reviewer
+// does; a second keygen must not overwrite the key.
+func TestBundleKeygenCheckSign(t *testing.T) {
 	dir := t.TempDir()
 	key := filepath.Join(t.TempDir(), "zuzana.key")
 	if err := os.WriteFile(filepath.Join(dir, "teams.yaml"), []byte("teams: [{name: a}]\n"), 0o600); err != nil {
