--- a/internal/cluster/shard_test.go
+++ b/internal/cluster/shard_test.go
@@ -103,7 +103,7 @@
 func TestShardNames(t *testing.T) {
 	id := cluster.ShardID{Service: "a/b", Index: 12}
 	if got, err := cluster.ParseShardID(id.String()); err != nil || got != id {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("parsed shard name: %v, %v", got, err)
 	}
 	for _, bad := range []string{"", "a", "a/", "a/x", "a/-1"} {
 		if _, err := cluster.ParseShardID(bad); err == nil {
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -171,7 +171,7 @@
 		}
 		report, reply := r.client.Hold(t.Context(), cluster.Order{Worker: "w1"}, 42, 500*time.Millisecond)
 		if reply != cluster.ReplyOK || report.ClockMS != 42 || len(report.Running) != 1 || report.Running[0].Task.Index != 3 {
-			t.Errorf("hold: %q, %+v", reply, report)
+			t.Errorf("hold: reply %q, report %+v", reply, report)
 		}
 	})
 }
--- a/internal/tables/relay_test.go
+++ b/internal/tables/relay_test.go
@@ -121,7 +121,7 @@
 			t.Errorf("got %v after %d calls of the peer, want an unknown outcome", err, peer.callCount())
 		}
 		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.callCount() != 1 {
-			t.Errorf("a read: %v after %d calls of the peer", err, peer.callCount())
+			t.Errorf("a read: error %v after %d calls of the peer, want no error after 1 call", err, peer.callCount())
 		}
 	})
 }
@@ -136,13 +136,13 @@
 			t.Errorf("a write on a silent connection: %v, want an unknown outcome", err)
 		}
 		if _, err := r.Commit(t.Context(), tables.Txn{}); err != nil || peer.callCount() != 0 {
-			t.Errorf("the next write: %v after %d calls of the peer", err, peer.callCount())
+			t.Errorf("the next write: error %v after %d calls of the peer, want no error and no call", err, peer.callCount())
 		}
 		direct.mu.Lock()
 		direct.silentCalls = 1
 		direct.mu.Unlock()
 		if _, err := r.List(t.Context(), tables.ListRequest{}); err != nil || peer.callCount() != 0 {
-			t.Errorf("a read: %v after %d calls of the peer", err, peer.callCount())
+			t.Errorf("a read: error %v after %d calls of the peer, want no error and no call", err, peer.callCount())
 		}
 	})
 }
@@ -171,7 +171,7 @@
 				began := time.Now()
 				_, err := r.Commit(t.Context(), tables.Txn{})
 				if took := time.Since(began); (err == nil) != c.answered || took != c.took {
-					t.Errorf("%v after %s, want %s", err, took, c.took)
+					t.Errorf("write ended with error %v after %s, want it to end after %s", err, took, c.took)
 				}
 				// The last health check may still be running.
 				time.Sleep(time.Second)
--- a/internal/tables/retry_test.go
+++ b/internal/tables/retry_test.go
@@ -18,7 +18,7 @@
 		want time.Duration
 	}{{tables.KindRefused, usual}, {tables.KindUnknown, usual}, {tables.KindInvalid, time.Second}} {
 		if got := tables.RetryPause(&tables.Error{Op: "commit", Kind: c.kind}, usual); got != c.want {
-			t.Errorf("%s: %v, want %v", c.kind, got, c.want)
+			t.Errorf("pause after an error of kind %s: %v, want %v", c.kind, got, c.want)
 		}
 	}
 }
