--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -90,11 +90,11 @@
 
 // Requests sets the times of requests and their keys.
 type Requests struct {
-	KeyWindow      time.Duration `yaml:"key_window"`
-	KeyMargin      time.Duration `yaml:"key_margin"`
-	KeyAnswerBytes int           `yaml:"key_answer_bytes"`
-	Linger         time.Duration `yaml:"linger"`
-	LoadInterval   time.Duration `yaml:"load"`
+	KeyWindow        time.Duration `yaml:"key_window"`
+	KeyMargin        time.Duration `yaml:"key_margin"`
+	KeyAnswerBytes   int           `yaml:"key_answer_bytes"`
+	AbandonedTimeout time.Duration `yaml:"linger"`
+	LoadInterval     time.Duration `yaml:"load"`
 	// DrainDelay is how long a stopping node goes on taking requests, for the
 	// balancer to notice.
 	DrainDelay   time.Duration `yaml:"drain_delay"`
@@ -103,9 +103,9 @@
 
 // Journal sets the group commit.
 type Journal struct {
-	Spacing       time.Duration `yaml:"spacing"`
-	DownAfter     time.Duration `yaml:"down_after"`
-	SnapshotEvery int64         `yaml:"snapshot_every"`
+	MinWriteInterval time.Duration `yaml:"spacing"`
+	DownAfter        time.Duration `yaml:"down_after"`
+	SnapshotEvery    int64         `yaml:"snapshot_every"`
 }
 
 // Limits bound what a stranger can make the node hold.
@@ -163,10 +163,10 @@
 			Retention: time.Hour,
 		},
 		Requests: Requests{
-			KeyWindow: 24 * time.Hour, KeyMargin: time.Minute, KeyAnswerBytes: 64 << 10, Linger: 5 * time.Second,
+			KeyWindow: 24 * time.Hour, KeyMargin: time.Minute, KeyAnswerBytes: 64 << 10, AbandonedTimeout: 5 * time.Second,
 			LoadInterval: time.Second, DrainDelay: 3 * time.Second, DrainTimeout: 30 * time.Second,
 		},
-		Journal: Journal{Spacing: 25 * time.Millisecond, DownAfter: time.Second, SnapshotEvery: 256},
+		Journal: Journal{MinWriteInterval: 25 * time.Millisecond, DownAfter: time.Second, SnapshotEvery: 256},
 		Limits:  Limits{HeaderBytes: 16 << 10, Connections: 4096, InFlight: 4096, Keys: 50_000, Workloads: 20_000, MemoryMB: 256},
 		Log:     Log{Level: "info"},
 		Trace:   TraceOff,
@@ -259,9 +259,9 @@
 		{"tasks.reservation", c.Tasks.Reservation}, {"tasks.hosts", c.Tasks.HostInterval}, {"tasks.set_aside", c.Tasks.SetAside},
 		{"tasks.every", c.Tasks.RoundInterval}, {"tasks.ask", c.Tasks.VerifyInterval}, {"tasks.retention", c.Tasks.Retention},
 		{"requests.key_window", c.Requests.KeyWindow}, {"requests.key_margin", c.Requests.KeyMargin},
-		{"requests.linger", c.Requests.Linger}, {"requests.load", c.Requests.LoadInterval},
+		{"requests.linger", c.Requests.AbandonedTimeout}, {"requests.load", c.Requests.LoadInterval},
 		{"requests.drain_delay", c.Requests.DrainDelay}, {"requests.drain_timeout", c.Requests.DrainTimeout},
-		{"journal.spacing", c.Journal.Spacing}, {"journal.down_after", c.Journal.DownAfter},
+		{"journal.spacing", c.Journal.MinWriteInterval}, {"journal.down_after", c.Journal.DownAfter},
 	} {
 		rules = append(rules, rule{d.key, d.value > 0, want})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,7 +188,7 @@
 		TTL: cfg.Lease.TTL, Margin: cfg.Lease.Margin, RenewInterval: cfg.Lease.RenewInterval, IgnoreExpiry: n.deps.Guards.NoLeaseCheck,
 	}, n.log)
 	n.journal = journal.New(p, p, journal.Options{
-		MinWriteInterval: cfg.Journal.Spacing, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.SkipConditions,
+		MinWriteInterval: cfg.Journal.MinWriteInterval, DownAfter: cfg.Journal.DownAfter, SkipConditions: n.deps.Guards.SkipConditions,
 	}, n.log)
 	n.bundles = bundle.NewStore(p, p, cfg.Review)
 }
@@ -237,7 +237,7 @@
 	n.entry = requests.NewEntry(requests.Deps{
 		Balancer: n.balancer,
 		Upstream: requests.NewUpstream(n.newClient("instances", upstreamConns), requests.UpstreamOptions{
-			AbandonedTimeout: cfg.Linger, SkipRequestIDCheck: n.deps.Guards.SkipRequestIDCheck, AssumeNotRun: n.deps.Guards.AssumeNotRun,
+			AbandonedTimeout: cfg.AbandonedTimeout, SkipRequestIDCheck: n.deps.Guards.SkipRequestIDCheck, AssumeNotRun: n.deps.Guards.AssumeNotRun,
 		}),
 		Peers:  n.load,
 		Keys:   keyRouter{n},
--- a/matrix/cluster_test.go
+++ b/matrix/cluster_test.go
@@ -131,7 +131,7 @@
 	cfg.Tasks.SetAside = 2 * time.Second
 	cfg.Requests.DrainDelay, cfg.Requests.DrainTimeout = time.Second, 8*time.Second
 	cfg.Requests.KeyMargin = time.Second
-	cfg.Requests.Linger = time.Second
+	cfg.Requests.AbandonedTimeout = time.Second
 	cfg.Platform.Timeout = platformTimeout
 	cfg.Journal.SnapshotEvery = 8
 	return cfg
