--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config holds a node's settings: one YAML file, strictly checked.
+// Package config reads and checks the settings of a node on the stand-in platform: one YAML
+// file, in which unknown keys and invalid values are errors. The settings of a node on the
+// users' platform are in package settings.
 //
 // # Usage
 //
@@ -24,16 +26,16 @@
 
 // Config is a node's settings.
 type Config struct {
-	// Node names the node; no two nodes have the same name.
+	// Node is the name of the node; each node of the cell has a different one.
 	Node       string `yaml:"node"`
 	DataCentre string `yaml:"data_centre"`
-	// DataCentres are all data centres of the cell; every node has the same list.
+	// DataCentres lists all data centres of the cell; every node must have the same list.
 	DataCentres []shard.DataCentre `yaml:"data_centres"`
-	// JobShards is the number of job shards of the cell; every node has the same number.
+	// JobShards is the number of job shards of the cell; every node must have the same number.
 	JobShards int       `yaml:"job_shards"`
 	Listen    Addresses `yaml:"listen"`
-	// Advertise holds the addresses under which others reach the node, where
-	// they differ from those it listens on.
+	// Advertise holds the addresses at which others reach the node, where they
+	// differ from the addresses in Listen.
 	Advertise Addresses `yaml:"advertise"`
 	Platform  Platform  `yaml:"platform"`
 	Lease     Lease     `yaml:"lease"`
@@ -41,41 +43,43 @@
 	Requests  Requests  `yaml:"requests"`
 	Journal   Journal   `yaml:"journal"`
 	Limits    Limits    `yaml:"limits"`
-	// Review says who signs off the first bundle.
+	// Review names the reviewers whose signatures the first bundle needs.
 	Review bundle.Review `yaml:"review"`
-	// Operators holds the hex digests of the operators' bearer tokens; without
-	// one the operators' listener is open to everyone who can reach it.
+	// Operators holds the digests of the operators' bearer tokens. Without one,
+	// everyone who can reach the operators' listener may use it.
 	Operators Operators `yaml:"operators"`
 	Log       Log       `yaml:"log"`
-	Trace     string    `yaml:"trace"`
+	// Trace says where spans are written: TraceOff or TraceStderr.
+	Trace string `yaml:"trace"`
 }
 
-// Addresses are the three listeners of a node, each IP:port.
+// Addresses are the addresses of a node's three listeners, each IP:port.
 type Addresses struct {
 	Callers   string `yaml:"callers"`
 	Peers     string `yaml:"peers"`
 	Operators string `yaml:"operators"`
 }
 
-// Operators says who may operate the node.
+// Operators says who may use the operators' listener.
 type Operators struct {
+	// TokenSHA256 holds SHA-256 digests of bearer tokens, in hexadecimal.
 	TokenSHA256 []string `yaml:"token_sha256"`
 }
 
-// Platform says how the platform is reached.
+// Platform says where the platform is, and how long a call of it may take.
 type Platform struct {
 	URL     string        `yaml:"url"`
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// Lease sets the times of the node's lease and of the reading of shards.
+// Lease holds the times of the node's lease; shards are polled at half of RenewInterval.
 type Lease struct {
 	TTL           time.Duration `yaml:"ttl"`
 	Margin        time.Duration `yaml:"margin"`
 	RenewInterval time.Duration `yaml:"every"`
 }
 
-// Tasks sets the times of tasks on workers.
+// Tasks holds the times of tasks on workers, as in pool.Options and jobs.Options.
 type Tasks struct {
 	Lease          time.Duration `yaml:"lease"`
 	Margin         time.Duration `yaml:"margin"`
@@ -88,54 +92,55 @@
 	Retention      time.Duration `yaml:"retention"`
 }
 
-// Requests sets the times of requests and their keys.
+// Requests holds the times of requests and of their keys.
 type Requests struct {
 	KeyWindow        time.Duration `yaml:"key_window"`
 	KeyMargin        time.Duration `yaml:"key_margin"`
 	KeyAnswerBytes   int           `yaml:"key_answer_bytes"`
 	AbandonedTimeout time.Duration `yaml:"linger"`
-	LoadInterval     time.Duration `yaml:"load"`
-	// DrainDelay is how long a stopping node goes on taking requests, for the
-	// balancer to notice.
+	// LoadInterval is the time between two exchanges of load summaries with the peers.
+	LoadInterval time.Duration `yaml:"load"`
+	// DrainDelay is how long a stopping node still accepts requests, so that the load
+	// balancer notices first that it is no longer ready.
 	DrainDelay   time.Duration `yaml:"drain_delay"`
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
 }
 
-// Journal sets the group commit.
+// Journal holds the settings of the journal's group commit, as in journal.Options.
 type Journal struct {
 	MinWriteInterval time.Duration `yaml:"spacing"`
 	DownAfter        time.Duration `yaml:"down_after"`
 	SnapshotEvery    int64         `yaml:"snapshot_every"`
 }
 
-// Limits bound what a stranger can make the node hold.
+// Limits bound the memory and connections that clients can make the node use.
 type Limits struct {
 	HeaderBytes int `yaml:"header_bytes"`
 	Connections int `yaml:"connections"`
-	// InFlight is how many requests of callers the node works on at once.
+	// InFlight is the maximum number of concurrent callers' requests.
 	InFlight int `yaml:"in_flight"`
-	// Keys and Workloads are how many of each a job shard keeps.
+	// Keys and Workloads are the maximum numbers that a job shard stores.
 	Keys      int `yaml:"keys"`
 	Workloads int `yaml:"workloads"`
-	// MemoryMB is the soft limit of the node's memory, in megabytes.
+	// MemoryMB is the Go runtime's soft memory limit, in megabytes.
 	MemoryMB int64 `yaml:"memory_mb"`
 }
 
-// Log sets the log.
+// Log holds the settings of the log.
 type Log struct {
 	Level string `yaml:"level"`
 }
 
-// The values of Trace.
+// The values of Config.Trace.
 const (
 	TraceOff    = "off"
 	TraceStderr = "stderr"
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid is a settings file that can't be read or breaks a rule.
+// KindInvalid is a settings file that can't be read or has an invalid value.
 const KindInvalid Kind = "invalid"
 
 // Error is the error type of this package.
@@ -145,13 +150,13 @@
 	Err  error
 }
 
-// Error returns the cause, which names file, line and key.
+// Error returns the message of the cause, which names file, line and key.
 func (e *Error) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Default returns the settings that are used where a file says nothing.
+// Default returns the settings that apply where a file sets none.
 func Default() Config {
 	return Config{
 		JobShards: 16,
@@ -194,13 +199,14 @@
 	return cfg, nil
 }
 
-// rule is a value that must hold.
+// rule is a check of one setting, with the error's detail for when it fails.
 type rule struct {
 	key    string
 	ok     bool
 	detail string
 }
 
+// check returns an error for the first rule that fails.
 func (c *Config) check(file string, data []byte) error {
 	for _, r := range c.rules() {
 		if !r.ok {
@@ -213,13 +219,13 @@
 func (c *Config) rules() []rule {
 	rules := []rule{
 		{"node", api.ValidName(c.Node), "want a name of a-z, 0-9, '.' and '-'"},
-		{"data_centre", c.knowsDataCentre(), "want one of data_centres"},
-		{"data_centres", c.dataCentresOK(), "want names and worker_shards of 1 to 1000"},
+		{"data_centre", c.dataCentreListed(), "want one of data_centres"},
+		{"data_centres", c.validDataCentres(), "want names and worker_shards of 1 to 1000"},
 		{"job_shards", c.JobShards >= 1 && c.JobShards <= 1000, "want 1 to 1000"},
 		{"platform.url", validURL(c.Platform.URL), "want http://IP:port"},
 		{"log.level", c.Log.Level == "debug" || c.Log.Level == "info" || c.Log.Level == "warn" || c.Log.Level == "error", "want debug, info, warn or error"},
 		{"trace", c.Trace == TraceOff || c.Trace == TraceStderr, "want off or stderr"},
-		{"operators.token_sha256", c.digestsOK(), "want 64 hex digits each"},
+		{"operators.token_sha256", c.validTokenDigests(), "want 64 hex digits each"},
 		{"limits.header_bytes", c.Limits.HeaderBytes >= 1024, "want 1024 bytes or more"},
 		{"limits.connections", c.Limits.Connections > 0, "want 1 or more"},
 		{"limits.in_flight", c.Limits.InFlight > 0, "want 1 or more"},
@@ -268,7 +274,7 @@
 	return rules
 }
 
-func (c *Config) knowsDataCentre() bool {
+func (c *Config) dataCentreListed() bool {
 	for _, dc := range c.DataCentres {
 		if dc.Name == c.DataCentre {
 			return true
@@ -277,7 +283,7 @@
 	return false
 }
 
-func (c *Config) dataCentresOK() bool {
+func (c *Config) validDataCentres() bool {
 	for _, dc := range c.DataCentres {
 		if !api.ValidName(dc.Name) || dc.WorkerShards < 1 || dc.WorkerShards > 1000 {
 			return false
@@ -286,7 +292,7 @@
 	return len(c.DataCentres) > 0
 }
 
-func (c *Config) digestsOK() bool {
+func (c *Config) validTokenDigests() bool {
 	for _, d := range c.Operators.TokenSHA256 {
 		if raw, err := hex.DecodeString(d); err != nil || len(raw) != sha256.Size {
 			return false
@@ -308,12 +314,14 @@
 	return validAddress(u.Host)
 }
 
-// PeerAddress returns where peers reach the node, given where it listens.
-func (c *Config) PeerAddress(listening string) string {
-	return cmp.Or(c.Advertise.Peers, listening)
+// PeerAddress returns the address to advertise to peers: the configured one, or else
+// listenAddress.
+func (c *Config) PeerAddress(listenAddress string) string {
+	return cmp.Or(c.Advertise.Peers, listenAddress)
 }
 
-// OperatorAddress returns where operators reach the node, given where it listens.
-func (c *Config) OperatorAddress(listening string) string {
-	return cmp.Or(c.Advertise.Operators, listening)
+// OperatorAddress returns the address to advertise to operators: the configured one, or else
+// listenAddress.
+func (c *Config) OperatorAddress(listenAddress string) string {
+	return cmp.Or(c.Advertise.Operators, listenAddress)
 }
