--- a/internal/scheduler/blocked_test.go
+++ b/internal/scheduler/blocked_test.go
@@ -85,7 +85,8 @@
 }
 
 // TestTaskMovesWhenBothRunsStall checks that a speculative task that stalls together with its
-// copy starts on a third, healthy worker.
+// copy starts on a third, healthy worker. A copy helps only while one of the two runs makes
+// progress; otherwise it must not keep the task from being restarted.
 func TestTaskMovesWhenBothRunsStall(t *testing.T) {
 	r := newRig(t, 3)
 	r.upsertWorkers()
@@ -363,7 +364,8 @@
 }
 
 // TestPausedBestEffortTaskMoves checks that a best-effort task that is paused beside a serving
-// task that stays over its latency target moves to a second worker once there is one.
+// task that stays over its latency target moves to a second worker once there is one. Otherwise
+// it stays paused for as long as the serving task is over its target, whatever the cause.
 func TestPausedBestEffortTaskMoves(t *testing.T) {
 	const within = 15 * time.Second
 	r := newRig(t, 1)
--- a/internal/scheduler/evacuate.go
+++ b/internal/scheduler/evacuate.go
@@ -32,7 +32,10 @@
 	}
 }
 
-// mustStopNow reports whether a run on a worker that exits in left has to be stopped now.
+// mustStopNow reports whether a run on a worker that exits in left has to be stopped now. A
+// long-running one is stopped as soon as its step's MaxUnavailable allows, and at the latest
+// when a stop would not end in time any more. Of the others only those are stopped that can't
+// end before the exit: checkpointing ones as late as possible, and the rest at once.
 func (s *Shard) mustStopNow(now time.Time, r *run, left time.Duration) bool {
 	spec := r.task.step.spec
 	if spec.LongRunning {
--- a/internal/scheduler/search_test.go
+++ b/internal/scheduler/search_test.go
@@ -57,8 +57,9 @@
 	// The shard loses its first owner at ownerLossAt, if set, and has none until noOwnerUntil.
 	noOwnerUntil, ownerLossAt time.Time
 
-	joined, racks int
-	cores         int64
+	workersAdded, racks int
+	// cpuMilli is the CPU capacity of each worker, in thousandths of a core.
+	cpuMilli int64
 	// faultKinds are the faults that occur, faultRate is the probability of one per worker and
 	// tick, rejectRate that a start or an advice call fails, and submitRate that a batch job is
 	// submitted in a tick.
@@ -220,7 +221,7 @@
 	if s.chance(0.3) {
 		s.ownerLossAt = s.now.Add(s.randomDuration(3*time.Second, s.faultsEndAt.Sub(s.now)))
 	}
-	s.racks, s.cores = 1+s.rng.IntN(4), []int64{4000, 8000}[s.rng.IntN(2)]
+	s.racks, s.cpuMilli = 1+s.rng.IntN(4), []int64{4000, 8000}[s.rng.IntN(2)]
 	for k := faultFailsRuns; k < faultCount; k++ {
 		if s.chance(0.4) {
 			s.faultKinds = append(s.faultKinds, k)
@@ -359,7 +360,7 @@
 
 // submitLongRunning draws the long-running jobs, which take up to 45% of the capacity.
 func (s *simulation) submitLongRunning() {
-	capacity := int64(len(s.workers)) * s.cores * 45 / 100
+	capacity := int64(len(s.workers)) * s.cpuMilli * 45 / 100
 	for range 1 + s.rng.IntN(5) {
 		cpu := 250 * (1 + s.rng.Int64N(6))
 		n := int64(1 + s.rng.IntN(max(1, len(s.workers))))
@@ -377,7 +378,7 @@
 // submitBatch draws a batch job, in some cases a gang.
 func (s *simulation) submitBatch() {
 	n := 1 + s.rng.IntN(2*len(s.workers)+1)
-	st := cluster.Step{Count: n, Need: resource.Amount{CPUMilli: min(250*(1+s.rng.Int64N(16)), s.cores), MemoryMB: 100}}
+	st := cluster.Step{Count: n, Need: resource.Amount{CPUMilli: min(250*(1+s.rng.Int64N(16)), s.cpuMilli), MemoryMB: 100}}
 	duration := s.randomDuration(200*time.Millisecond, 6*time.Second)
 	st.EstimateMS = int64(float64(duration.Milliseconds()) * (0.5 + s.rng.Float64()))
 	if s.chance(0.25) {
@@ -490,7 +491,7 @@
 			sum += time.Duration(int64(st.Count)*st.Need.CPUMilli) * j.duration
 		}
 	}
-	return sum / time.Duration(int64(len(s.workers))*s.cores)
+	return sum / time.Duration(int64(len(s.workers))*s.cpuMilli)
 }
 
 // recordEnded records the jobs that have ended and checks that none was lost.
--- a/internal/scheduler/searchsim_test.go
+++ b/internal/scheduler/searchsim_test.go
@@ -120,12 +120,12 @@
 
 // addWorker adds a worker.
 func (s *simulation) addWorker() {
-	id := fmt.Sprintf("w%d", s.joined)
-	s.joined++
+	id := fmt.Sprintf("w%d", s.workersAdded)
+	s.workersAdded++
 	s.workers[id] = &fakeWorker{}
 	s.workerStates[id] = &workerState{lastEndedRun: make(map[cluster.TaskID]int64), info: cluster.Worker{
 		ID: id, Address: id, Service: "svc", Rack: fmt.Sprintf("r1-%d", s.rng.IntN(s.racks)), Labels: []string{"a"},
-		Capacity: resource.Amount{CPUMilli: s.cores, MemoryMB: 2 * s.cores},
+		Capacity: resource.Amount{CPUMilli: s.cpuMilli, MemoryMB: 2 * s.cpuMilli},
 	}}
 	s.readEntry(id)
 }
