--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -89,16 +89,16 @@
 			r.key = fmt.Sprintf("key-%d-%d", i, n)
 		}
 		created := time.Now()
-		l.send(r, service, created)
+		l.sendRequest(r, service, created)
 		if r.key != "" {
 			r.node = l.pickNode(i + n + 1)
-			l.send(r, service, created)
+			l.sendRequest(r, service, created)
 		}
 	}
 }
 
-// send sends a request and records its outcome.
-func (l *loadGenerator) send(r requestRecord, service string, created time.Time) {
+// sendRequest sends a request and records its outcome.
+func (l *loadGenerator) sendRequest(r requestRecord, service string, created time.Time) {
 	r.sent = time.Now()
 	ans, err := l.cell.client(r.node, "inkasoft").Request(l.cell.ctx, client.Request{
 		Service: service, Body: []byte(r.body), Timeout: loadTimeout, Key: r.key, KeyCreated: created,
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -181,7 +181,7 @@
 		WorkerAddress: func(n int) string { return workers[n] }, Serve: s.serve, RejectOneIn: soakRejectOneIn,
 	})
 	s.t.Cleanup(s.site.Close)
-	s.configure()
+	s.publishConfig()
 	for i := range soakWorkers {
 		// Only workers that report their start time can restart under their id. The failed
 		// seeds are excluded, so that they inject the same faults as when they failed.
@@ -234,11 +234,11 @@
 	s.faults.Wait()
 	for i, id := range s.longRunning {
 		// The job may have been accepted by a write that was late and followed its cancellation.
-		s.cancel(i, id)
+		s.cancelJob(i, id)
 	}
 	checkedJobs := s.runCalmPhase()
 	for i := range persistentJobs {
-		s.cancel(i, jobID(persistentJobBase, i))
+		s.cancelJob(i, jobID(persistentJobBase, i))
 	}
 	unfinished := "not checked"
 	s.t.Cleanup(func() {
--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -20,7 +20,7 @@
 
 // injectFault starts a random fault.
 func (s *soak) injectFault() {
-	kinds := []func(){s.injectProcessFault, s.injectProcessFault, s.injectLinkFault, s.injectLinkFault, s.injectStoreFault, s.injectWorkerFault, s.configure}
+	kinds := []func(){s.injectProcessFault, s.injectProcessFault, s.injectLinkFault, s.injectLinkFault, s.injectStoreFault, s.injectWorkerFault, s.publishConfig}
 	kinds[s.rng.IntN(len(kinds))]()
 }
 
@@ -200,8 +200,8 @@
 	}
 }
 
-// configure publishes the next version of the configuration.
-func (s *soak) configure() {
+// publishConfig publishes the next version of the configuration.
+func (s *soak) publishConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -235,7 +235,7 @@
 		s.mu.Lock()
 		s.extraRoutes += routesPerGrowth
 		s.mu.Unlock()
-		s.configure()
+		s.publishConfig()
 	}
 }
 
@@ -257,7 +257,7 @@
 // checkConfig checks that the last configuration comes into force on each node, and that no
 // node still serves a route that it removed.
 func (s *soak) checkConfig() {
-	s.configure()
+	s.publishConfig()
 	path := func(version int64) string { return fmt.Sprintf("/extra%d/", version) }
 	for _, n := range s.nodes {
 		s.waitUntil(n.name+" has the last configuration", func() bool {
--- a/e2e/soakload_test.go
+++ b/e2e/soakload_test.go
@@ -41,7 +41,7 @@
 				s.longRunning = append(s.longRunning, id)
 				s.mu.Unlock()
 				time.Sleep(time.Second)
-				s.cancel(i, id)
+				s.cancelJob(i, id)
 			}
 		})
 		time.Sleep(soakJobInterval)
@@ -71,9 +71,9 @@
 	s.mu.Unlock()
 }
 
-// cancel cancels a job, also one that may not have been accepted: status 410 means that there
+// cancelJob cancels a job, also one that may not have been accepted: status 410 means that there
 // is no such job.
-func (s *soak) cancel(i int, id string) {
+func (s *soak) cancelJob(i int, id string) {
 	s.waitUntil("the cancellation of "+id+" is accepted", func() bool {
 		i++
 		status := s.status(http.MethodDelete, "http://"+s.nodes[i%len(s.nodes)].callers+"/batch/"+id, nil)
--- a/internal/bundle/load.go
+++ b/internal/bundle/load.go
@@ -57,7 +57,7 @@
 			return nil, &Error{"load", KindInvalid, err}
 		}
 	}
-	b, err := merge(files)
+	b, err := mergeFiles(files)
 	if err != nil {
 		return nil, &Error{"load", KindInvalid, err}
 	}
@@ -65,9 +65,9 @@
 	return b, nil
 }
 
-// merge combines the files into one bundle. Each file is checked by itself, so that an
+// mergeFiles combines the files into one bundle. Each file is checked by itself, so that an
 // error names the file and line.
-func merge(files []file) (*Bundle, error) {
+func mergeFiles(files []file) (*Bundle, error) {
 	var b Bundle
 	declaredIn := make(map[string]string)
 	for i := range files {
@@ -145,10 +145,10 @@
 	if t.Weight < 0 {
 		return f.errorAt(p+".weight", "want a number above 0")
 	}
-	if negative(t.Quota) {
+	if hasNegative(t.Quota) {
 		return f.errorAt(p+".quota", "want amounts of 0 or more")
 	}
-	if negative(t.Limit) {
+	if hasNegative(t.Limit) {
 		return f.errorAt(p+".limit", "want amounts of 0 or more")
 	}
 	for i, digest := range t.TokenSHA256 {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// negative reports whether an amount of any resource is below 0.
-func negative(a resource.Amount) bool {
+// hasNegative reports whether an amount of any resource is below 0.
+func hasNegative(a resource.Amount) bool {
 	return a.CPUMilli < 0 || a.MemoryMB < 0 || a.Accelerators < 0
 }
 
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -80,19 +80,19 @@
 // Head returns the head; its version is 0 if no bundle was accepted yet.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	var h Head
-	_, err := s.read(ctx, headKey, &h)
+	_, err := s.readRow(ctx, headKey, &h)
 	return h, err
 }
 
 // PendingProposal returns the proposal that is not accepted yet, if there is one.
 func (s *Store) PendingProposal(ctx context.Context) (Proposal, bool, error) {
 	var p Proposal
-	row, err := s.read(ctx, proposalKey, &p)
+	row, err := s.readRow(ctx, proposalKey, &p)
 	return p, row.Version != 0, err
 }
 
-// read decodes a row of the table into v. A row that does not exist has version 0.
-func (s *Store) read(ctx context.Context, key string, v any) (platform.Row, error) {
+// readRow decodes a row of the table into v. A row that does not exist has version 0.
+func (s *Store) readRow(ctx context.Context, key string, v any) (platform.Row, error) {
 	row, err := s.table.Get(ctx, TableBundles, key)
 	if err != nil {
 		return row, &Error{"read " + key, KindStore, err}
@@ -149,7 +149,7 @@
 		return p, nil
 	}
 	if h.Version != p.Base {
-		return p, conflict("propose", h)
+		return p, conflictError("propose", h)
 	}
 	review, err := s.currentReview(ctx, h)
 	if err != nil {
@@ -168,7 +168,7 @@
 // putProposal writes the proposal's row, unless the row holds the same change already.
 func (s *Store) putProposal(ctx context.Context, p Proposal) error {
 	var old Proposal
-	row, err := s.read(ctx, proposalKey, &old)
+	row, err := s.readRow(ctx, proposalKey, &old)
 	if err != nil {
 		return err
 	}
@@ -197,20 +197,20 @@
 // has no effect, so that a caller can repeat the call after a lost reply.
 func (s *Store) Accept(ctx context.Context, change string) (Head, error) {
 	var h Head
-	headRow, err := s.read(ctx, headKey, &h)
+	headRow, err := s.readRow(ctx, headKey, &h)
 	if err != nil || h.Change == change {
 		return h, err
 	}
 	var p Proposal
-	proposalRow, err := s.read(ctx, proposalKey, &p)
+	proposalRow, err := s.readRow(ctx, proposalKey, &p)
 	if err != nil {
 		return h, err
 	}
 	if proposalRow.Version == 0 || p.Change != change {
-		return h, conflict("accept", h)
+		return h, conflictError("accept", h)
 	}
 	if p.Base != h.Version {
-		return h, conflict("accept", h)
+		return h, conflictError("accept", h)
 	}
 	review, err := s.currentReview(ctx, h)
 	if err != nil {
@@ -257,7 +257,7 @@
 	if current.Change == next.Change {
 		return current, nil
 	}
-	return current, conflict("accept", current)
+	return current, conflictError("accept", current)
 }
 
 // historyKey returns the key of a version's row. The zero padding makes keys sort by version.
@@ -278,8 +278,8 @@
 	return heads, nil
 }
 
-// conflict returns an error that names the change in force, which was made first.
-func conflict(op string, h Head) error {
+// conflictError returns an error that names the change in force, which was made first.
+func conflictError(op string, h Head) error {
 	return &Error{op, KindConflict, errors.Errorf("version %d is in force: change %s by %s", h.Version, h.Change, h.Operator)}
 }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -207,7 +207,7 @@
 		return nil, &Error{"append", KindUnavailable, errors.New("too many records wait for the store")}
 	}
 	c.pending = append(c.pending, p)
-	c.signal()
+	c.wakeWriter()
 	return p, nil
 }
 
@@ -229,8 +229,8 @@
 	return c.counts
 }
 
-// signal wakes Run; it never blocks.
-func (c *Committer) signal() {
+// wakeWriter wakes Run; it never blocks.
+func (c *Committer) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -248,9 +248,9 @@
 		if !pause(ctx, time.Until(c.lastSent.Add(c.opts.MinWriteInterval))) {
 			return nil
 		}
-		for batch := c.take(); len(batch) > 0; batch = c.take() {
+		for batch := c.takePending(); len(batch) > 0; batch = c.takePending() {
 			c.lastSent = time.Now()
-			c.write(ctx, batch)
+			c.writeBatch(ctx, batch)
 			if ctx.Err() != nil || !pause(ctx, time.Until(c.lastSent.Add(c.opts.MinWriteInterval))) {
 				return nil
 			}
@@ -258,8 +258,8 @@
 	}
 }
 
-// take removes up to maxAppendsPerWrite appends from the queue.
-func (c *Committer) take() []*Pending {
+// takePending removes up to maxAppendsPerWrite appends from the queue.
+func (c *Committer) takePending() []*Pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := min(len(c.pending), maxAppendsPerWrite)
@@ -276,33 +276,33 @@
 	value  json.RawMessage
 }
 
-// write retries a batch until each of its parts is stored, fenced, or abandoned
+// writeBatch retries a batch until each of its parts is stored, fenced, or abandoned
 // because ctx ended.
-func (c *Committer) write(ctx context.Context, batch []*Pending) {
+func (c *Committer) writeBatch(ctx context.Context, batch []*Pending) {
 	token := rand.Text()
-	parts := split(batch, token)
+	parts := groupByShard(batch, token)
 	wait := firstRetryWait
 	for len(parts) > 0 {
-		res, err := c.table.Commit(ctx, c.txn(parts))
+		res, err := c.table.Commit(ctx, c.buildTxn(parts))
 		c.trackStore(err)
 		if err == nil && res.Committed {
-			c.finish(parts)
+			c.finishParts(parts)
 			return
 		}
 		if err == nil {
-			parts = c.resolve(parts, res.Mismatch, token)
+			parts = c.resolveMismatch(parts, res.Mismatch, token)
 			continue
 		}
 		if !pause(ctx, wait) {
-			c.abandon(parts)
+			c.abandonParts(parts)
 			return
 		}
 		wait = min(2*wait, maxRetryWait)
 	}
 }
 
-// split groups a batch by shard.
-func split(batch []*Pending, token string) []*part {
+// groupByShard groups a batch by shard.
+func groupByShard(batch []*Pending, token string) []*part {
 	byStream := make(map[*Stream]*part)
 	var parts []*part
 	for _, p := range batch {
@@ -334,7 +334,7 @@
 	pt.value, _ = json.Marshal(b)
 }
 
-func (c *Committer) txn(parts []*part) platform.Txn {
+func (c *Committer) buildTxn(parts []*part) platform.Txn {
 	var t platform.Txn
 	for _, pt := range parts {
 		key := rowKey(pt.stream.key, pt.seq)
@@ -348,14 +348,14 @@
 	return t
 }
 
-// resolve handles a transaction whose conditions failed. If a mismatching journal row
+// resolveMismatch handles a transaction whose conditions failed. If a mismatching journal row
 // carries the batch's own token, an earlier try has taken effect and all parts are done.
 // Otherwise it fences the parts whose rows have changed and returns the rest for a retry.
-func (c *Committer) resolve(parts []*part, mismatch []platform.Row, token string) []*part {
+func (c *Committer) resolveMismatch(parts []*part, mismatch []platform.Row, token string) []*part {
 	changed := make(map[string]bool)
 	for _, row := range mismatch {
 		if row.Table == TableJournal && tokenOf(row) == token {
-			c.finish(parts)
+			c.finishParts(parts)
 			return nil
 		}
 		changed[row.Table+"\x00"+row.Key] = true
@@ -363,7 +363,7 @@
 	var rest []*part
 	for _, pt := range parts {
 		if changed[tableShards+"\x00"+pt.stream.key] || changed[TableJournal+"\x00"+rowKey(pt.stream.key, pt.seq)] {
-			c.fence(pt)
+			c.fencePart(pt)
 			continue
 		}
 		rest = append(rest, pt)
@@ -379,17 +379,17 @@
 	return b.Token
 }
 
-// fence fails a part and all later appends to its stream.
-func (c *Committer) fence(pt *part) {
+// fencePart fails a part and all later appends to its stream.
+func (c *Committer) fencePart(pt *part) {
 	c.log.Warn("shard fenced", events.JournalFenced, zap.String("shard", pt.stream.key), zap.Int64("epoch", pt.stream.epoch))
 	pt.stream.mu.Lock()
 	pt.stream.fenced = true
 	pt.stream.mu.Unlock()
-	complete(pt, &Error{"write", KindFenced, errors.New(pt.stream.key)})
+	completePart(pt, &Error{"write", KindFenced, errors.New(pt.stream.key)})
 }
 
-// finish counts stored parts and completes their appends.
-func (c *Committer) finish(parts []*part) {
+// finishParts counts stored parts and completes their appends.
+func (c *Committer) finishParts(parts []*part) {
 	c.mu.Lock()
 	c.counts.Writes++
 	for _, pt := range parts {
@@ -402,19 +402,19 @@
 		pt.stream.mu.Lock()
 		pt.stream.next = pt.seq + 1
 		pt.stream.mu.Unlock()
-		complete(pt, nil)
+		completePart(pt, nil)
 	}
 }
 
-// abandon fails parts whose outcome is unknown because the Committer is stopping.
-func (c *Committer) abandon(parts []*part) {
+// abandonParts fails parts whose outcome is unknown because the Committer is stopping.
+func (c *Committer) abandonParts(parts []*part) {
 	for _, pt := range parts {
-		complete(pt, &Error{"write", KindFenced, errors.New("stopped")})
+		completePart(pt, &Error{"write", KindFenced, errors.New("stopped")})
 	}
 }
 
-// complete reports the result to everyone who waits for the part's appends.
-func complete(pt *part, err error) {
+// completePart reports the result to everyone who waits for the part's appends.
+func completePart(pt *part, err error) {
 	for _, p := range pt.items {
 		p.err = err
 		close(p.done)
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -85,12 +85,12 @@
 	deps   Deps
 	opts   Options
 	log    *zap.Logger
-	budget *Budget
+	budget *RetryBudget
 }
 
 // NewEntry returns an Entry.
 func NewEntry(deps Deps, opts Options, log *zap.Logger) *Entry {
-	return &Entry{deps: deps, opts: opts, log: log, budget: NewBudget(retryBudgetCapacity)}
+	return &Entry{deps: deps, opts: opts, log: log, budget: NewRetryBudget(retryBudgetCapacity)}
 }
 
 // Do runs a request and returns its outcome; ctx carries the deadline.
@@ -119,12 +119,12 @@
 		return unknown(KindKeyTooOld, fmt.Sprintf("the key is older than %s", e.opts.KeyWindow))
 	}
 	reply, err := e.deps.Keys.Begin(ctx, peer.KeyBeginRequest{
-		Team: r.Team, Key: r.Key, Token: r.ID, Digest: r.digest(), TimeoutMS: remaining(ctx), Created: r.KeyCreated,
+		Team: r.Team, Key: r.Key, Token: r.ID, Digest: r.digest(), TimeoutMS: remainingMS(ctx), Created: r.KeyCreated,
 	})
 	if err != nil {
 		// Begin may have journalled the key although it failed. The request was not and
 		// will not be sent, so that it can be recorded as not run.
-		go e.finish(ctx, r, notRun(KindKeyStoreUnavailable, ""))
+		go e.finishKey(ctx, r, notRun(KindKeyStoreUnavailable, ""))
 		if httpx.Reason(err) == string(KindTooManyKeys) {
 			return refused(KindTooManyKeys, err.Error(), time.Minute)
 		}
@@ -140,7 +140,7 @@
 		return unknown(KindKeyOutcomeUnknown, "an earlier arrival of the key ended without its outcome being known")
 	}
 	res := e.route(ctx, r)
-	e.finish(ctx, r, res)
+	e.finishKey(ctx, r, res)
 	return res
 }
 
@@ -152,9 +152,9 @@
 	return Result{Outcome: api.OutcomeDone, Answer: a}
 }
 
-// finish journals how a request with a key ended. It retries for a short time; without the
+// finishKey journals how a request with a key ended. It retries for a short time; without the
 // record, later requests with the key end as unknown.
-func (e *Entry) finish(ctx context.Context, r Request, res Result) {
+func (e *Entry) finishKey(ctx context.Context, r Request, res Result) {
 	outcome := res.Outcome
 	if outcome == api.OutcomeRefused {
 		outcome = api.OutcomeNotRun
@@ -179,7 +179,7 @@
 	e.budget.Deposit(e.deps.Bundle().Limits.RetryShare)
 	wait := firstRetryWait
 	for try := 0; ; try++ {
-		res := e.try(ctx, r)
+		res := e.tryRequest(ctx, r)
 		if try == maxRetries || !mayRetry(res, r) || !e.enoughTime(ctx, wait) || !e.budget.Withdraw() {
 			return res
 		}
@@ -206,9 +206,9 @@
 	return ctx.Err() == nil && (!ok || time.Until(deadline) > 2*wait+minTimeLeft)
 }
 
-// try makes one attempt. When no instance is known, it first refreshes the loads of the
+// tryRequest makes one attempt. When no instance is known, it first refreshes the loads of the
 // peers: a service may have started since their last summary.
-func (e *Entry) try(ctx context.Context, r Request) Result {
+func (e *Entry) tryRequest(ctx context.Context, r Request) Result {
 	if res, found := e.runWhereKnown(ctx, r); found {
 		return res
 	}
@@ -224,17 +224,17 @@
 // It returns false if no instance is known.
 func (e *Entry) runWhereKnown(ctx context.Context, r Request) (res Result, found bool) {
 	if slot, ok := e.deps.Balancer.TryAcquire(r.Service); ok {
-		return e.send(ctx, slot, r), true
+		return e.sendToInstance(ctx, slot, r), true
 	}
 	peers := e.deps.Peers.ServiceLoads(r.Service)
 	if p, ok := pickPeer(peers, true); ok {
-		return e.forward(ctx, p, r), true
+		return e.forwardToPeer(ctx, p, r), true
 	}
 	if e.deps.Balancer.HasOpenInstance(r.Service) {
 		return e.RunLocally(ctx, r), true
 	}
 	if p, ok := pickPeer(peers, false); ok {
-		return e.forward(ctx, p, r), true
+		return e.forwardToPeer(ctx, p, r), true
 	}
 	return Result{}, false
 }
@@ -249,18 +249,19 @@
 	if errors.As(err, &acquireErr) {
 		return refused(acquireErr.Kind, acquireErr.Err.Error(), acquireErr.RetryAfter)
 	}
-	return e.send(ctx, slot, r)
+	return e.sendToInstance(ctx, slot, r)
 }
 
-func (e *Entry) send(ctx context.Context, slot *Slot, r Request) Result {
+// sendToInstance sends a request to the instance of a slot.
+func (e *Entry) sendToInstance(ctx context.Context, slot *Slot, r Request) Result {
 	return e.deps.Upstream.Send(ctx, slot, &r, e.deps.Bundle().Limits.BodyBytes)
 }
 
-// forward sends a request to a peer, without retries.
-func (e *Entry) forward(ctx context.Context, node string, r Request) Result {
+// forwardToPeer sends a request to a peer, without retries.
+func (e *Entry) forwardToPeer(ctx context.Context, node string, r Request) Result {
 	ctx, span := tracer().Start(ctx, "peer", trace.WithAttributes(attribute.String("node", node)))
 	defer span.End()
-	r.TimeoutMS = remaining(ctx)
+	r.TimeoutMS = remainingMS(ctx)
 	res, err := e.deps.Peers.Forward(ctx, node, r)
 	if err == nil {
 		return res
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -64,8 +64,8 @@
 	return Result{Outcome: api.OutcomeUnknown, Reason: kind, Detail: detail}
 }
 
-// remaining returns the time that ctx leaves, in milliseconds.
-func remaining(ctx context.Context) int64 {
+// remainingMS returns the time that ctx leaves, in milliseconds.
+func remainingMS(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -334,7 +334,7 @@
 // TestRetryBudget checks that retries are limited to their share of the requests when every
 // request wants one, as when an upstream fails permanently.
 func TestRetryBudget(t *testing.T) {
-	b := requests.NewBudget(10)
+	b := requests.NewRetryBudget(10)
 	taken := 0
 	for range 1000 {
 		b.Deposit(0.1)
