--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// quarantineFailures is from how many failures without a success between them, of at
-	// least two jobs, a worker is quarantined: if one job in fifty has a task that fails
-	// by its own fault, this happens on a healthy worker once in two thousand times.
+	// quarantineFailures is how many failures without a success between them, of at least
+	// two jobs, quarantine a worker: if one job in fifty has a task that fails by its own
+	// fault, this happens on a healthy worker once in two thousand times.
 	quarantineFailures = 2
 	// quarantineNewFailures is the same without a success of a run that started after the
 	// failed ones. A worker that fails all new tasks within milliseconds still completes
@@ -60,8 +60,8 @@
 	quarantinedAt, quarantinedUntil, restrictedSince time.Time
 	quarantineTime                                   time.Duration
 	cause                                            quarantineCause
-	// probing is set from the quarantine until the first success of a run that started
-	// after it.
+	// probing is set from the quarantine until a success ends the probation. If tasks
+	// failed, only the success of a run that started since does.
 	probing bool
 	// proven is set by the success of a run that started after all failed ones, until the
 	// next failure.
@@ -150,9 +150,9 @@
 }
 
 // acceptsTask reports whether the worker may be given another task. Successes of older
-// runs don't shorten a quarantine: where they did, the mean score of eight days with slow
-// workers was 0.04 lower at two sites. While the worker is probed, each task has to end,
-// prove the worker healthy or run for maxProbeWait before the next one starts.
+// runs don't shorten a quarantine: where they did, the mean benchmark score of eight days
+// with slow workers was 0.04 lower at two sites. While the worker is probed, each task has
+// to end, prove the worker healthy or run for maxProbeWait before the next one starts.
 func (h *health) acceptsTask(now time.Time, w *worker) bool {
 	if now.Before(h.quarantinedUntil) {
 		return false
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -116,8 +116,8 @@
 	}
 	s.reserve(now, st, left, within)
 	// A step that is late already does not preempt others, which would be late in turn:
-	// the mean score over six days of a full service was 0.866 with this rule and 0.860
-	// without.
+	// the mean benchmark score over six days of a full service was 0.866 with this rule
+	// and 0.860 without.
 	if slack >= 0 {
 		s.preempt(now, st, left)
 	}
