--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			text := strings.Replace(valid, tt.old, tt.new, 1)
 			if text == valid {
-				t.Fatalf("the example settings do not contain %q", tt.old)
+				t.Fatal("the example settings do not contain the text to replace")
 			}
 			_, err := config.Parse("node.yaml", []byte(text))
 			if err == nil {
