--- a/internal/httpx/packed_test.go
+++ b/internal/httpx/gzip_test.go
@@ -16,14 +16,14 @@
 	Text string `json:"text"`
 }
 
-// TestLargeRepliesArePacked checks which replies are packed, and that a caller reads
-// the same either way.
-func TestLargeRepliesArePacked(t *testing.T) {
+// TestLargeRepliesAreCompressed checks which replies are compressed, and that a client reads
+// the same message either way.
+func TestLargeRepliesAreCompressed(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		text    string
-		accepts string
-		packed  bool
+		name           string
+		text           string
+		acceptEncoding string
+		compressed     bool
 	}{
 		{"large", strings.Repeat("route ", 10_000), "gzip", true},
 		{"large, not accepted", strings.Repeat("route ", 10_000), "", false},
@@ -36,14 +36,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Header.Set("Accept-Encoding", c.accepts)
+			r.Header.Set("Accept-Encoding", c.acceptEncoding)
 			res, err := srv.Client().Do(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_ = res.Body.Close()
-			if got := res.Header.Get("Content-Encoding") == "gzip"; got != c.packed {
-				t.Errorf("packed is %t, want %t", got, c.packed)
+			if got := res.Header.Get("Content-Encoding") == "gzip"; got != c.compressed {
+				t.Errorf("compressed is %t, want %t", got, c.compressed)
 			}
 			got, err := httpx.Call[text, text](t.Context(), srv.Client(), srv.URL, text{})
 			if err != nil || got.Text != c.text {
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package httpx carries typed JSON messages over net/http, with limits on what
-// is read and problem documents (RFC 9457) for errors.
+// Package httpx sends and receives typed JSON messages over net/http. It limits the
+// size and nesting of what it reads, rejects unknown members, and reports errors as
+// problem documents (RFC 9457).
 //
 // # Usage
 //
@@ -25,7 +26,7 @@
 )
 
 const (
-	// MaxDepth is the deepest nesting of JSON that is read.
+	// MaxDepth is the maximum nesting of JSON that is accepted.
 	MaxDepth = 32
 	// ContentProblem is the media type of a problem document.
 	ContentProblem = "application/problem+json"
@@ -42,26 +43,26 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome is what became of the request: refused, not_run or unknown.
+	// Outcome says whether the request was run: refused, not_run or unknown.
 	Outcome string `json:"outcome,omitempty"`
-	// Reason is a stable word for the cause.
+	// Reason is a stable, machine-readable name of the cause.
 	Reason string `json:"reason"`
-	// Field names the member of the request that is wrong.
+	// Field names the invalid member of the request.
 	Field string `json:"field,omitempty"`
-	// RetryAfterMS is how long to wait before another try, in milliseconds.
+	// RetryAfterMS is how long to wait before a retry, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindTransport is a call without a reply.
+	// KindTransport is a call that got no complete reply.
 	KindTransport Kind = "transport"
-	// KindProblem is a reply that carries a problem document.
+	// KindProblem is a reply with a problem document.
 	KindProblem Kind = "problem"
-	// KindDecode is a message that can't be read.
+	// KindDecode is a message that can't be encoded or decoded.
 	KindDecode Kind = "decode"
 )
 
@@ -84,19 +85,19 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NewProblem returns an error that Handle answers as a problem document.
+// NewProblem returns an error that Handle and WriteError send as a problem document.
 func NewProblem(status int, reason, detail string) *Error {
 	return &Error{Op: "handle", Kind: KindProblem, Problem: Problem{Status: status, Reason: reason, Detail: detail}}
 }
 
-// FieldProblem returns a 422 problem that names the field which is wrong.
+// FieldProblem returns a 422 problem that names the invalid field.
 func FieldProblem(field, detail string) *Error {
 	e := NewProblem(http.StatusUnprocessableEntity, "invalid_field", detail)
 	e.Problem.Field = field
 	return e
 }
 
-// Reason returns the reason of the problem that err carries, or "".
+// Reason returns the reason of the problem in err, or "".
 func Reason(err error) string {
 	var e *Error
 	if errors.As(err, &e) {
@@ -105,7 +106,8 @@
 	return ""
 }
 
-// Handle returns a handler that reads a Req, calls fn and writes its Resp.
+// Handle returns a handler that decodes a Req of at most limit bytes, calls fn and
+// answers with its Resp or error.
 func Handle[Req, Resp any](limit int64, fn func(context.Context, Req) (Resp, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req Req
@@ -123,20 +125,20 @@
 	})
 }
 
-// writeReply answers with v, packed if it is large and the caller accepts that.
+// writeReply answers with v, compressed if it is large and the caller accepts gzip.
 func writeReply(w http.ResponseWriter, r *http.Request, v any) {
 	body, ok := encodeReply(w, v)
 	if !ok {
 		return
 	}
-	if small, ok := packed(r, body); ok {
+	if compressed, ok := gzipReply(r, body); ok {
 		w.Header().Set("Content-Encoding", encodingGzip)
-		body = small
+		body = compressed
 	}
 	writeBody(w, http.StatusOK, body)
 }
 
-// Decode reads the body of r into v: at most limit bytes, no unknown members.
+// Decode reads the body of r into v. More than limit bytes or unknown members are errors.
 func Decode(w http.ResponseWriter, r *http.Request, limit int64, v any) error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
@@ -149,25 +151,28 @@
 	return Unmarshal(body, v)
 }
 
-// Unmarshal reads v from strict JSON: bounded depth, no unknown members, nothing behind it.
+// Unmarshal decodes strict JSON into v: excessive nesting, unknown members and data after
+// the first value are errors. An empty body leaves v as it is.
 func Unmarshal(body []byte, v any) error {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return nil
 	}
-	if depth(body) > MaxDepth {
+	if nestingDepth(body) > MaxDepth {
 		return NewProblem(http.StatusBadRequest, "json_too_deep", fmt.Sprintf("JSON is nested deeper than %d", MaxDepth))
 	}
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+	dec := json.NewDecoder(bytes.NewReader(body))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(v); err != nil {
 		return decodeProblem(err)
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := dec.Token(); err != io.EOF {
 		return NewProblem(http.StatusBadRequest, "json_trailing", "there is more than one JSON value")
 	}
 	return nil
 }
 
+// decodeProblem returns the problem for an error of the JSON decoder, which names the
+// member concerned where the decoder tells it.
 func decodeProblem(err error) error {
 	p := NewProblem(http.StatusBadRequest, "json_invalid", err.Error())
 	var wrongType *json.UnmarshalTypeError
@@ -181,8 +186,9 @@
 	return p
 }
 
-func depth(body []byte) int {
-	deepest, n, inString := 0, 0, false
+// nestingDepth returns the deepest nesting of arrays and objects in a JSON text.
+func nestingDepth(body []byte) int {
+	deepest, level, inString := 0, 0, false
 	for i := 0; i < len(body); i++ {
 		switch c := body[i]; {
 		case inString && c == '\\':
@@ -191,23 +197,23 @@
 			inString = !inString
 		case inString:
 		case c == '{' || c == '[':
-			n++
-			deepest = max(deepest, n)
+			level++
+			deepest = max(deepest, level)
 		case c == '}' || c == ']':
-			n--
+			level--
 		}
 	}
 	return deepest
 }
 
-// WriteJSON answers with v.
+// WriteJSON answers with a status and v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	if body, ok := encodeReply(w, v); ok {
 		writeBody(w, status, body)
 	}
 }
 
-// encodeReply encodes v, or answers that this failed.
+// encodeReply encodes v, or answers with an error if that fails.
 func encodeReply(w http.ResponseWriter, v any) (body []byte, ok bool) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -225,7 +231,7 @@
 	_, _ = w.Write(body)
 }
 
-// WriteError answers with the problem that err carries, or with 500.
+// WriteError answers with the problem in err, or with status 500 if it has none.
 func WriteError(w http.ResponseWriter, err error) {
 	var e *Error
 	if !errors.As(err, &e) || e.Kind != KindProblem {
@@ -251,7 +257,7 @@
 // Call posts req to url and reads a Resp; an Empty request is sent as GET.
 func Call[Req, Resp any](ctx context.Context, c *http.Client, url string, req Req) (Resp, error) {
 	method, payload := http.MethodPost, io.Reader(nil)
-	if _, none := any(req).(Empty); none {
+	if _, empty := any(req).(Empty); empty {
 		method = http.MethodGet
 	} else {
 		body, err := json.Marshal(req)
@@ -264,7 +270,7 @@
 	return Send[Resp](ctx, c, method, url, payload)
 }
 
-// Send sends payload to url by method and reads a Resp.
+// Send sends payload to url with the given method and reads a Resp.
 func Send[Resp any](ctx context.Context, c *http.Client, method, url string, payload io.Reader) (Resp, error) {
 	var resp Resp
 	hr, err := http.NewRequestWithContext(ctx, method, url, payload)
@@ -294,6 +300,7 @@
 	return resp, nil
 }
 
+// problemFrom returns the problem document in body, or one that names only the status.
 func problemFrom(url string, status int, body []byte) *Error {
 	e := &Error{Op: url, Kind: KindProblem}
 	if err := json.Unmarshal(body, &e.Problem); err != nil || e.Problem.Reason == "" {
@@ -310,13 +317,13 @@
 	return context.WithValue(ctx, tokenKey{}, token)
 }
 
-// RetryAfter returns a copy of e that tells when to come back.
+// RetryAfter sets how long the caller should wait before a retry, and returns e.
 func (e *Error) RetryAfter(d time.Duration) *Error {
 	e.Problem.RetryAfterMS = max(1, d.Milliseconds())
 	return e
 }
 
-// WithOutcome returns e with a typed outcome.
+// WithOutcome sets the outcome of the request, and returns e.
 func (e *Error) WithOutcome(outcome string) *Error {
 	e.Problem.Outcome = outcome
 	return e
--- a/internal/httpx/httpx_test.go
+++ b/internal/httpx/httpx_test.go
@@ -24,11 +24,11 @@
 	Deep any `json:"deep"`
 }
 
-const limit = 1024
+const maxBodyBytes = 1024
 
-func serve(t *testing.T) *httptest.Server {
+func newServer(t *testing.T) *httptest.Server {
 	t.Helper()
-	srv := httptest.NewServer(httpx.Handle(limit, func(_ context.Context, m message) (message, error) {
+	srv := httptest.NewServer(httpx.Handle(maxBodyBytes, func(_ context.Context, m message) (message, error) {
 		if m.Name == "fail" {
 			return m, httpx.NewProblem(http.StatusServiceUnavailable, "busy", "come back").RetryAfter(1500 * time.Millisecond).WithOutcome("refused")
 		}
@@ -39,7 +39,7 @@
 }
 
 func TestHandleRefusesBadInput(t *testing.T) {
-	srv := serve(t)
+	srv := newServer(t)
 	tests := []struct {
 		name, body, reason, field string
 		status                    int
@@ -49,7 +49,7 @@
 		{"wrong type", `{"size":"x"}`, "json_invalid", "size", 400},
 		{"two values", `{} {}`, "json_trailing", "", 400},
 		{"too deep", `{"sub":[{"deep":` + strings.Repeat("[", 40) + strings.Repeat("]", 40) + `}]}`, "json_too_deep", "", 400},
-		{"too large", `{"name":"` + strings.Repeat("x", 2*limit) + `"}`, "body_too_large", "", 413},
+		{"too large", `{"name":"` + strings.Repeat("x", 2*maxBodyBytes) + `"}`, "body_too_large", "", 413},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestProblemTellsWhenToComeBack(t *testing.T) {
-	srv := serve(t)
+func TestProblemSetsRetryAfter(t *testing.T) {
+	srv := newServer(t)
 	resp, err := http.Post(srv.URL, "application/json", strings.NewReader(`{"name":"fail"}`)) //nolint:noctx // The server is the test's own.
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 }
 
 func TestCallRoundTrip(t *testing.T) {
-	srv := serve(t)
+	srv := newServer(t)
 	got, err := httpx.Call[message, message](t.Context(), srv.Client(), srv.URL, message{Name: "x", Size: 3})
 	if err != nil || got.Name != "x" || got.Size != 3 {
 		t.Errorf("have %+v, %v", got, err)
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -16,40 +16,42 @@
 )
 
 const (
-	// asyncBuffer bounds what waits to be written: some seconds of a busy
-	// owner's lines (about 100 KB a second).
-	asyncBuffer = 512 << 10
-	// asyncFlush is how long a line may wait; each write costs a system call.
-	asyncFlush = 50 * time.Millisecond
-	// asyncChunk is the most that is written at once: a pipe takes up to 4,096
-	// bytes without mixing them with another writer's.
-	asyncChunk = 4096
+	// asyncBufferBytes limits the lines that wait to be written. A busy owner logs about
+	// 100 KB per second, which fills the buffer in some seconds.
+	asyncBufferBytes = 512 << 10
+	// asyncFlushInterval is how long a line may wait, so that many lines share one system
+	// call.
+	asyncFlushInterval = 50 * time.Millisecond
+	// asyncChunkBytes is the maximum size of a write. Writes to a pipe of up to 4,096 bytes
+	// are atomic: they don't mix with those of another process.
+	asyncChunkBytes = 4096
 )
 
-// AsyncWriter writes in the background. It never blocks: lines beyond the
-// buffer are dropped, and a line says how many.
+// AsyncWriter buffers log lines and writes them in the background, so that a slow reader
+// of the log can't block the node. When the buffer is full it drops lines, and logs how
+// many.
 type AsyncWriter struct {
 	w io.Writer
 
 	mu      sync.Mutex
 	buf     []byte
 	dropped int
-	done    chan struct{}
-	ended   chan struct{}
+	stop    chan struct{}
+	stopped chan struct{}
 }
 
-// NewAsyncWriter returns a writer to w; Close writes out what is left.
+// NewAsyncWriter returns a writer to w. Close it to write the lines that are buffered.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{w: w, done: make(chan struct{}), ended: make(chan struct{})}
+	a := &AsyncWriter{w: w, stop: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write takes a line.
+// Write buffers a line, or drops it if the buffer is full; it never blocks or fails.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.buf)+len(p) > asyncBuffer {
+	if len(a.buf)+len(p) > asyncBufferBytes {
 		a.dropped++
 		return len(p), nil
 	}
@@ -60,20 +62,21 @@
 // Sync does nothing: lines are written in the background.
 func (a *AsyncWriter) Sync() error { return nil }
 
-// Close writes out what is left.
+// Close writes the buffered lines and stops the writer.
 func (a *AsyncWriter) Close() {
-	close(a.done)
-	<-a.ended
+	close(a.stop)
+	<-a.stopped
 }
 
+// run writes the buffer at each interval, until Close.
 func (a *AsyncWriter) run() {
-	defer close(a.ended)
+	defer close(a.stopped)
 	var spare []byte
-	for open := true; open; {
+	for running := true; running; {
 		select {
-		case <-a.done:
-			open = false
-		case <-time.After(asyncFlush):
+		case <-a.stop:
+			running = false
+		case <-time.After(asyncFlushInterval):
 		}
 		a.mu.Lock()
 		out, dropped := a.buf, a.dropped
@@ -82,28 +85,30 @@
 		if dropped > 0 {
 			out = fmt.Appendf(out, `{"level":"warn",%q:%q,"msg":"log lines dropped","lines":%d}`+"\n", events.Field, events.LogLinesDropped, dropped)
 		}
-		a.writeOut(out)
+		a.writeChunks(out)
 		spare = out
 	}
 }
 
-// writeOut writes whole lines in chunks that a pipe takes as one.
-func (a *AsyncWriter) writeOut(out []byte) {
+// writeChunks writes whole lines in chunks of at most asyncChunkBytes; only a longer line
+// is split.
+func (a *AsyncWriter) writeChunks(out []byte) {
 	for len(out) > 0 {
 		n := len(out)
-		if n > asyncChunk {
-			n = asyncChunk
+		if n > asyncChunkBytes {
+			n = asyncChunkBytes
 			if end := bytes.LastIndexByte(out[:n], '\n'); end >= 0 {
 				n = end + 1
 			}
 		}
-		// There is nowhere left to report a log that can't be written.
+		// An error of writing the log can't be logged.
 		_, _ = a.w.Write(out[:n])
 		out = out[n:]
 	}
 }
 
-// NewLeveledLogger returns a logger of JSON lines whose level can be changed.
+// NewLeveledLogger returns a logger that writes JSON lines to w, and its level, which can
+// be changed at any time.
 func NewLeveledLogger(level string, w zapcore.WriteSyncer) (*zap.Logger, zap.AtomicLevel, error) {
 	l, err := zap.ParseAtomicLevel(level)
 	if err != nil {
--- a/internal/telemetry/async_bench_test.go
+++ b/internal/telemetry/async_bench_test.go
@@ -13,7 +13,8 @@
 	"switchbank.example/switchbank/internal/telemetry"
 )
 
-// BenchmarkLine writes the line that an owner writes most: one for each start.
+// BenchmarkLine logs the most frequent line of an owner, which is written once for each
+// start of a run.
 func BenchmarkLine(b *testing.B) {
 	out := telemetry.NewAsyncWriter(io.Discard)
 	defer out.Close()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package telemetry sets up logs, traces and metrics.
+// Package telemetry sets up logs and traces.
 //
 // # Usage
 //
@@ -21,10 +21,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
-// KindSetup is a log or trace that could not be set up.
+// KindSetup is a failure to set up logging or tracing.
 const KindSetup Kind = "setup"
 
 // Error is the error type of this package.
@@ -52,9 +52,9 @@
 	return zap.New(core), nil
 }
 
-// StartTracing sets up the propagation of W3C trace context and, unless w is
-// nil, writes finished spans to w as JSON lines. The function it returns writes
-// out what is left.
+// StartTracing sets up the propagation of W3C trace context and, unless w is nil, writes
+// finished spans to w as JSON lines. The function that it returns writes the spans that
+// are still buffered and stops tracing.
 func StartTracing(w io.Writer) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if w == nil {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -7,7 +7,7 @@
 //	fmt.Println(version.String())
 package version
 
-// number is set by the linker for a release.
+// number is the version; release builds set it with a linker flag.
 var number = "0.1.0-dev"
 
 // String returns the version.
--- a/internal/yamlx/yamlx.go
+++ b/internal/yamlx/yamlx.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package yamlx reads YAML strictly and says where it is wrong.
+// Package yamlx decodes YAML strictly: unknown and duplicate keys are errors. Errors name
+// the file, line and key.
 //
 // # Usage
 //
@@ -26,37 +27,38 @@
 type Error struct {
 	File string
 	Line int
-	// Key is the path of the wrong value, as $.a.b[0], where it is known.
+	// Key is the path or name of the invalid value, such as $.a.b[0], if it is known.
 	Key    string
 	Detail string
 }
 
 // Error returns file:line: key: detail.
 func (e *Error) Error() string {
-	where := e.File
+	position := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", where, e.Key, e.Detail)
+		return fmt.Sprintf("%s: %s: %s", position, e.Key, e.Detail)
 	}
-	return fmt.Sprintf("%s: %s", where, e.Detail)
+	return fmt.Sprintf("%s: %s", position, e.Detail)
 }
 
-// positioned is what the errors of the YAML library have in common.
-type positioned interface {
+// positionedError is implemented by the errors of the YAML library that have a position.
+type positionedError interface {
 	GetToken() *token.Token
 	GetMessage() string
 }
 
-// Decode reads v from data; unknown and doubled keys are errors, an empty file is not.
+// Decode decodes data into v. Unknown and duplicate keys are errors, an empty file is not.
+// file is named in errors.
 func Decode(file string, data []byte, v any) error {
 	err := decode(data, v)
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
 	}
 	e := &Error{File: file, Detail: err.Error()}
-	var p positioned
+	var p positionedError
 	if errors.As(err, &p) {
 		e.Detail = p.GetMessage()
 		if tk := p.GetToken(); tk != nil {
@@ -64,12 +66,12 @@
 		}
 		return e
 	}
-	e.find(data)
+	e.locateQuotedValue(data)
 	return e
 }
 
-// decode reads v from data. The YAML library panics on some malformed documents,
-// such as a tag where a list is expected; that is an error of the document too.
+// decode decodes data into v. The YAML library panics on some malformed documents, such as
+// a tag where a list is expected; decode returns those panics as errors.
 func decode(data []byte, v any) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -79,24 +81,24 @@
 	return yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(v)
 }
 
-// find looks for the value that an error without a position quotes, such as a
+// locateQuotedValue looks for the value that an error without a position quotes, such as a
 // duration that can't be read.
-func (e *Error) find(data []byte) {
+func (e *Error) locateQuotedValue(data []byte) {
 	f, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return
 	}
 	for _, doc := range f.Docs {
 		if doc.Body != nil {
-			ast.Walk(finder{e}, doc.Body)
+			ast.Walk(valueFinder{e}, doc.Body)
 		}
 	}
 }
 
-type finder struct{ e *Error }
+type valueFinder struct{ e *Error }
 
-// Visit notes the first value that the error quotes.
-func (v finder) Visit(n ast.Node) ast.Visitor {
+// Visit records the position of the first value that the error message quotes.
+func (v valueFinder) Visit(n ast.Node) ast.Visitor {
 	pair, ok := n.(*ast.MappingValueNode)
 	if ok && v.e.Line == 0 && strings.Contains(v.e.Detail, strconv.Quote(pair.Value.String())) {
 		v.e.Line, v.e.Key = pair.GetToken().Position.Line, strings.TrimPrefix(pair.Value.GetPath(), "$.")
@@ -104,13 +106,14 @@
 	return v
 }
 
-// ErrorAt returns an error for the value at path, as $.a.b[0], with its line.
+// ErrorAt returns an error for the value at path, such as $.a.b[0], with its line.
 func ErrorAt(file string, data []byte, path, detail string) error {
-	return &Error{File: file, Line: line(data, path), Key: path, Detail: detail}
+	return &Error{File: file, Line: lineOf(data, path), Key: path, Detail: detail}
 }
 
-// line returns the line of the value at path, or of the nearest parent that is there.
-func line(data []byte, path string) int {
+// lineOf returns the line of the value at path, or of its nearest parent that exists; 0 if
+// there is none.
+func lineOf(data []byte, path string) int {
 	f, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return 0
@@ -123,12 +126,13 @@
 		if node, err := p.FilterFile(f); err == nil && node != nil {
 			return node.GetToken().Position.Line
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 	return 0
 }
 
-func parent(path string) string {
+// parentPath removes the last element of a path.
+func parentPath(path string) string {
 	for i := len(path) - 1; i > 0; i-- {
 		if path[i] == '.' || path[i] == '[' {
 			return path[:i]
