--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -117,9 +117,9 @@
 	Reservation time.Duration
 	// HostInterval is the time between two reads of the host list.
 	HostInterval time.Duration
-	// SetAside is the time for which a worker on which different jobs fail is first set aside.
-	// It doubles each time.
-	SetAside time.Duration
+	// Quarantine is the time for which a worker on which different jobs fail is first
+	// quarantined, that is, gets no new tasks. It doubles each time.
+	Quarantine time.Duration
 	// IgnoreLeaving keeps using workers that are leaving. It is a fault for tests, which must
 	// detect it.
 	IgnoreLeaving bool
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -52,13 +52,13 @@
 
 func (f *fakes) Contact(ctx context.Context, address string, c worker.Contact) (worker.Report, error) {
 	f.mu.Lock()
-	w, cut := f.workers[address], f.unreachable[address]
+	w, isolated := f.workers[address], f.unreachable[address]
 	f.contacts++
 	if f.noWait {
 		c.WaitMS = 0
 	}
 	f.mu.Unlock()
-	if cut || w == nil {
+	if isolated || w == nil {
 		return worker.Report{}, errors.New("unreachable")
 	}
 	return w.Contact(ctx, c)
@@ -89,10 +89,10 @@
 
 func (f *fakes) Drain(context.Context, []worker.Attempt) {}
 
-func (f *fakes) setUnreachable(id string, cut bool) {
+func (f *fakes) setUnreachable(id string, isolated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unreachable[id] = cut
+	f.unreachable[id] = isolated
 }
 
 // hasEvent reports whether an event of a kind was delivered for an attempt.
@@ -126,7 +126,7 @@
 		Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
 	}, pool.Options{
 		Lease: 6 * time.Second, Margin: time.Second, Grace: 20 * time.Second, Reservation: 5 * time.Second,
-		HostInterval: time.Second, SetAside: 10 * time.Second,
+		HostInterval: time.Second, Quarantine: 10 * time.Second,
 	}, zap.NewNop())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = h.set.Run(ctx) }()
@@ -323,9 +323,9 @@
 	})
 }
 
-// TestFailingWorkerIsSetAside checks that a worker on which different jobs fail is set aside, and
-// first gets a single task as a probe afterwards.
-func TestFailingWorkerIsSetAside(t *testing.T) {
+// TestFailingWorkerIsQuarantined checks that a worker on which different jobs fail is quarantined,
+// and first gets a single task as a probe afterwards.
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	runInVirtualTime(t, 1, func(h *harness) {
 		for i := range 3 {
 			h.run(newSpec(fmt.Sprintf("job%d", i), 1, "fail"))
@@ -346,15 +346,15 @@
 	})
 }
 
-// TestFailingJobDoesNotSetWorkerAside checks that a worker stays in use while a single job fails
+// TestFailingJobDoesNotQuarantineWorker checks that a worker stays in use while a single job fails
 // again and again.
-func TestFailingJobDoesNotSetWorkerAside(t *testing.T) {
+func TestFailingJobDoesNotQuarantineWorker(t *testing.T) {
 	runInVirtualTime(t, 1, func(h *harness) {
 		for n := range 6 {
 			h.run(newSpec("bad", n+1, "fail"))
 		}
 		if got := h.reserve(false, newSpec("next", 1)); len(got) != 1 {
-			t.Error("the worker was set aside because of one failing job")
+			t.Error("the worker was quarantined because of one failing job")
 		}
 	})
 }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// failedJobsUntilSetAside is the number of different jobs that must fail on a worker, without
-	// a success in between, before it is set aside.
-	failedJobsUntilSetAside = 3
-	maxSetAsideTime         = 10 * time.Minute
+	// failedJobsUntilQuarantine is the number of different jobs that must fail on a worker, without
+	// a success in between, before it is quarantined.
+	failedJobsUntilQuarantine = 3
+	maxQuarantineTime         = 10 * time.Minute
 )
 
 // workerState is what the pool knows of a worker. It is guarded by the pool's lock.
@@ -62,10 +62,10 @@
 	wake       chan struct{}
 
 	// failedJobs holds the jobs that have failed here since the last success.
-	failedJobs    []string
-	setAsideUntil time.Time
-	setAsideTime  time.Duration
-	probing       bool
+	failedJobs       []string
+	quarantinedUntil time.Time
+	quarantineTime   time.Duration
+	probing          bool
 }
 
 func newWorkerState(h platform.Host, teams map[string]resource.Amount) *workerState {
@@ -119,11 +119,11 @@
 	if !w.fenced || !w.acceptsRequests() {
 		return false
 	}
-	if w.setAsideUntil.IsZero() {
+	if w.quarantinedUntil.IsZero() {
 		return true
 	}
-	// A worker that was set aside first gets a single task as a probe.
-	return now.After(w.setAsideUntil) && (!w.probing || len(w.tasks) == 0)
+	// A worker that was quarantined first gets a single task as a probe.
+	return now.After(w.quarantinedUntil) && (!w.probing || len(w.tasks) == 0)
 }
 
 // acceptsRequests reports whether the worker's instances may get requests.
@@ -131,21 +131,21 @@
 	return !w.leaving && !w.gone && !w.silent && !w.superseded
 }
 
-// recordResultLocked records a task's result. It reports whether the worker is set aside for its
-// failures.
-func (w *workerState) recordResultLocked(job string, ok bool, opts Options) (setAside bool) {
+// recordResultLocked records a task's result. It reports whether the worker is quarantined for
+// its failures.
+func (w *workerState) recordResultLocked(job string, ok bool, opts Options) (quarantined bool) {
 	if ok {
-		w.failedJobs, w.setAsideUntil, w.setAsideTime, w.probing = nil, time.Time{}, 0, false
+		w.failedJobs, w.quarantinedUntil, w.quarantineTime, w.probing = nil, time.Time{}, 0, false
 		return false
 	}
 	if !slices.Contains(w.failedJobs, job) {
 		w.failedJobs = append(w.failedJobs, job)
 	}
-	if len(w.failedJobs) < failedJobsUntilSetAside && !w.probing {
+	if len(w.failedJobs) < failedJobsUntilQuarantine && !w.probing {
 		return false
 	}
-	w.setAsideTime = min(max(opts.SetAside, 2*w.setAsideTime), maxSetAsideTime)
-	w.setAsideUntil = time.Now().Add(w.setAsideTime)
+	w.quarantineTime = min(max(opts.Quarantine, 2*w.quarantineTime), maxQuarantineTime)
+	w.quarantinedUntil = time.Now().Add(w.quarantineTime)
 	w.failedJobs, w.probing = nil, true
 	return true
 }
@@ -421,7 +421,7 @@
 	}
 	if ok && (e.Result == worker.ResultDone || e.Result == worker.ResultFailed) {
 		if w.recordResultLocked(e.Attempt.Job, e.Result == worker.ResultDone, p.opts) {
-			p.log.Warn("worker set aside", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.setAsideTime))
+			p.log.Warn("worker quarantined", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.quarantineTime))
 		}
 	}
 	reason := e.Reason
