--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -36,8 +36,8 @@
 const (
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = time.Minute
-	// voidRetryDelay is the delay of a task whose reservation expired, which is no failure.
-	voidRetryDelay = 50 * time.Millisecond
+	// neverRanRetryDelay is the delay of a task whose reservation expired, which is no failure.
+	neverRanRetryDelay = 50 * time.Millisecond
 )
 
 // Record is one change of a shard's state; exactly one field is set.
@@ -243,7 +243,7 @@
 	case peer.EventNeverRan:
 		// Other tasks of an all-at-once job may run or have ended without this one.
 		j.Restarting = j.Spec.Kind == api.KindAllAtOnce
-		j.requeue(t, ev.Attempt, r.At.Add(voidRetryDelay), ev.Reason)
+		j.requeue(t, ev.Attempt, r.At.Add(neverRanRetryDelay), ev.Reason)
 	case peer.EventLost:
 		j.taskLost(t, ev, r.At)
 	case peer.EventEnded:
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -129,11 +129,11 @@
 	log     *zap.Logger
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	pending  []*Pending
-	failing  time.Time // when the current series of failed writes began; zero if none
-	counts   Counts
-	lastSent time.Time
+	mu           sync.Mutex
+	pending      []*Pending
+	failingSince time.Time // when the current series of failed writes began; zero if none
+	counts       Counts
+	lastSent     time.Time
 }
 
 // Stream is the journal of one shard under one epoch.
@@ -219,7 +219,7 @@
 }
 
 func (c *Committer) downLocked() bool {
-	return !c.failing.IsZero() && time.Since(c.failing) >= c.opts.DownAfter
+	return !c.failingSince.IsZero() && time.Since(c.failingSince) >= c.opts.DownAfter
 }
 
 // Counts returns the numbers of writes and records stored so far.
@@ -284,7 +284,7 @@
 	wait := firstRetryWait
 	for len(parts) > 0 {
 		res, err := c.table.Commit(ctx, c.buildTxn(parts))
-		c.trackStore(err)
+		c.trackOutage(err)
 		if err == nil && res.Committed {
 			c.finishParts(parts)
 			return
@@ -421,16 +421,16 @@
 	}
 }
 
-// trackStore records whether the store answers. Any answer ends an outage, also one
+// trackOutage records whether the store answers. Any answer ends an outage, also one
 // that fences the whole batch.
-func (c *Committer) trackStore(err error) {
+func (c *Committer) trackOutage(err error) {
 	c.mu.Lock()
-	first := err != nil && c.failing.IsZero()
+	first := err != nil && c.failingSince.IsZero()
 	switch {
 	case err == nil:
-		c.failing = time.Time{}
+		c.failingSince = time.Time{}
 	case first:
-		c.failing = time.Now()
+		c.failingSince = time.Now()
 	}
 	c.mu.Unlock()
 	if first {
--- a/internal/node/contract_test.go
+++ b/internal/node/contract_test.go
@@ -38,11 +38,11 @@
 	r := startNode(t, nil)
 	const otherShard = "worker/nowhere/000"
 	a := worker.Attempt{Job: "j", N: 1}
-	places := []peer.Placement{{Attempt: a, Shard: otherShard, Worker: "w", Reservation: "r"}}
+	placements := []peer.Placement{{Attempt: a, Shard: otherShard, Worker: "w", Reservation: "r"}}
 	if _, reason := callPeer[peer.ReserveRequest, peer.ReserveReply](t, r, peer.PathReserve, peer.ReserveRequest{Shard: otherShard}); reason != peer.ReasonNotOwner {
 		t.Errorf("reserve in a shard of another owner: %q", reason)
 	}
-	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: otherShard, Placements: places}); reason != peer.ReasonNotOwner {
+	if _, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: otherShard, Placements: placements}); reason != peer.ReasonNotOwner {
 		t.Errorf("confirm in a shard of another owner: %q", reason)
 	}
 	if _, reason := callPeer[peer.EventsRequest, httpx.Empty](t, r, peer.PathEvents, peer.EventsRequest{Shard: "job/999"}); reason != peer.ReasonNotOwner {
@@ -52,7 +52,7 @@
 		t.Errorf("key in a shard of another owner: %q", reason)
 	}
 	const ownShard = "worker/kosice-1/000"
-	known, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: ownShard, Placements: places})
+	known, reason := callPeer[peer.ConfirmRequest, peer.ConfirmReply](t, r, peer.PathConfirm, peer.ConfirmRequest{Shard: ownShard, Placements: placements})
 	if reason != "" || len(known.Items) != 1 || known.Items[0].State == peer.ConfirmAccepted {
 		t.Errorf("confirm of a task without a reservation: %+v %s", known, reason)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -368,9 +368,9 @@
 // are too large are refused, and that the metric counts the connections.
 func TestConnectionAndHeaderLimits(t *testing.T) {
 	t.Parallel()
-	const most = 8
+	const maxConnections = 8
 	r := startNode(t, func(c *config.Config) {
-		c.Limits.Connections = most
+		c.Limits.Connections = maxConnections
 		c.Limits.HeaderBytes = 2048
 	})
 	resp, err := getWithHeader(t, r, strings.Repeat("h", 16<<10))
@@ -379,7 +379,7 @@
 	}
 	var open []net.Conn
 	refused := 0
-	for range 3 * most {
+	for range 3 * maxConnections {
 		var d net.Dialer
 		c, err := d.DialContext(t.Context(), "tcp", r.callers)
 		if err != nil {
@@ -394,8 +394,8 @@
 	for _, c := range open {
 		_ = c.Close()
 	}
-	if refused < 2*most {
-		t.Errorf("%d of %d connections were refused", refused, 3*most)
+	if refused < 2*maxConnections {
+		t.Errorf("%d of %d connections were refused", refused, 3*maxConnections)
 	}
 	if !slices.ContainsFunc(metricsOf(t, r), func(line string) bool {
 		return strings.HasPrefix(line, `switchbank_connections_refused_total{listener="callers"}`) && !strings.HasSuffix(line, " 0")
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -209,20 +209,20 @@
 // tryRequest makes one attempt. When no instance is known, it first refreshes the loads of the
 // peers: a service may have started since their last summary.
 func (e *Entry) tryRequest(ctx context.Context, r Request) Result {
-	if res, found := e.runWhereKnown(ctx, r); found {
+	if res, found := e.runOnKnownInstance(ctx, r); found {
 		return res
 	}
 	e.deps.Peers.RefreshLoads(ctx)
-	if res, found := e.runWhereKnown(ctx, r); found {
+	if res, found := e.runOnKnownInstance(ctx, r); found {
 		return res
 	}
 	return refused(KindNoInstance, "no instance of the service is known", time.Second)
 }
 
-// runWhereKnown runs a request on a known instance of its service. A free slot on this
+// runOnKnownInstance runs a request on a known instance of its service. A free slot on this
 // node is preferred to a free slot on a peer, then to a queue here, then to one on a peer.
 // It returns false if no instance is known.
-func (e *Entry) runWhereKnown(ctx context.Context, r Request) (res Result, found bool) {
+func (e *Entry) runOnKnownInstance(ctx context.Context, r Request) (res Result, found bool) {
 	if slot, ok := e.deps.Balancer.TryAcquire(r.Service); ok {
 		return e.sendToInstance(ctx, slot, r), true
 	}
