--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package lease keeps a node's lease in the platform's table and watches the
-// leases of the other nodes.
+// Package lease keeps a node's lease in the platform's table and watches the leases of
+// the other nodes. A lease is a row that its node writes at regular intervals.
 //
-// A node holds its lease while its own monotonic clock is below the time at
-// which it sent the last successful renewal, plus the time to live, less a
-// margin. Others judge it by watching its row stand still for the time to live
-// plus the margin on their own clock. No two clocks are compared.
+// A node holds its lease until the time to live, less a margin, has passed since it sent
+// its last successful renewal. The other nodes consider it dead if they have seen its row
+// unchanged for the time to live plus the margin. Each side measures with its own
+// monotonic clock, so that no two clocks are compared.
 //
-// A lease that lapsed and was renewed later has a new generation: what was
-// owned under an older generation must be confirmed before it is used.
+// A lease that expires and is renewed later gets a new generation. Other nodes may have
+// taken over shards in the meantime, so that a shard owned under an older generation must
+// be confirmed before it is used.
 //
 // # Usage
 //
@@ -38,7 +39,7 @@
 // TableNodes is the table with a row for each node.
 const TableNodes = "nodes"
 
-// Table is what the package uses of the table service.
+// Table is the part of the table service that the package uses.
 type Table interface {
 	Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error)
 	Get(ctx context.Context, table, key string) (platform.Row, error)
@@ -52,34 +53,34 @@
 	PeerAddress     string `json:"peer_address"`
 	OperatorAddress string `json:"operator_address"`
 	DataCentre      string `json:"data_centre"`
-	// Staged is the digest of the proposed bundle that the node holds ready.
+	// Staged is the digest of the proposed bundle that the node is ready to apply.
 	Staged string `json:"staged,omitempty"`
 	// InForce is the bundle version that the node applies.
 	InForce  int64 `json:"in_force"`
 	Draining bool  `json:"draining,omitempty"`
-	// Counter rises with every renewal.
+	// Counter increases with every renewal, so that every renewal changes the row.
 	Counter int64 `json:"counter"`
 }
 
-// Options are the times of a lease.
+// Options are the settings of a lease.
 type Options struct {
 	TTL    time.Duration
 	Margin time.Duration
-	// RenewInterval is the time between renewals.
+	// RenewInterval is the time between two renewals.
 	RenewInterval time.Duration
-	// IgnoreExpiry takes the lease for held whatever the clock says, to show that
-	// tests see it.
+	// IgnoreExpiry treats an expired lease as held. It is a fault for tests, which must
+	// detect it.
 	IgnoreExpiry bool
 }
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
-	// KindReplaced is a lease whose row another process has taken or removed.
+	// KindReplaced is a lease whose row another process has written or removed.
 	KindReplaced Kind = "replaced"
-	// KindStore is a call of the table service that failed.
+	// KindStore is a failed call of the table service.
 	KindStore Kind = "store"
 )
 
@@ -96,50 +97,55 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Lease is a node's own lease and its view of the others.
+// Lease is a node's own lease and its view of the other nodes' leases.
 type Lease struct {
 	table Table
 	opts  Options
 	log   *zap.Logger
 
-	mu         sync.Mutex
-	self       Node
-	version    int64
-	until      time.Time
+	mu   sync.Mutex
+	self Node
+	// version is that of the node's row as last written or read; 0 before the first read.
+	version int64
+	// heldUntil is when the lease expires; zero before the first renewal.
+	heldUntil  time.Time
 	generation int64
-	renewed    chan struct{}
-	seen       map[seenKey]seen
-	rows       map[string]member
-	listed     time.Time
+	renewNow   chan struct{}
+	// observed holds when each incarnation's row was last seen to change.
+	observed map[incarnationKey]observation
+	// rows holds the rows as last read, by node id.
+	rows        map[string]nodeRow
+	refreshedAt time.Time
 }
 
-type seenKey struct{ id, incarnation string }
+type incarnationKey struct{ id, incarnation string }
 
-type seen struct {
-	version int64
-	changed time.Time
+type observation struct {
+	version   int64
+	changedAt time.Time
 }
 
-type member struct {
+type nodeRow struct {
 	node    Node
 	version int64
 }
 
-// New returns a lease that is not held yet; the incarnation of self is set.
+// New returns a lease that is not held yet. It sets a new random incarnation in self.
 func New(table Table, self Node, opts Options, log *zap.Logger) *Lease {
 	self.Incarnation = rand.Text()
 	return &Lease{
-		table:   table,
-		opts:    opts,
-		log:     log,
-		self:    self,
-		renewed: make(chan struct{}, 1),
-		seen:    make(map[seenKey]seen),
-		rows:    make(map[string]member),
+		table:    table,
+		opts:     opts,
+		log:      log,
+		self:     self,
+		renewNow: make(chan struct{}, 1),
+		observed: make(map[incarnationKey]observation),
+		rows:     make(map[string]nodeRow),
 	}
 }
 
-// Run renews the lease and reads the others' until ctx ends or the lease is replaced.
+// Run renews the lease and reads the rows of all nodes at each interval, until ctx ends or
+// another process replaces the lease.
 func (l *Lease) Run(ctx context.Context) error {
 	t := time.NewTicker(l.opts.RenewInterval)
 	defer t.Stop()
@@ -158,26 +164,28 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-		case <-l.renewed:
+		case <-l.renewNow:
 		}
 	}
 }
 
-// RenewSoon makes Run renew at once, so that a change of the row is seen soon.
+// RenewSoon makes Run renew the lease immediately, so that the other nodes see a change of
+// the row soon.
 func (l *Lease) RenewSoon() {
 	select {
-	case l.renewed <- struct{}{}:
+	case l.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// Renew writes the node's row once.
+// Renew writes the node's row once. The lease is extended from the time of sending, since
+// the other nodes may see the write long before its reply arrives here.
 func (l *Lease) Renew(ctx context.Context) error {
 	l.mu.Lock()
-	first := l.version == 0
+	versionUnknown := l.version == 0
 	l.mu.Unlock()
-	if first {
-		if err := l.claim(ctx); err != nil {
+	if versionUnknown {
+		if err := l.readVersion(ctx); err != nil {
 			return err
 		}
 	}
@@ -185,27 +193,28 @@
 	l.self.Counter++
 	self, version := l.self, l.version
 	l.mu.Unlock()
-	sent := time.Now()
+	sentAt := time.Now()
 	res, err := l.write(ctx, self, version)
 	if err != nil {
 		return &Error{"renew", KindStore, err}
 	}
 	if !res.Committed {
-		return l.settle(res.Mismatch)
+		return l.resolveMismatch(res.Mismatch)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = res.Versions[0]
-	if !l.until.IsZero() && !time.Now().Before(l.until) {
+	if !l.heldUntil.IsZero() && !time.Now().Before(l.heldUntil) {
 		l.generation++
-		l.log.Warn("lease lapsed", events.LeaseExpired, zap.Int64("generation", l.generation))
+		l.log.Warn("lease expired", events.LeaseExpired, zap.Int64("generation", l.generation))
 	}
-	l.until = sent.Add(l.opts.TTL - l.opts.Margin)
+	l.heldUntil = sentAt.Add(l.opts.TTL - l.opts.Margin)
 	return nil
 }
 
-// claim learns the version of the row that an earlier process of this id left.
-func (l *Lease) claim(ctx context.Context) error {
+// readVersion reads the version of the row that an earlier process with the node's id may
+// have left, which the first renewal replaces.
+func (l *Lease) readVersion(ctx context.Context) error {
 	row, err := l.table.Get(ctx, TableNodes, l.self.ID)
 	if err != nil {
 		return &Error{"claim", KindStore, err}
@@ -216,6 +225,7 @@
 	return nil
 }
 
+// write writes the node's row if it still has the given version.
 func (l *Lease) write(ctx context.Context, n Node, version int64) (platform.TxnResult, error) {
 	value, err := json.Marshal(n)
 	if err != nil {
@@ -227,9 +237,10 @@
 	})
 }
 
-// settle handles a renewal whose condition failed: by a lost reply of our own,
-// or because another process has taken the row.
-func (l *Lease) settle(mismatch []platform.Row) error {
+// resolveMismatch handles a renewal that failed because the row has another version. Either
+// an earlier renewal of this process took effect and its reply was lost, or another process
+// has taken the row.
+func (l *Lease) resolveMismatch(mismatch []platform.Row) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var n Node
@@ -239,17 +250,18 @@
 			return &Error{"renew", KindReplaced, err}
 		}
 	}
-	held := !l.until.IsZero()
-	if n.Incarnation == l.self.Incarnation || !held {
+	renewedBefore := !l.heldUntil.IsZero()
+	if n.Incarnation == l.self.Incarnation || !renewedBefore {
 		l.version = row.Version
 		l.RenewSoon()
-		return &Error{"renew", KindStore, errors.New("the row has moved; trying again")}
+		return &Error{"renew", KindStore, errors.New("the row has changed; retrying")}
 	}
-	l.until = time.Time{}.Add(1)
+	// The zero time would mean that the lease was never held.
+	l.heldUntil = time.Time{}.Add(1)
 	return &Error{"renew", KindReplaced, errors.Errorf("row of %s is held by incarnation %q", l.self.ID, n.Incarnation)}
 }
 
-// Refresh reads the rows of all nodes once.
+// Refresh reads the rows of all nodes once, and notes when each of them last changed.
 func (l *Lease) Refresh(ctx context.Context) error {
 	rows, err := l.table.List(ctx, TableNodes, "")
 	if err != nil {
@@ -258,32 +270,32 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.listed = now
-	l.rows = make(map[string]member, len(rows))
+	l.refreshedAt = now
+	l.rows = make(map[string]nodeRow, len(rows))
 	for _, row := range rows {
 		var n Node
 		if err := json.Unmarshal(row.Value, &n); err != nil {
 			return &Error{"refresh", KindStore, err}
 		}
-		l.rows[n.ID] = member{n, row.Version}
-		k := seenKey{n.ID, n.Incarnation}
-		if s, ok := l.seen[k]; !ok || s.version != row.Version {
-			l.seen[k] = seen{row.Version, now}
+		l.rows[n.ID] = nodeRow{n, row.Version}
+		k := incarnationKey{n.ID, n.Incarnation}
+		if s, ok := l.observed[k]; !ok || s.version != row.Version {
+			l.observed[k] = observation{row.Version, now}
 		}
 	}
-	l.forgetLocked(now)
+	l.pruneLocked(now)
 	return nil
 }
 
-// forgetLocked drops incarnations that have been gone for long.
-func (l *Lease) forgetLocked(now time.Time) {
-	const keep = 100
-	for k, s := range l.seen {
+// pruneLocked forgets incarnations whose row was replaced or removed long ago.
+func (l *Lease) pruneLocked(now time.Time) {
+	const retentionTTLs = 100
+	for k, s := range l.observed {
 		if m, ok := l.rows[k.id]; ok && m.node.Incarnation == k.incarnation {
 			continue
 		}
-		if now.Sub(s.changed) > keep*l.opts.TTL {
-			delete(l.seen, k)
+		if now.Sub(s.changedAt) > retentionTTLs*l.opts.TTL {
+			delete(l.observed, k)
 		}
 	}
 }
@@ -296,21 +308,22 @@
 }
 
 func (l *Lease) heldLocked() bool {
-	return time.Now().Before(l.until) || (l.opts.IgnoreExpiry && l.version != 0)
+	return time.Now().Before(l.heldUntil) || (l.opts.IgnoreExpiry && l.version != 0)
 }
 
-// Generation returns the lease's generation, and whether the lease is held.
+// Generation returns the lease's generation, which increases whenever an expired lease is
+// renewed, and whether the lease is held.
 func (l *Lease) Generation() (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.generation, l.heldLocked()
 }
 
-// LapsedFor returns how long ago the lease lapsed; 0 while it is held.
+// LapsedFor returns how long ago the lease expired; 0 while it is held.
 func (l *Lease) LapsedFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, time.Since(l.until))
+	return max(0, time.Since(l.heldUntil))
 }
 
 // Self returns the node's own row.
@@ -320,7 +333,8 @@
 	return l.self
 }
 
-// SetBundleState publishes the bundle that the node has staged and the version that it applies.
+// SetBundleState publishes the digest of the bundle that the node has staged and the bundle
+// version that it applies.
 func (l *Lease) SetBundleState(staged string, inForce int64) {
 	l.mu.Lock()
 	changed := l.self.Staged != staged || l.self.InForce != inForce
@@ -339,26 +353,27 @@
 	l.RenewSoon()
 }
 
-// Live returns the nodes whose row moved within the time to live plus the margin, by id.
+// Live returns the nodes whose row changed within the time to live plus the margin, ordered
+// by id. It includes this node while it holds its lease.
 func (l *Lease) Live() []Node {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var live []Node
 	for id, m := range l.rows {
-		s := l.seen[seenKey{id, m.node.Incarnation}]
-		if id != l.self.ID && now.Sub(s.changed) < l.opts.TTL+l.opts.Margin {
+		s := l.observed[incarnationKey{id, m.node.Incarnation}]
+		if id != l.self.ID && now.Sub(s.changedAt) < l.opts.TTL+l.opts.Margin {
 			live = append(live, m.node)
 		}
 	}
-	if now.Before(l.until) {
+	if now.Before(l.heldUntil) {
 		live = append(live, l.self)
 	}
 	slices.SortFunc(live, func(a, b Node) int { return cmp.Compare(a.ID, b.ID) })
 	return live
 }
 
-// OtherNodes returns every node as last read, live or not, but for this one.
+// OtherNodes returns the last read rows of all other nodes, live or not, ordered by id.
 func (l *Lease) OtherNodes() []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -372,19 +387,20 @@
 	return known
 }
 
-// Dead reports whether an incarnation's lease has certainly lapsed. While its
-// row is still there, guard is the condition under which that stays true.
+// Dead reports whether the lease of an incarnation of a node has certainly expired. If its
+// row still exists, guard is the condition that the row has not changed: a takeover must be
+// written under it, since the node could renew its lease in the meantime.
 func (l *Lease) Dead(id, incarnation string) (dead bool, guard []platform.Condition) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := seenKey{id, incarnation}
-	s, ok := l.seen[k]
+	k := incarnationKey{id, incarnation}
+	s, ok := l.observed[k]
 	if !ok {
-		l.seen[k] = seen{changed: now}
+		l.observed[k] = observation{changedAt: now}
 		return false, nil
 	}
-	if now.Sub(s.changed) < l.opts.TTL+l.opts.Margin {
+	if now.Sub(s.changedAt) < l.opts.TTL+l.opts.Margin {
 		return false, nil
 	}
 	if m, ok := l.rows[id]; ok && m.node.Incarnation == incarnation {
@@ -393,11 +409,12 @@
 	return true, guard
 }
 
-// Resign removes the node's row at a planned stop.
+// Resign gives up the lease and removes the node's row, at a planned stop.
 func (l *Lease) Resign(ctx context.Context) error {
 	l.mu.Lock()
 	self, version := l.self, l.version
-	l.until = time.Time{}.Add(1)
+	// The zero time would mean that the lease was never held.
+	l.heldUntil = time.Time{}.Add(1)
 	l.mu.Unlock()
 	_, err := l.table.Commit(ctx, platform.Txn{
 		If:     []platform.Condition{{Table: TableNodes, Key: self.ID, Version: version}},
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// TestHeldCountsFromSending checks that a slow reply does not lengthen a lease.
-func TestHeldCountsFromSending(t *testing.T) {
+// TestLeaseCountsFromSending checks that a slow reply does not extend a lease: it counts from
+// when the renewal was sent.
+func TestLeaseCountsFromSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		l := newLease(p, "a")
@@ -45,24 +46,25 @@
 		renew(t, l)
 		time.Sleep(time.Until(sent.Add(opts.TTL - opts.Margin - time.Millisecond)))
 		if !l.Held() {
-			t.Error("the lease is over too early")
+			t.Error("the lease expired too early")
 		}
 		time.Sleep(time.Millisecond)
 		if l.Held() {
-			t.Error("the lease counts from the reply, not from the sending")
+			t.Error("the lease counts from the reply, not from when the renewal was sent")
 		}
 	})
 }
 
-// TestLapseRaisesGeneration renews after a pause: what was owned must be confirmed.
-func TestLapseRaisesGeneration(t *testing.T) {
+// TestRenewalAfterExpiryRaisesGeneration renews a lease that expired during a pause. Other nodes
+// may own its shards by then, so that it must not go on under the same generation.
+func TestRenewalAfterExpiryRaisesGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLease(standin.New(), "a")
 		renew(t, l)
 		before, _ := l.Generation()
 		time.Sleep(10 * time.Second)
 		if l.Held() {
-			t.Fatal("held after a pause")
+			t.Fatal("the lease is held after it expired")
 		}
 		renew(t, l)
 		if after, held := l.Generation(); !held || after != before+1 {
@@ -71,9 +73,10 @@
 	})
 }
 
-// TestNeverTwoHolders watches a node that stops renewing: it is judged dead only
-// after its own lease is over, whatever the reply delays were.
-func TestNeverTwoHolders(t *testing.T) {
+// TestDeadOnlyAfterLeaseExpired watches a node that stops renewing its lease. Another node must
+// not consider it dead while it still holds the lease, however long replies take: otherwise two
+// nodes would own its shards.
+func TestDeadOnlyAfterLeaseExpired(t *testing.T) {
 	for _, delay := range []int64{0, 200, 900} {
 		synctest.Test(t, func(t *testing.T) {
 			p := standin.New()
@@ -87,23 +90,24 @@
 				refresh(t, b)
 				dead, guard := b.Dead("a", a.Self().Incarnation)
 				if dead && a.Held() {
-					t.Fatal("a is judged dead while it holds its lease")
+					t.Fatal("a is considered dead while it holds its lease")
 				}
 				if dead {
 					if len(guard) != 1 {
-						t.Error("a takeover must be conditional on the row that stood still")
+						t.Error("want one condition, that the row is unchanged, for a takeover")
 					}
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			t.Error("a is never judged dead")
+			t.Error("a is never considered dead")
 		})
 	}
 }
 
-// TestReplyLostIsSettled loses the reply of a renewal: the next one goes on.
-func TestReplyLostIsSettled(t *testing.T) {
+// TestLostReplyIsResolved loses the reply of a renewal. The next renewal finds a row of another
+// version, and must recognize it as its own.
+func TestLostReplyIsResolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		l := newLease(p, "a")
@@ -120,7 +124,8 @@
 	})
 }
 
-// TestReplaced starts a second process of the same id: the first one gives up.
+// TestReplaced starts a second process with the same node id: the first one must give up its
+// lease.
 func TestReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
