--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -117,7 +117,7 @@
 		return nil, &Error{"fetch", KindInvalid, err}
 	}
 	if b.Digest() != digest {
-		return nil, &Error{"fetch", KindInvalid, errors.Errorf("object %s does not match its digest", digest)}
+		return nil, &Error{"fetch", KindInvalid, errors.Errorf("object %s holds something else", digest)}
 	}
 	return &b, nil
 }
