--- a/e2e/rollout_test.go
+++ b/e2e/rollout_test.go
@@ -26,8 +26,8 @@
 		name            string
 		inject, restore func()
 	}{
-		{"quiet", func() {}, func() {}},
-		{"again", func() {}, func() {}},
+		{"no fault", func() {}, func() {}},
+		{"no fault again", func() {}, func() {}},
 		{"a node paused", func() { c.nodes[2].signal(syscall.SIGSTOP) }, func() { c.nodes[2].signal(syscall.SIGCONT) }},
 		{"the store slow", func() { c.setFaults(standin.Faults{DelayMS: 300}) }, func() { c.setFaults(standin.Faults{}) }},
 		{"a node restarted", func() { c.nodes[1].kill() }, func() { c.startNode(1) }},
--- a/internal/jobs/schedule.go
+++ b/internal/jobs/schedule.go
@@ -26,7 +26,8 @@
 )
 
 const (
-	// maxTasksPerRound is the maximum number of tasks of a job that a round places.
+	// maxTasksPerRound is the maximum number of tasks of a job that a round places, unless
+	// the job is all-at-once: its tasks are always placed together.
 	maxTasksPerRound = 512
 	// maxConcurrentPools is the maximum number of concurrent calls to worker shards.
 	maxConcurrentPools = 8
@@ -310,7 +311,8 @@
 }
 
 // reserve reserves resources for the job's tasks in one worker shard after the other. If
-// tasks remain and the class of the job allows it, it preempts other tasks.
+// tasks remain and the class of the job allows it, it preempts other tasks, but never for
+// an all-at-once job.
 func (s *Set) reserve(ctx context.Context, r *round, w *waitingJob) ([]peer.Placement, error) {
 	placements, remaining, err := s.reserveFrom(ctx, r, w, r.poolOrder(w), w.specs, false)
 	if len(remaining) == 0 || w.allAtOnce || !r.mayPreempt(w) {
@@ -494,7 +496,7 @@
 		defer span.End()
 		reply, err := s.deps.Pools.Confirm(ctx, peer.ConfirmRequest{Shard: shard, Placements: placements})
 		if err != nil {
-			// Reconcile will ask again.
+			// reconcile asks again later.
 			return
 		}
 		s.applyConfirmReply(ctx, sh, placements, reply)
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Release drops a shard, and waits until its last append is durable.
+// Release removes a shard, and waits until its last append is durable.
 func (s *Set) Release(ctx context.Context, key shard.Key) {
 	sh, ok := s.get(string(key))
 	if !ok {
@@ -123,7 +123,7 @@
 	_ = waitDurable(ctx, pending)
 }
 
-// Drop drops a shard.
+// Drop removes a shard without waiting for its appends, since another node may own it.
 func (s *Set) Drop(key shard.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -36,7 +36,8 @@
 const (
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = time.Minute
-	// neverRanRetryDelay is the delay of a task whose reservation expired, which is no failure.
+	// neverRanRetryDelay is the delay of a task whose reservation expired before it started.
+	// Since this is not a failure, the delay doesn't grow.
 	neverRanRetryDelay = 50 * time.Millisecond
 )
 
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -173,7 +173,7 @@
 func TestRandomRecords(t *testing.T) {
 	kinds := []api.Kind{api.KindBatch, api.KindAllAtOnce, api.KindService}
 	props := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(5))
-	props.Property("the state stays sound", prop.ForAll(func(kind int, once bool, ops []int) bool {
+	props.Property("the counts match the tasks, a final state stays, and a snapshot restores the state", prop.ForAll(func(kind int, once bool, ops []int) bool {
 		w := workload(kinds[kind], 3)
 		w.AtMostOnce = once && w.Kind != api.KindService
 		st := newStateWith(w.WithDefaults())
--- a/internal/requests/balancer.go
+++ b/internal/requests/balancer.go
@@ -165,7 +165,7 @@
 }
 
 // Remove removes an instance. Requests that are queued for a service without any other
-// instance on this node are turned away.
+// instance on this node are refused.
 func (b *Balancer) Remove(a worker.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -182,8 +182,8 @@
 	}
 }
 
-// dropServiceLocked removes a service that has no instance left on this node and turns
-// away the requests in its queue.
+// dropServiceLocked removes a service that has no instance left on this node and refuses
+// the requests in its queue.
 func (b *Balancer) dropServiceLocked(s *service) {
 	if s.queue != nil {
 		for w, ok := s.queue.Pop(); ok; w, ok = s.queue.Pop() {
--- a/internal/requests/entry.go
+++ b/internal/requests/entry.go
@@ -51,7 +51,7 @@
 	Instances int
 }
 
-// Keys gives access to the stored idempotency keys, which are kept by their owners.
+// Keys calls the owners of the job shards that store the keys of requests.
 type Keys interface {
 	// Begin journals that a request with a key is about to run, or returns how an
 	// earlier one with the same key ended.
@@ -71,7 +71,7 @@
 
 // Options are the settings of an Entry.
 type Options struct {
-	// KeyWindow is how long a key is kept. A request with an older key ends as unknown.
+	// KeyWindow is how long a key is stored. A request with an older key ends as unknown.
 	KeyWindow time.Duration
 	// KeyMargin is how far a caller's clock may be ahead.
 	KeyMargin time.Duration
@@ -144,7 +144,8 @@
 	return res
 }
 
-// storedAnswer returns the result of a request whose key belongs to a request that has run.
+// storedAnswer returns the result of a repeated request from the answer that is stored
+// under its key.
 func storedAnswer(a *peer.Answer) Result {
 	if a == nil || a.Dropped {
 		return unknown(KindAnswerTooLarge, "the request has run; its answer was too large to be kept")
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -216,7 +216,7 @@
 	return requests.Result{Outcome: api.OutcomeDone, Answer: &peer.Answer{Status: http.StatusOK}}, nil
 }
 
-// TestUnknownServiceRefreshesPeers guards against turning away requests to a service that
+// TestUnknownServiceRefreshesPeers guards against refusing requests to a service that
 // has just started on a peer: until the peer's next summary, this node doesn't know of it,
 // so the entry must ask the peers before it refuses a request.
 func TestUnknownServiceRefreshesPeers(t *testing.T) {
@@ -310,7 +310,7 @@
 		{"first", fixedKeys{reply: peer.KeyReply{State: peer.KeyRun}}, 0, api.OutcomeDone, "", 1},
 		{"second", fixedKeys{reply: peer.KeyReply{State: peer.KeyDone, Answer: kept}}, 0, api.OutcomeDone, "", 0},
 		{"unknown", fixedKeys{reply: peer.KeyReply{State: peer.KeyUnknown}}, 0, api.OutcomeUnknown, requests.KindKeyOutcomeUnknown, 0},
-		{"clash", fixedKeys{reply: peer.KeyReply{State: peer.KeyConflict}}, 0, api.OutcomeRefused, requests.KindKeyReused, 0},
+		{"conflict", fixedKeys{reply: peer.KeyReply{State: peer.KeyConflict}}, 0, api.OutcomeRefused, requests.KindKeyReused, 0},
 		{"store down", fixedKeys{err: errors.New("down")}, 0, api.OutcomeRefused, requests.KindKeyStoreUnavailable, 0},
 		{"old", fixedKeys{reply: peer.KeyReply{State: peer.KeyRun}}, -2 * time.Hour, api.OutcomeUnknown, requests.KindKeyTooOld, 0},
 	}
--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -99,7 +99,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Manager takes the shards that one node should own, and hands them over.
+// Manager takes the shards that its node should own, checks that it still owns them, and
+// hands them over when another node should.
 type Manager struct {
 	table    lease.Table
 	lease    *lease.Lease
@@ -111,8 +112,8 @@
 
 	mu sync.Mutex
 	// backgroundCount is the number of background functions that run; backgroundDone is
-	// signalled when one ends. A WaitGroup does not allow what happens here: that
-	// ReleaseAll waits while Run starts another one.
+	// signalled when one ends. A WaitGroup cannot be used, because Run may start another
+	// function while ReleaseAll waits.
 	backgroundCount int
 	backgroundDone  *sync.Cond
 	revision        int64
@@ -351,8 +352,9 @@
 	}
 }
 
-// canTake reports whether a shard may be taken, and the conditions of the write: the
-// shard has no owner, or the lease of its owner has expired and must not be renewed.
+// canTake reports whether a shard may be taken: it has no owner, or the lease of its owner
+// has certainly expired. The write must have the returned conditions, so that it fails if
+// the owner renews its lease in the meantime.
 func (m *Manager) canTake(e versionedRow) ([]platform.Condition, bool) {
 	if e.row.Owner == "" {
 		return nil, true
