--- a/standin/site/advice.go
+++ b/standin/site/advice.go
@@ -14,9 +14,9 @@
 // the calls of one host one after the other.
 type adviceService struct {
 	mu sync.Mutex
-	// slots lets one call of each host through at a time. A slot is a channel because a call
+	// semaphores lets one call of each host through at a time. They are channels because a call
 	// that waits for a mutex would stop virtual time in tests.
-	slots map[string]chan struct{}
+	semaphores map[string]chan struct{}
 	// rejectOneIn means that one in so many workers is rejected for a step.
 	rejectOneIn int
 }
@@ -33,7 +33,7 @@
 	if rejectOneIn == 0 {
 		rejectOneIn = defaultRejectOneIn
 	}
-	return &adviceService{slots: make(map[string]chan struct{}), rejectOneIn: rejectOneIn}
+	return &adviceService{semaphores: make(map[string]chan struct{}), rejectOneIn: rejectOneIn}
 }
 
 type adviceRequest struct {
@@ -42,7 +42,7 @@
 }
 
 type adviceResponse struct {
-	Good    [][2]string `json:"good"`
+	Allowed [][2]string `json:"good"`
 	ValidMS int64       `json:"valid_ms"`
 }
 
@@ -54,19 +54,19 @@
 	}
 	host := hostOf(r.RemoteAddr)
 	a.mu.Lock()
-	slot := a.slots[host]
-	if slot == nil {
-		slot = make(chan struct{}, 1)
-		a.slots[host] = slot
+	semaphore := a.semaphores[host]
+	if semaphore == nil {
+		semaphore = make(chan struct{}, 1)
+		a.semaphores[host] = semaphore
 	}
 	a.mu.Unlock()
-	slot <- struct{}{}
+	semaphore <- struct{}{}
 	sleep(r, adviceDuration)
-	<-slot
-	res := adviceResponse{Good: [][2]string{}, ValidMS: ticketValidity.Milliseconds()}
+	<-semaphore
+	res := adviceResponse{Allowed: [][2]string{}, ValidMS: ticketValidity.Milliseconds()}
 	for _, id := range req.Workers {
 		if a.allows(req.Step, id) {
-			res.Good = append(res.Good, [2]string{id, newTicket(req.Step, id, time.Now())})
+			res.Allowed = append(res.Allowed, [2]string{id, newTicket(req.Step, id, time.Now())})
 		}
 	}
 	writeJSON(w, http.StatusOK, res)
--- a/standin/site/announce.go
+++ b/standin/site/announce.go
@@ -18,7 +18,7 @@
 	RemainingMS int64    `json:"RemainingMs,omitempty"`
 	ClockMS     int64    `json:"ClockMs"`
 	Seq         int64    `json:"Seq"`
-	Born        int64    `json:"born,omitempty"`
+	StartTime   int64    `json:"born,omitempty"`
 }
 
 type capacity struct {
@@ -53,7 +53,7 @@
 func (w *Worker) entry() directoryEntry {
 	return directoryEntry{
 		Upstream: cmp.Or(w.cfg.Service, w.site.cfg.Service), Address: w.Address, Zone: "dc", Version: "v1", Slots: workerSlots, State: "ready",
-		Capacity: capacity{CPU: w.cfg.CPUMilli, MemoryMB: w.cfg.MemoryMB}, Labels: w.labels(), ClockMS: w.clock(), Seq: w.clock(), Born: w.startTime,
+		Capacity: capacity{CPU: w.cfg.CPUMilli, MemoryMB: w.cfg.MemoryMB}, Labels: w.labels(), ClockMS: w.clock(), Seq: w.clock(), StartTime: w.startTime,
 	}
 }
 
--- a/standin/site/hold.go
+++ b/standin/site/hold.go
@@ -18,10 +18,10 @@
 }
 
 type holdReply struct {
-	ClockMS int64             `json:"ClockMs"`
-	Born    int64             `json:"born,omitempty"`
-	Running []json.RawMessage `json:"Running"`
-	Ended   []json.RawMessage `json:"Ended"`
+	ClockMS   int64             `json:"ClockMs"`
+	StartTime int64             `json:"born,omitempty"`
+	Running   []json.RawMessage `json:"Running"`
+	Ended     []json.RawMessage `json:"Ended"`
 }
 
 func (w *Worker) serveHold(rw http.ResponseWriter, r *http.Request) {
@@ -87,7 +87,7 @@
 // report lists the runs, without checkpoints, which only ends contain, and the unconfirmed
 // ends. The caller holds mu.
 func (w *Worker) report() holdReply {
-	res := holdReply{ClockMS: w.clock(), Born: w.startTime, Running: []json.RawMessage{}, Ended: []json.RawMessage{}}
+	res := holdReply{ClockMS: w.clock(), StartTime: w.startTime, Running: []json.RawMessage{}, Ended: []json.RawMessage{}}
 	for _, name := range sortedKeys(w.running) {
 		t := w.running[name]
 		res.Running = append(res.Running, jsonArray(t.task, t.run, "", w.percent(t), t.spec.cpu))
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -34,7 +34,7 @@
 	Key     string `json:"Key"`
 	Value   []byte `json:"Value,omitempty"`
 	Version int64  `json:"ver"`
-	Gone    bool   `json:"gone,omitempty"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 type storeRows struct {
--- a/standin/site/storetxn.go
+++ b/standin/site/storetxn.go
@@ -161,7 +161,7 @@
 		k := storeKey{r.Table, r.Part, r.Key}
 		if _, ok := s.rows[k]; ok {
 			delete(s.rows, k)
-			s.changes = append(s.changes, storeRow{Table: r.Table, Part: r.Part, Key: r.Key, Version: s.version, Gone: true})
+			s.changes = append(s.changes, storeRow{Table: r.Table, Part: r.Part, Key: r.Key, Version: s.version, Deleted: true})
 		}
 	}
 	close(s.changed)
