--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -348,9 +348,9 @@
 	return peer.ConfirmAccepted
 }
 
-// unknownTaskStateLocked returns the state of a task that the pool does not know: void if it
-// certainly does not run, lost if its worker has restarted or is gone, or later if that is not
-// known yet.
+// unknownTaskStateLocked returns the state of a task that the pool does not know: ConfirmNeverRan
+// if its worker has not restarted since the reservation, ConfirmLost if the worker has restarted or
+// is gone, and ConfirmPending if the pool does not know that yet.
 func (p *Pool) unknownTaskStateLocked(pl peer.Placement) peer.ConfirmState {
 	w, ok := p.workers[pl.Worker]
 	if ok && w.fenced {
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -11,7 +11,7 @@
 )
 
 // preemptLocked frees capacity for spec by stopping less urgent tasks on the worker where the
-// fewest are needed. Each is checkpointed first.
+// fewest have to be stopped. Each is checkpointed first.
 func (p *Pool) preemptLocked(spec worker.Spec, candidates []policy.Candidate) (int, bool) {
 	best, bestVictims := -1, []*task(nil)
 	for i, w := range p.workerList {
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -4,7 +4,7 @@
 // the scheduler locally: the table service, workers, the advice service and the
 // list of machines, as far as the scheduler uses them. It speaks the platform's
 // protocol, can be made to fail as the platform does, and records what happens on
-// its workers, so that tests can check it against the platform's guarantees.
+// its workers, so that tests can check it against the scheduler's guarantees.
 //
 // # Usage
 //
--- a/standin/site/violations.go
+++ b/standin/site/violations.go
@@ -53,8 +53,8 @@
 	run  int64
 }
 
-// Violations checks the events on the workers against the platform's guarantees, and describes
-// each violation.
+// Violations checks the events on the workers against the scheduler's guarantees, and
+// describes each violation.
 func (s *Site) Violations(want Expectations) []string {
 	c := &checker{expected: want, running: make(map[string]string), highestFence: make(map[string]int64),
 		succeeded: make(map[string][]int64), restartedAfter: make(map[runKey]bool), confirmed: make(map[string]bool)}
