--- a/matrix/site/corruptrows_test.go
+++ b/matrix/site/corruptrows_test.go
@@ -84,21 +84,21 @@
 	env.checkNoViolations()
 }
 
-// TestCorruptSpilledRows corrupts all rows to which progress is spilled while its own part is
+// TestCorruptFallbackRows corrupts all fallback rows, which hold progress while its own part is
 // unavailable, and then kills the owner. The next owner must continue from the jobs' own rows and
 // the reports of the workers, each accepted job must end, and the corrupt rows must be removed.
-func TestCorruptSpilledRows(t *testing.T) {
+func TestCorruptFallbackRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t)
 		defer env.close()
 		load := env.startLoad(2*unavailableFor, unavailableFor/2)
 		env.site.Store.SetUnavailableParts(env.progressParts()...)
 		time.Sleep(unavailableFor / 2)
-		spilled := env.site.Store.Keys("spill")
-		if len(spilled) == 0 {
-			t.Fatal("nothing was spilled")
+		fallbackRows := env.site.Store.Keys("spill")
+		if len(fallbackRows) == 0 {
+			t.Fatal("no fallback row was written")
 		}
-		for _, key := range spilled {
+		for _, key := range fallbackRows {
 			env.site.Store.PutRaw("spill", "", key, []byte("nonsense"))
 		}
 		restart := env.killOwner()
@@ -108,7 +108,7 @@
 		load.Wait()
 		env.checkJobsSettled()
 		if left := env.site.Store.Keys("spill"); len(left) > 0 {
-			t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
+			t.Errorf("%d fallback rows are left, such as %s", len(left), left[0])
 		}
 	})
 }
--- a/matrix/site/entries_test.go
+++ b/matrix/site/entries_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// TestCorruptEntriesUnderLoad lets another writer corrupt entries of workers, and add corrupt
+// TestCorruptEntriesUnderLoad lets another program corrupt entries of workers, and add corrupt
 // entries of workers that don't exist, under load and while the owner is killed.
 func TestCorruptEntriesUnderLoad(t *testing.T) {
 	const (
--- a/matrix/site/env_test.go
+++ b/matrix/site/env_test.go
@@ -46,7 +46,7 @@
 	workersPerShard = 4
 )
 
-// testEnv is a simulated platform with scheduler nodes and a caller on an in-memory network.
+// testEnv is a stand-in platform with scheduler nodes and a caller on an in-memory network.
 type testEnv struct {
 	t      *testing.T
 	net    *network.Network
@@ -58,8 +58,8 @@
 	// limits of a node.
 	workersPerShard int
 	limits          settings.Limits
-	// relayed is set if owners send orders to workers through other nodes.
-	relayed bool
+	// useHelpers is set if owners send orders to workers through other nodes, their helpers.
+	useHelpers bool
 
 	mu      sync.Mutex
 	nodes   map[string]*runningNode
@@ -96,14 +96,14 @@
 }
 
 // envBuilders holds constructors of an environment whose service has one shard, of one with two
-// shards, and of one in which owners delegate calls to other nodes.
-var envBuilders = map[string]func(*testing.T) *testEnv{"one shard": newEnv, "two shards": newShardedEnv, "relayed calls": newRelayedEnv}
+// shards, and of one in which owners make their calls through other nodes.
+var envBuilders = map[string]func(*testing.T) *testEnv{"one shard": newEnv, "two shards": newShardedEnv, "with helpers": newHelperEnv}
 
-// newRelayedEnv returns an environment of nodes so small that their owners call workers, and read
+// newHelperEnv returns an environment of nodes so small that their owners call workers, and read
 // from the store, through other nodes.
-func newRelayedEnv(t *testing.T) *testEnv {
+func newHelperEnv(t *testing.T) *testEnv {
 	return newEnvWith(t, cellWorkers, cellWorkers, func(env *testEnv) {
-		env.limits, env.relayed = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
+		env.limits, env.useHelpers = settings.Limits{CPUShare: 0.02, CoreSpeed: 1, LinkMbps: 10}, true
 		env.site.Configure(1, routes()...)
 	})
 }
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -170,14 +170,14 @@
 }
 
 // workerFaults returns the ways in which a running worker misbehaves, and entries of the directory
-// that another writer corrupts.
+// that another program corrupts.
 func workerFaults() []fault {
 	return []fault{
 		workerFault("worker's tasks hang", site.WorkerFaults{Stuck: true}),
 		workerFault("worker fails everything", site.WorkerFaults{FailAll: true}),
 		workerFault("worker executes starts late", site.WorkerFaults{Late: 4, LateBy: 3 * time.Second}),
 		workerFault("worker executes starts later", site.WorkerFaults{Late: 4, LateBy: 11 * time.Second}),
-		{"another writer corrupts entries", startCorruptingEntries},
+		{"another program corrupts entries", startCorruptingEntries},
 	}
 }
 
@@ -282,9 +282,9 @@
 }
 
 // owner returns the node that owns the first shard: the one that sends orders to the workers or, if
-// orders are relayed, the one that the store names.
+// helpers send them, the one that the store names.
 func (env *testEnv) owner() string {
-	if !env.relayed {
+	if !env.useHelpers {
 		return env.site.Owner()
 	}
 	return env.ownerRow(cluster.ShardID{Service: service}).Owner.Name
--- a/matrix/site/handoff_test.go
+++ b/matrix/site/handoff_test.go
@@ -49,7 +49,7 @@
 			env.submitToNonOwners(round)
 			time.Sleep(handoffPause)
 		}
-		env.checkTaken(logs)
+		env.checkJobsAdded(logs)
 		env.checkNoViolations()
 	})
 }
@@ -74,11 +74,11 @@
 	calls.Wait()
 }
 
-// checkTaken checks how soon after its acceptance the owner has added each job.
-func (env *testEnv) checkTaken(logs *observer.ObservedLogs) {
-	taken := make(map[string]time.Time)
+// checkJobsAdded checks how soon after its acceptance the owner has added each job.
+func (env *testEnv) checkJobsAdded(logs *observer.ObservedLogs) {
+	addedAt := make(map[string]time.Time)
 	for _, e := range logs.FilterField(events.JobAdded).All() {
-		taken[e.ContextMap()["job"].(string)] = e.Time
+		addedAt[e.ContextMap()["job"].(string)] = e.Time
 	}
 	accepted := logs.FilterField(events.JobAccepted).All()
 	if len(accepted) == 0 {
@@ -86,8 +86,8 @@
 	}
 	for _, e := range accepted {
 		job := e.ContextMap()["job"].(string)
-		if at, ok := taken[job]; !ok || at.Sub(e.Time) > handedOffWithin {
-			env.t.Errorf("job %s was accepted at %s and taken at %s, want within %s", job, e.Time.Format(clockFormat), at.Format(clockFormat), handedOffWithin)
+		if at, ok := addedAt[job]; !ok || at.Sub(e.Time) > handedOffWithin {
+			env.t.Errorf("job %s was accepted at %s and added by its owner at %s, want within %s", job, e.Time.Format(clockFormat), at.Format(clockFormat), handedOffWithin)
 		}
 	}
 }
--- a/matrix/site/input_test.go
+++ b/matrix/site/input_test.go
@@ -34,7 +34,7 @@
 			{"no steps", http.MethodPost, "/batch/" + validID, `{"Spec":"x"}`, http.StatusBadRequest, "steps"},
 			{"no tasks", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Cpu":5}]}`, http.StatusBadRequest, "steps[0].count"},
 			{"a step after itself", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":1,"DependsOn":[0]}]}`, http.StatusBadRequest, "steps[0].after"},
-			{"negative room", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":1,"Cpu":-1}]}`, http.StatusBadRequest, "steps[0].need"},
+			{"negative resources", http.MethodPost, "/batch/" + validID, `{"Steps":[{"Count":1,"Cpu":-1}]}`, http.StatusBadRequest, "steps[0].need"},
 			{"too many tasks", http.MethodPost, "/batch/" + validID, `{"RepeatCount":2000,"Steps":[{"Count":1000}]}`, http.StatusBadRequest, "steps"},
 			{"larger than a row", http.MethodPost, "/batch/" + validID, `{"Spec":"` + strings.Repeat("x", 70_000) + `","Steps":[` + step + `]}`, http.StatusBadRequest, "too large"},
 			{"unknown queue", http.MethodPost, "/nowhere/" + validID, `{"Steps":[` + step + `]}`, http.StatusNotFound, ""},
--- a/matrix/site/longrunning_test.go
+++ b/matrix/site/longrunning_test.go
@@ -59,7 +59,7 @@
 	two := func(name string) longRunningFault { return longRunningFault{byName[name], "two shards", newShardedEnv} }
 	return []longRunningFault{
 		one("all workers fail everything"), one("owner killed"), two("all workers fail everything"),
-		two("owner partitioned from half of the workers"), two("worker's tasks hang"), two("another writer corrupts entries"),
+		two("owner partitioned from half of the workers"), two("worker's tasks hang"), two("another program corrupts entries"),
 	}
 }
 
@@ -78,8 +78,8 @@
 // every few seconds, under load and beside others that never fail. After a fault each must be
 // restarted in time.
 //
-// It guards against workers that stay set aside: a worker on which runs of two jobs had failed was
-// set aside for as long as a long-running task ran there.
+// It guards against workers that stay quarantined: a worker on which runs of two jobs had failed
+// was quarantined for as long as a long-running task ran there.
 func TestLongRunningTasksRestartAfterFaults(t *testing.T) {
 	for _, f := range longRunningFaults() {
 		t.Run(f.layout+"/"+f.name, func(t *testing.T) {
--- a/matrix/site/overload_test.go
+++ b/matrix/site/overload_test.go
@@ -18,12 +18,12 @@
 )
 
 // The tests of this file guard against an overload that keeps itself going: the load fills the link
-// of a shard's owner, so that its heartbeats arrive late and it is replaced as silent, and each
-// successor is replaced in turn, since its takeover adds to the load. This happened to a shard of
-// 120 workers, on 18 nodes of 0.12 core with links of 2 Mbit/s, at five jobs and 120 tasks a
-// second, which is what its workers could serve. The link was full after half a second, heartbeats
-// were 0.1 to 0.3 s late, and the owner was replaced 59 times within 51 s. Only 3 to 7% of the jobs
-// were served, and none was refused.
+// of a shard's owner, so that its answers to pings arrive late and it is replaced as silent, and
+// each successor is replaced in turn, since its takeover adds to the load. This happened to a shard
+// of 120 workers, on 18 nodes of 0.12 core with links of 2 Mbit/s, at five jobs and 120 tasks a
+// second, which is what its workers could serve. The link was full after half a second, these
+// answers were 0.1 to 0.3 s late, and the owner was replaced 59 times within 51 s. Only 3 to 7% of
+// the jobs were served, and none was refused.
 
 const (
 	// smallNodes is the number of nodes, and smallWorkers that of the workers of the shard.
@@ -96,7 +96,7 @@
 // TestSmallHostsServeBusyShard checks that nodes on small hosts serve a shard under the load that
 // its workers can take, without a change of its owner: on slow links, and with a CPU quota of which
 // each message uses as much as an HTTP call costs. The links are slower than those above, since the
-// rows of the simulated platform are shorter.
+// rows of the stand-in platform are shorter.
 func TestSmallHostsServeBusyShard(t *testing.T) {
 	for name, h := range map[string]smallHost{
 		"links of 1.2 Mbit/s": {rate: 150_000, share: 0.12, cost: 50 * time.Microsecond},
--- a/matrix/site/parts_test.go
+++ b/matrix/site/parts_test.go
@@ -29,7 +29,8 @@
 }
 
 // TestProgressPartUnavailable makes the parts that hold the shards' progress unavailable. Jobs must
-// go on, and their ends must be reported, since progress is spilled to other parts meanwhile.
+// go on, and their ends must be reported, since progress is written to fallback rows in other parts
+// meanwhile.
 func TestProgressPartUnavailable(t *testing.T) {
 	runInEnvs(t, testProgressPartUnavailable)
 }
@@ -48,18 +49,18 @@
 	load.Wait()
 	env.checkJobsSettled()
 	if left := env.site.Store.Keys("spill"); len(left) > 0 {
-		t.Errorf("%d rows of spilled progress are left, such as %s", len(left), left[0])
+		t.Errorf("%d fallback rows are left, such as %s", len(left), left[0])
 	}
 	env.checkNoViolations()
 }
 
-// TestSpilledProgressOutlivesOwner kills the owner while progress is spilled. The next owner must
-// continue from the spilled progress, and jobs that were reported as ended must stay ended.
-func TestSpilledProgressOutlivesOwner(t *testing.T) {
-	runInEnvs(t, testOwnerLostWhileSpilling)
+// TestFallbackRowsOutliveOwner kills the owner while progress is in fallback rows. The next owner
+// must continue from them, and jobs that were reported as ended must stay ended.
+func TestFallbackRowsOutliveOwner(t *testing.T) {
+	runInEnvs(t, testOwnerLostWithFallbackRows)
 }
 
-func testOwnerLostWhileSpilling(t *testing.T, env *testEnv) {
+func testOwnerLostWithFallbackRows(t *testing.T, env *testEnv) {
 	defer env.close()
 	load := env.startLoad(3*unavailableFor, unavailableFor/2)
 	env.site.Store.SetUnavailableParts(env.progressParts()...)
--- a/matrix/site/slow_test.go
+++ b/matrix/site/slow_test.go
@@ -27,7 +27,7 @@
 		{"60 times slower", site.StoreFaults{Delay: 250 * time.Millisecond}, 250 * time.Millisecond},
 		{"100 times slower", site.StoreFaults{Delay: 400 * time.Millisecond}, 250 * time.Millisecond},
 		{"150 times slower", site.StoreFaults{Delay: 600 * time.Millisecond}, 250 * time.Millisecond},
-		{"100 times slower, in a rush", site.StoreFaults{Delay: 400 * time.Millisecond, PartBusy: 300 * time.Millisecond}, 12 * time.Millisecond},
+		{"100 times slower, in a burst", site.StoreFaults{Delay: 400 * time.Millisecond, PartBusy: 300 * time.Millisecond}, 12 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { testSlowStore(t, c.slow, c.pause) })
--- a/matrix/site/slowlink_test.go
+++ b/matrix/site/slowlink_test.go
@@ -92,11 +92,11 @@
 // nodes with slow links, and checks that they get each version from their peers as soon as the
 // others have it.
 //
-// It guards against redundant transfers: each heartbeat of a peer with a newer version started
-// another fetch beside those in progress, and the feed of the operators' table was relayed by a
-// third node, whose link the whole row passed twice. For four versions a rejected node received 26
-// MB, and it got none of the last two in time. With one compressed fetch at a time and no relayed
-// feed it receives 0.3 MB.
+// It guards against redundant transfers: each ping of a peer with a newer version started another
+// fetch beside those in progress, and the feed of the operators' table was relayed by a third node,
+// whose link the whole row passed twice. For four versions a rejected node received 26 MB, and it
+// got none of the last two in time. With one compressed fetch at a time and no relayed feed it
+// receives 0.3 MB.
 func TestLargeConfigurationsFromPeers(t *testing.T) {
 	const versions = 6
 	synctest.Test(t, func(t *testing.T) {
--- a/matrix/site/stalled_test.go
+++ b/matrix/site/stalled_test.go
@@ -12,9 +12,9 @@
 // orders arrive, none may start a task.
 //
 // It guards against starts from outdated orders. An owner abandons an order after 0.6 s at most,
-// and a relaying node makes no older call, but data that a connection has taken still arrives, even
-// if its sender has closed the connection. Such a start carried only the worker's lease, which was
-// valid for 8 s, and one began 4.1 s after its worker had announced that it drains.
+// and a helper makes no older call, but data that a connection has taken still arrives, even if its
+// sender has closed the connection. Such a start carried only the worker's lease, which was valid
+// for 8 s, and one began 4.1 s after its worker had announced that it drains.
 func TestStalledOrderStartsNothing(t *testing.T) {
 	runInEnvs(t, func(t *testing.T, env *testEnv) {
 		const (
--- a/matrix/site/widegang_test.go
+++ b/matrix/site/widegang_test.go
@@ -69,11 +69,11 @@
 
 // TestGangWiderThanAnyShard submits a gang that fits the service but none of its shards.
 //
-// It guards against running a gang on the workers of one shard only. On 147 nodes with 183 shards a
-// gang of 130 tasks of 7.6 cores, for which the advice service allows a third of the workers, never
-// started: the job moved from shard to shard, each of which asked for advice anew and found room
-// for 90 to 118 members on its idle workers, though all shards together have some 300 allowed
-// workers.
+// It guards against running a gang on the workers of one shard only. On 147 nodes, with shards of
+// 183 workers, a gang of 130 tasks of 7.6 cores, for which the advice service allows a third of the
+// workers, never started: the job moved from shard to shard, each of which asked for advice anew
+// and found room for 90 to 118 members on its idle workers, though all shards together have some
+// 300 allowed workers.
 func TestGangWiderThanAnyShard(t *testing.T) {
 	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -95,12 +95,12 @@
 // long-running task runs in each shard.
 //
 // It guards against counting a shard as large enough by what its workers could hold if they were
-// idle, without preempting what runs there: neither the long-running tasks, which never end, nor
-// the others, which are submitted all the time, were preempted. On 147 nodes a gang of 91 tasks of
-// 7.6 cores had not started 25 s after its acceptance in one of three runs: the advice service
-// allowed 59 of its shard's 160 workers, each of which holds two members, so that the gang fits
-// only while almost nothing else runs there. In the run that first showed the fault, it asked for
-// advice and moved on for 35 s.
+// idle, without subtracting what runs there: neither the long-running tasks, which never end, nor
+// the others, which keep coming, were subtracted. On 147 nodes a gang of 91 tasks of 7.6 cores had
+// not started 25 s after its acceptance in one of three runs: the advice service allowed 59 of its
+// shard's 160 workers, each of which holds two members, so that the gang fits only while almost
+// nothing else runs there. In the run that first showed the fault, it asked for advice and moved on
+// for 35 s.
 func TestGangThatFitsAnEmptyShardOnly(t *testing.T) {
 	const endsWithin = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
