--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	c := &cell{t: t, ctx: ctx, settings: shortLeaseSettings, bin: filepath.Join(os.Getenv("SWITCHBANK_BIN"), "switchbank"), reviewer: reviewer, relayedNode: relayedNode}
-	p, out := c.start("dev", "platform", "--listen", "127.0.0.1:0")
+	p, out := c.startProcess("dev", "platform", "--listen", "127.0.0.1:0")
 	c.platformProc = p
 	c.platformURL = "http://" + readListenAddress(t, out)
 	for i := range workers {
@@ -97,8 +97,8 @@
 	return c
 }
 
-// start starts a process and returns a scanner of the output in which it reports its address.
-func (c *cell) start(args ...string) (*process, *bufio.Scanner) {
+// startProcess starts a process and returns a scanner of the output in which it reports its address.
+func (c *cell) startProcess(args ...string) (*process, *bufio.Scanner) {
 	c.t.Helper()
 	cmd := exec.CommandContext(c.ctx, c.bin, args...)
 	// A node reports its addresses in its log on standard error, a stand-in on standard output.
@@ -140,7 +140,7 @@
 // startWorker starts the i-th worker of the example.
 func (c *cell) startWorker(i int) {
 	h := local.ExampleHost(i, "kosice-1")
-	p, out := c.start("dev", "worker", "--platform", c.platformURL, "--id", h.ID, "--data-centre", h.DataCentre, "--rack", h.Rack)
+	p, out := c.startProcess("dev", "worker", "--platform", c.platformURL, "--id", h.ID, "--data-centre", h.DataCentre, "--rack", h.Rack)
 	c.workers = append(c.workers, &workerProc{process: *p, address: readListenAddress(c.t, out)})
 }
 
@@ -171,7 +171,7 @@
 	if err := os.WriteFile(file, fmt.Appendf(nil, c.settings, i, platform, r.Name, r.Key), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	p, out := c.start("serve", "--config", file)
+	p, out := c.startProcess("serve", "--config", file)
 	n := &nodeProc{process: *p}
 	log, err := os.Create(filepath.Join(logDir(c.t), fmt.Sprintf("%s-node-%d.log", strings.ReplaceAll(c.t.Name(), "/", "-"), i)))
 	if err != nil {
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -100,7 +100,7 @@
 // prepare starts the point's workers, nodes and long-running tasks.
 func (p point) prepare(c *cell) {
 	if p.workers > 0 {
-		c.start("dev", "worker", "--platform", c.platformURL, "--id", "w", "--data-centre", "kosice-1", "--rack", "r",
+		c.startProcess("dev", "worker", "--platform", c.platformURL, "--id", "w", "--data-centre", "kosice-1", "--rack", "r",
 			"--cpu-milli", "64000", "--memory-mb", "256000", "--count", strconv.Itoa(p.workers))
 	}
 	for i := range p.nodes {
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -271,10 +271,10 @@
 		req := CreateRequest{Shard: string(key), Workload: wl.WithDefaults()}
 		st, err = callOwnerRetrying(r.Context(), n, key, peer.PathJobCreate, req, n.createLocal)
 	}
-	n.reply(w, http.StatusCreated, st, err)
+	n.writeReply(w, http.StatusCreated, st, err)
 }
 
-func (n *Node) reply(w http.ResponseWriter, status int, v any, err error) {
+func (n *Node) writeReply(w http.ResponseWriter, status int, v any, err error) {
 	if err != nil {
 		err = problem(err)
 		n.counters.refused(httpx.Reason(err))
@@ -346,7 +346,7 @@
 	if err == nil {
 		st, err = n.getForTeam(r.Context(), t, ref)
 	}
-	n.reply(w, http.StatusOK, st, err)
+	n.writeReply(w, http.StatusOK, st, err)
 }
 
 // readWatchParams reads since and wait_ms, with which a caller waits for a change
@@ -393,18 +393,18 @@
 		ref.Shard = string(key)
 		st, err = callOwnerRetrying(r.Context(), n, key, peer.PathJobCancel, ref, n.cancelLocal)
 	}
-	n.reply(w, http.StatusOK, st, err)
+	n.writeReply(w, http.StatusOK, st, err)
 }
 
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	t, err := n.team(r)
 	if err != nil {
-		n.reply(w, http.StatusOK, nil, err)
+		n.writeReply(w, http.StatusOK, nil, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), listTimeout)
 	defer cancel()
-	n.reply(w, http.StatusOK, n.listAllNodes(ctx, t.Name), nil)
+	n.writeReply(w, http.StatusOK, n.listAllNodes(ctx, t.Name), nil)
 }
 
 // listAllNodes asks every node for the workloads of a team. The list is partial if a
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -164,7 +164,7 @@
 func TestInvalidWorkloadsAreRefused(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, nil)
-	good, err := json.Marshal(job("bad"))
+	validJSON, err := json.Marshal(job("bad"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			body := strings.Replace(string(good), tt.old, tt.new, 1)
+			body := strings.Replace(string(validJSON), tt.old, tt.new, 1)
 			status, p := r.postToCallers(t, "/v1/workloads", body, "inkasoft", nil)
 			if status != tt.status || p.Field != tt.field || p.Reason == "" {
 				t.Errorf("have %d %+v", status, p)
