--- a/e2e/example_test.go
+++ b/e2e/example_test.go
@@ -53,7 +53,7 @@
 	summarizeEvents(c.workerEvents(), ids...).checkInvariants(t)
 }
 
-// startService declares the example's service and waits until all its instances run.
+// startService creates the example's service and waits until all its instances run.
 func (c *cell) startService() api.Workload {
 	c.t.Helper()
 	cl := c.client(0, "inkasoft")
@@ -70,7 +70,7 @@
 	return service
 }
 
-// submitBatches declares enough batches to reach every job shard, and waits until a task
+// submitBatches creates enough batches to reach every job shard, and waits until a task
 // of the first batch runs.
 func submitBatches(t *testing.T, c *cell, cl *client.Client) []string {
 	t.Helper()
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -72,7 +72,7 @@
 	firstPort = 20_000
 	lastPort  = 30_000
 	// portStride is the distance between the first ports of test processes with successive
-	// process ids, so that concurrent runs rarely choose the same ports.
+	// process IDs, so that concurrent runs rarely choose the same ports.
 	portStride = 97
 	// portsPerRun is the number of ports reserved for one run above its first port.
 	portsPerRun = 4000
--- a/e2e/slopes_test.go
+++ b/e2e/slopes_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// submit declares a batch and waits until all its tasks run or have ended.
+// submit creates a batch and waits until all its tasks run or have ended.
 func (p point) submit(c *cell, id string, tasks int, sleep string) {
 	cl := c.client(0, "inkasoft")
 	w := api.Workload{
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -130,7 +130,7 @@
 	// linkFaults holds the intervals in which a link had a fault, by the link's address.
 	linkFaults map[string][]faultInterval
 	canceled   map[string]bool
-	// workerAddresses maps the ids of the workers, also of earlier ones, to their addresses.
+	// workerAddresses maps the IDs of the workers, also of earlier ones, to their addresses.
 	workerAddresses map[string]string
 	refused         map[string]bool
 	// failing holds the batches whose tasks fail by themselves.
@@ -183,7 +183,7 @@
 	s.t.Cleanup(s.site.Close)
 	s.publishConfig()
 	for i := range soakWorkers {
-		// Only workers that report their start time can restart under their id. The failed
+		// Only workers that report their start time can restart under their ID. The failed
 		// seeds are excluded, so that they inject the same faults as when they failed.
 		reportStartTime := s.seed%2 == 1 && !slices.Contains(failedSeeds, s.seed)
 		w := s.site.AddWorker(site.WorkerConfig{Rack: fmt.Sprintf("r1-%d", i/2), CPUMilli: 4000, MemoryMB: 32000, ReportStartTime: reportStartTime})
--- a/e2e/soakfaults_test.go
+++ b/e2e/soakfaults_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// restartRepeatedly crashes a worker and restarts it under its id within milliseconds, up to
+// restartRepeatedly crashes a worker and restarts it under its ID within milliseconds, up to
 // three times in a row. Each time, the clock of its host jumps by up to 3 s.
 func (s *soak) restartRepeatedly(i int) {
 	const maxPauseMS = 30
--- a/e2e/soakpersistent_test.go
+++ b/e2e/soakpersistent_test.go
@@ -38,7 +38,7 @@
 }
 
 const (
-	// First ids of the jobs of each kind; those of the load start at 1.
+	// First IDs of the jobs of each kind; those of the load start at 1.
 	persistentJobBase, failingJobBase, calmJobBase = 0x1000, 0x2000, 0x3000
 	// persistentJobInterval is the time between two persistent jobs, which lets some of them
 	// be submitted during faults.
@@ -71,7 +71,7 @@
 		j.meanTimeToFailure.Milliseconds(), j.tasks, spread)
 }
 
-// jobID returns the id of the i-th job whose ids start at base.
+// jobID returns the ID of the i-th job whose IDs start at base.
 func jobID(base, i int) string { return fmt.Sprintf("%016x", base+i) }
 
 // submitPersistentJobs submits the persistent jobs.
--- a/internal/bundle/store.go
+++ b/internal/bundle/store.go
@@ -41,7 +41,7 @@
 	// Version increases with every accepted bundle; 0 means that there is none yet.
 	Version int64  `json:"version"`
 	Digest  string `json:"digest,omitempty"`
-	// Change is the operator's id of the change. After a lost reply, it tells whether the
+	// Change is the operator's ID of the change. After a lost reply, it tells whether the
 	// change took effect.
 	Change   string    `json:"change,omitempty"`
 	Operator string    `json:"operator,omitempty"`
@@ -138,7 +138,7 @@
 }
 
 // Propose stores a bundle and makes it the pending proposal, which the nodes then stage.
-// Proposing the same change again has no effect. A proposal with another change id replaces
+// Proposing the same change again has no effect. A proposal with another change ID replaces
 // the pending one.
 func (s *Store) Propose(ctx context.Context, b *Bundle, p Proposal) (Proposal, error) {
 	h, err := s.Head(ctx)
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// Accept makes the proposal with the given change id the head. The caller must have
+// Accept makes the proposal with the given change ID the head. The caller must have
 // checked that every live node has staged it. Accepting a change that is already the head
 // has no effect, so that a caller can repeat the call after a lost reply.
 func (s *Store) Accept(ctx context.Context, change string) (Head, error) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,7 +36,7 @@
 
 const rivalToken = "the rival's token"
 
-// testNode is a node on loopback addresses, with a simulated platform.
+// testNode is a node on loopback addresses, with a stand-in platform.
 type testNode struct {
 	callers, peers, operators string
 	n                         *node.Node
--- a/internal/requests/dispatch.go
+++ b/internal/requests/dispatch.go
@@ -27,7 +27,7 @@
 	// request whose deadline has passed.
 	AbandonedTimeout time.Duration
 	// SkipRequestIDCheck and AssumeNotRun disable safeguards: the comparison of an answer's
-	// request id, and the unknown outcome of a call that broke off. Tests set them to verify
+	// request ID, and the unknown outcome of a call that broke off. Tests set them to verify
 	// that they detect the missing safeguard.
 	SkipRequestIDCheck bool
 	AssumeNotRun       bool
--- a/internal/requests/instance_test.go
+++ b/internal/requests/instance_test.go
@@ -55,7 +55,7 @@
 	return resp, err
 }
 
-// TestInstanceContract checks what a node relies on: an instance puts the request's id on
+// TestInstanceContract checks what a node relies on: an instance puts the request's ID on
 // its answer, says when it did not run a request, and runs at most as many requests at a
 // time as it has slots.
 func TestInstanceContract(t *testing.T) {
