--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -350,7 +350,8 @@
 
 // unknownTaskStateLocked returns the state of a task that the pool does not know: ConfirmNeverRan
 // if its worker has not restarted since the reservation, ConfirmLost if the worker has restarted or
-// is gone, and ConfirmPending if the pool does not know that yet.
+// is gone and the leases of its tasks have certainly expired, and ConfirmPending if the pool can't
+// tell yet.
 func (p *Pool) unknownTaskStateLocked(pl peer.Placement) peer.ConfirmState {
 	w, ok := p.workers[pl.Worker]
 	if ok && w.fenced {
--- a/matrix/site/faults_test.go
+++ b/matrix/site/faults_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// worker returns the current worker process on the i-th machine.
+// worker returns the current incarnation of the worker on the i-th machine.
 func (env *testEnv) worker(i int) *site.Worker {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/standin/site/task.go
+++ b/standin/site/task.go
@@ -86,6 +86,7 @@
 	h := fnv.New64a()
 	_, err := fmt.Fprintf(h, "%s %d", t.task, t.run)
 	if err != nil {
+		// A hash accepts any bytes.
 		panic("site: hash can't be written: " + err.Error())
 	}
 	rng := rand.New(rand.NewPCG(h.Sum64(), 0)) //nolint:gosec // The same run must fail after the same time whenever a test is repeated.
