--- a/internal/worker/contract_test.go
+++ b/internal/worker/contract_test.go
@@ -15,13 +15,13 @@
 	standin "switchbank.example/switchbank/standin/worker"
 )
 
-// agent is a worker under the contract; another implementation is put under it
-// by another newAgent.
+// agent is the worker that the contract tests check. To check another implementation,
+// return it from newAgent.
 type agent interface {
 	Contact(ctx context.Context, c worker.Contact) (worker.Report, error)
 }
 
-const lease = 10 * time.Second
+const leaseTTL = 10 * time.Second
 
 var size = resource.Amount{CPUMilli: 1000, MemoryMB: 1000}
 
@@ -32,21 +32,21 @@
 	})
 }
 
-// side is the node's side of the contract.
-type side struct {
+// nodeSide sends contacts to a worker as a node does: with its epoch and the last ticket.
+type nodeSide struct {
 	t      *testing.T
-	a      agent
+	w      agent
 	epoch  int64
 	ticket int64
 }
 
-func (s *side) contact(c worker.Contact) worker.Report {
+func (s *nodeSide) contact(c worker.Contact) worker.Report {
 	s.t.Helper()
-	c.Epoch, c.LeaseMS = s.epoch, lease.Milliseconds()
+	c.Epoch, c.LeaseMS = s.epoch, leaseTTL.Milliseconds()
 	if c.Ticket == 0 {
 		c.Ticket = s.ticket
 	}
-	rep, err := s.a.Contact(s.t.Context(), c)
+	rep, err := s.w.Contact(s.t.Context(), c)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -60,19 +60,20 @@
 	return worker.Spec{Attempt: worker.Attempt{Job: "j", Task: task, N: n}, Size: size, Command: command}
 }
 
-// contract runs a case in virtual time on a new worker that was contacted once.
-func contract(t *testing.T, fn func(t *testing.T, s *side)) {
+// runContract runs a case in virtual time on a new worker that was contacted once, so that
+// the node has a ticket.
+func runContract(t *testing.T, fn func(t *testing.T, s *nodeSide)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &side{t: t, a: newAgent(), epoch: 5}
+		s := &nodeSide{t: t, w: newAgent(), epoch: 5}
 		s.contact(worker.Contact{Inventory: true})
 		fn(t, s)
-		// What still runs ends with its lease.
-		time.Sleep(2 * lease)
+		// Tasks that still run end when their leases expire.
+		time.Sleep(2 * leaseTTL)
 	})
 }
 
-func (s *side) runs(a worker.Attempt) bool {
+func (s *nodeSide) isRunning(a worker.Attempt) bool {
 	s.t.Helper()
 	for _, r := range s.contact(worker.Contact{Inventory: true}).Running {
 		if r.Spec.Attempt == a {
@@ -82,13 +83,13 @@
 	return false
 }
 
-func (s *side) start(sp worker.Spec) worker.Refusal {
+func (s *nodeSide) start(sp worker.Spec) worker.Refusal {
 	s.t.Helper()
 	return s.contact(worker.Contact{Start: []worker.Spec{sp}}).Started[0].Refused
 }
 
-func TestRefusesLowerEpoch(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestLowerEpochIsRefused(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		s.epoch = 6
 		s.contact(worker.Contact{})
 		s.epoch = 5
@@ -97,36 +98,36 @@
 			t.Errorf("have %+v", rep)
 		}
 		s.epoch = 6
-		if s.runs(spec(0, 1).Attempt) {
-			t.Error("the old owner's task runs")
+		if s.isRunning(spec(0, 1).Attempt) {
+			t.Error("the task of the former owner runs")
 		}
 	})
 }
 
-func TestRefusesStartWithoutFreshTicket(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestStartWithStaleTicketIsRefused(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		old := s.ticket
-		time.Sleep(lease)
+		time.Sleep(leaseTTL)
 		rep := s.contact(worker.Contact{Ticket: old, Start: []worker.Spec{spec(0, 1, "sleep", "1h")}})
 		if rep.Started[0].Refused != worker.RefusedStaleTicket {
 			t.Errorf("have %+v", rep.Started)
 		}
 		if got := s.start(spec(0, 1, "sleep", "1h")); got != "" {
-			t.Errorf("with a fresh ticket: %s", got)
+			t.Errorf("start with a fresh ticket: %s", got)
 		}
 	})
 }
 
-func TestLateRenewalExtendsNothing(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestLateRenewalDoesNotExtendLease(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		a := spec(0, 1, "sleep", "1h")
 		s.start(a)
 		old := s.ticket
-		time.Sleep(lease - time.Second)
+		time.Sleep(leaseTTL - time.Second)
 		s.contact(worker.Contact{Ticket: old, Renew: true})
 		time.Sleep(2 * time.Second)
-		if s.runs(a.Attempt) {
-			t.Error("a renewal counted from its arrival")
+		if s.isRunning(a.Attempt) {
+			t.Error("a late renewal extended the lease as if it counted from its arrival")
 		}
 		rep := s.contact(worker.Contact{})
 		if len(rep.Ended) != 1 || rep.Ended[0].Result != worker.ResultLapsed {
@@ -135,23 +136,23 @@
 	})
 }
 
-func TestRenewalKeepsRunning(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestRenewalKeepsTasksRunning(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		a, b := spec(0, 1, "sleep", "1h"), spec(1, 1, "sleep", "1h")
 		s.start(a)
 		s.start(b)
 		for range 10 {
-			time.Sleep(lease / 3)
+			time.Sleep(leaseTTL / 3)
 			s.contact(worker.Contact{Renew: true, Except: []worker.Attempt{b.Attempt}})
 		}
-		if !s.runs(a.Attempt) || s.runs(b.Attempt) {
-			t.Error("renewals must keep all but the excepted tasks")
+		if !s.isRunning(a.Attempt) || s.isRunning(b.Attempt) {
+			t.Error("renewals must extend the leases of all tasks but the excepted ones")
 		}
 	})
 }
 
-func TestReportIsKeptUntilAcknowledged(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestEndIsReportedUntilAcknowledged(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		a := spec(0, 1, "sleep", "1s")
 		s.start(a)
 		time.Sleep(2 * time.Second)
@@ -164,34 +165,34 @@
 			t.Errorf("after the acknowledgement: %+v", rep.Ended)
 		}
 		if got := s.start(a); got != worker.RefusedStopped {
-			t.Errorf("an attempt that has ended starts again: %q", got)
+			t.Errorf("start of an attempt that has ended: %q", got)
 		}
 	})
 }
 
-func TestStopLeavesTombstone(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+func TestStopPreventsLaterStart(t *testing.T) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		a := spec(0, 1, "sleep", "1h")
 		s.contact(worker.Contact{Stop: []worker.Attempt{a.Attempt}})
 		if got := s.start(a); got != worker.RefusedStopped {
-			t.Errorf("a start behind its stop: %q", got)
+			t.Errorf("start that arrives after its stop: %q", got)
 		}
 		if got := s.start(spec(0, 2, "sleep", "1h")); got != "" {
-			t.Errorf("the next attempt: %q", got)
+			t.Errorf("start of the next attempt: %q", got)
 		}
 	})
 }
 
 func TestStartIsIdempotentAndBounded(t *testing.T) {
-	contract(t, func(t *testing.T, s *side) {
+	runContract(t, func(t *testing.T, s *nodeSide) {
 		for range 3 {
 			if got := s.start(spec(0, 1, "sleep", "1h")); got != "" {
-				t.Errorf("the same start again: %q", got)
+				t.Errorf("repeated start: %q", got)
 			}
 		}
 		s.start(spec(1, 1, "sleep", "1h"))
 		if got := s.start(spec(2, 1, "sleep", "1h")); got != worker.RefusedNoRoom {
-			t.Errorf("a start beyond the capacity: %q", got)
+			t.Errorf("start beyond the capacity: %q", got)
 		}
 	})
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package worker holds the contract between a node and a worker, and the HTTP
-// adapter that speaks it.
+// Package worker holds the messages between a node and a worker, and an HTTP client that
+// sends them.
 //
-// One message, Contact, carries everything that a node has for a worker:
-// starts, stops, acknowledgements and the renewal of its leases. Its reply,
-// Report, carries everything that a worker has to say. What a worker promises
-// is written in docs/design/starting-a-task.md.
+// A node sends a single message, Contact, with its orders for the worker: starts, stops,
+// acknowledgements and the renewal of leases. The worker answers with a Report: which
+// orders it refused, what it runs and which tasks have ended. The guarantees that a worker
+// gives are described in docs/design/starting-a-task.md.
 //
 // # Usage
 //
@@ -24,73 +24,84 @@
 	"switchbank.example/switchbank/internal/resource"
 )
 
-// Attempt names one try at running one task of a job.
+// Attempt identifies one attempt at running a task of a job.
 type Attempt struct {
 	Job  string `json:"job"`
 	Task int    `json:"task"`
-	// N counts the tries of the task, from 1.
+	// N is the number of the attempt, from 1.
 	N int `json:"n"`
 }
 
 // String returns job/task/n.
 func (a Attempt) String() string { return fmt.Sprintf("%s/%d/%d", a.Job, a.Task, a.N) }
 
-// Spec is all that a worker and its pool need to know of a task.
+// Spec describes a task to a worker and to the owner of its worker shard.
 type Spec struct {
 	Attempt Attempt         `json:"attempt"`
 	Team    string          `json:"team"`
 	Class   string          `json:"class"`
 	Size    resource.Amount `json:"size"`
 	Command []string        `json:"command"`
-	// Service is the name under which callers reach the task; empty for other kinds.
+	// Service is the name that callers send requests to; empty for other kinds of task.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests the instance takes at once.
+	// Slots is the number of requests that the instance handles concurrently.
 	Slots int `json:"slots,omitempty"`
-	// GraceMS is how long leases may be renewed without the store, in milliseconds.
+	// GraceMS is how long the task's lease may be renewed while the store is unreachable, in
+	// milliseconds.
 	GraceMS int64 `json:"grace_ms,omitempty"`
-	// Priority is that of the task's class.
+	// Priority is the priority of the task's class.
 	Priority int `json:"priority,omitempty"`
-	// Preemptible tasks may be checkpointed and stopped for more urgent ones.
+	// Preemptible tasks may be checkpointed and stopped in favour of tasks of higher
+	// priority.
 	Preemptible bool `json:"preemptible,omitempty"`
 }
 
-// Contact is what a node sends to a worker.
+// Contact is a node's message to a worker. Shard and Owner name the sender, and Epoch is
+// that of its ownership of the shard: a worker refuses an epoch lower than one it has seen.
 type Contact struct {
 	Shard string `json:"shard"`
 	Owner string `json:"owner"`
 	Epoch int64  `json:"epoch"`
-	// Ticket is the worker's own clock as its last report gave it; 0 when there was none.
-	Ticket  int64 `json:"ticket"`
+	// Ticket is the time of the worker's own clock in its last report, or 0 without one.
+	// Leases that this message grants count from it, so that a message that is delayed on
+	// the way does not extend a lease.
+	Ticket int64 `json:"ticket"`
+	// LeaseMS is how long a lease lasts from Ticket, in milliseconds.
 	LeaseMS int64 `json:"lease_ms"`
-	// Renew extends the lease of every task but those in Except.
+	// Renew extends the leases of all tasks except those in Except.
 	Renew  bool      `json:"renew,omitempty"`
 	Except []Attempt `json:"except,omitempty"`
-	// WaitMS lets the worker hold its report back until a task has ended that the
-	// node has not heard of (Seq above Seen), at most so many milliseconds.
+	// WaitMS asks the worker to delay its report until a task ends that the node doesn't
+	// know of yet (Seq above Seen), but at most for so many milliseconds.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	Seen   int64 `json:"seen,omitempty"`
-	// Inventory asks for every task, not just what changed.
+	// Inventory asks the worker to list all tasks that it runs.
 	Inventory bool   `json:"inventory,omitempty"`
 	Start     []Spec `json:"start,omitempty"`
-	// Checkpoint is carried out before Stop.
+	// Checkpoint names the tasks to checkpoint. It is carried out before Stop.
 	Checkpoint []Attempt `json:"checkpoint,omitempty"`
 	Stop       []Attempt `json:"stop,omitempty"`
-	// Throttle names the tasks to be held to their declared size.
+	// Throttle names the tasks to limit to their declared size.
 	Throttle []Attempt `json:"throttle,omitempty"`
-	// Ack names ended tasks whose report is kept safe and may be forgotten.
+	// Ack names ended tasks whose end is stored durably, so that the worker may forget them.
 	Ack []Attempt `json:"ack,omitempty"`
 }
 
-// Refusal is why a worker refused a contact or a start.
+// Refusal is the reason why a worker refused a contact or a start.
 type Refusal string
 
 // The reasons for a refusal.
 const (
-	RefusedStaleEpoch  Refusal = "stale_epoch"
+	// RefusedStaleEpoch is a contact of a former owner of the shard.
+	RefusedStaleEpoch Refusal = "stale_epoch"
+	// RefusedStaleTicket is a start whose lease would already have expired.
 	RefusedStaleTicket Refusal = "stale_ticket"
-	RefusedStopped     Refusal = "stopped"
-	RefusedNoRoom      Refusal = "no_room"
-	RefusedLeaving     Refusal = "leaving"
+	// RefusedStopped is a start of an attempt that has ended, or was stopped before it started.
+	RefusedStopped Refusal = "stopped"
+	// RefusedNoRoom is a start that exceeds the worker's capacity.
+	RefusedNoRoom Refusal = "no_room"
+	// RefusedLeaving is a start on a worker that is about to leave.
+	RefusedLeaving Refusal = "leaving"
 )
 
 // Result is how a task ended.
@@ -101,10 +112,11 @@
 	ResultDone    Result = "done"
 	ResultFailed  Result = "failed"
 	ResultStopped Result = "stopped"
-	ResultLapsed  Result = "lapsed"
+	// ResultLapsed is a task that the worker killed because its lease expired.
+	ResultLapsed Result = "lapsed"
 )
 
-// Started tells what became of a start.
+// Started is the answer to the start of a task; Refused is empty if it runs.
 type Started struct {
 	Attempt Attempt `json:"attempt"`
 	Refused Refusal `json:"refused,omitempty"`
@@ -112,34 +124,36 @@
 	Address string `json:"address,omitempty"`
 }
 
-// Running is a task that a worker runs.
+// Running is a task that runs on a worker.
 type Running struct {
 	Spec    Spec   `json:"spec"`
 	Address string `json:"address,omitempty"`
 }
 
-// Ended is a task that has come to its end; it is repeated until acknowledged.
+// Ended is a task that has ended. Each report repeats it until it is acknowledged.
 type Ended struct {
 	Attempt Attempt `json:"attempt"`
 	Result  Result  `json:"result"`
 	Reason  string  `json:"reason,omitempty"`
 }
 
-// Usage is what a task was last seen to use; it lags.
+// Usage is the resources that a task used when it was last measured, which may be a while
+// ago.
 type Usage struct {
 	Attempt Attempt         `json:"attempt"`
 	Used    resource.Amount `json:"used"`
 }
 
-// Report is what a worker answers.
+// Report is a worker's answer to a Contact.
 type Report struct {
 	Worker string `json:"worker"`
-	// Incarnation changes when the worker has lost its memory.
+	// Incarnation changes when the worker loses its state, such as by a restart.
 	Incarnation string `json:"incarnation"`
 	// Epoch is the highest epoch that the worker has seen.
-	Epoch  int64 `json:"epoch"`
+	Epoch int64 `json:"epoch"`
+	// Ticket is the time of the worker's clock, to be sent with the next Contact.
 	Ticket int64 `json:"ticket"`
-	// Seq rises with every task that ends.
+	// Seq increases with every task that ends.
 	Seq     int64     `json:"seq,omitempty"`
 	Refused Refusal   `json:"refused,omitempty"`
 	Leaving bool      `json:"leaving,omitempty"`
@@ -149,13 +163,14 @@
 	Usage   []Usage   `json:"usage,omitempty"`
 }
 
-// Client contacts workers over HTTP.
+// Client sends contacts to workers over HTTP.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// NewClient returns a client whose contacts take at most timeout, beside the wait they ask for.
+// NewClient returns a client whose contacts take at most timeout, in addition to the wait
+// that they ask for.
 func NewClient(c *http.Client, timeout time.Duration) *Client {
 	return &Client{http: c, timeout: timeout}
 }
