--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -41,8 +41,8 @@
 	SnapshotEvery int64
 	// WorkerShards is the number of worker shards of the cell.
 	WorkerShards int
-	// StartBeforeJournal starts tasks before their placement is durable. It is a fault for
-	// tests, which must detect it.
+	// StartBeforeJournal starts tasks before their placement is durable. Tests set it to
+	// verify that they detect the missing safeguard.
 	StartBeforeJournal bool
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package settings reads the settings of a node that runs on a platform: a YAML file
-// in which unknown fields are errors. Every value is validated before the node starts,
-// and an error names the field at fault.
+// in which unknown fields are errors. Settings are validated before the node starts, and
+// an error names the field at fault.
 //
 // # Usage
 //
@@ -61,7 +61,7 @@
 type Limits struct {
 	MemoryMB int64 `yaml:"memory_mb"`
 	// CPUShare is the number of cores that the process may use, and CoreSpeed the speed
-	// of a core relative to the usual one.
+	// of such a core relative to a reference core. Both are 1 by default.
 	CPUShare  float64 `yaml:"cpu_share"`
 	CoreSpeed float64 `yaml:"core_speed"`
 	// LinkMbps is the bandwidth of the host's link in each direction, in Mbit/s; 0 means
@@ -69,7 +69,7 @@
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
-// CPUMilli returns the CPU that the node may use, in thousandths of a usual core.
+// CPUMilli returns the CPU that the node may use, in thousandths of a reference core.
 func (l Limits) CPUMilli() int64 { return int64(l.CPUShare * l.CoreSpeed * 1000) }
 
 // Bounds are the platform's time limits, in milliseconds.
--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -71,7 +71,8 @@
 	PollInterval time.Duration
 	// ReleaseTimeout bounds Handler.Release.
 	ReleaseTimeout time.Duration
-	// NoEpochs does not raise epochs. It is a fault for tests, which must detect it.
+	// NoEpochs keeps the epoch of every shard at 1. Tests set it to verify that they detect
+	// the missing safeguard.
 	NoEpochs bool
 }
 
