--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peer holds the messages that nodes send each other, as JSON over HTTP.
+// Package peer holds the messages that nodes send to each other, as JSON over HTTP.
 //
-// A message that concerns a shard goes to the shard's owner, which answers
-// ReasonNotOwner when it no longer is.
+// A message about a shard is sent to the node that owns the shard. A node that does not own
+// it, or no longer does, answers with a problem of the reason ReasonNotOwner.
 //
 // # Usage
 //
@@ -17,7 +17,7 @@
 	"switchbank.example/switchbank/internal/worker"
 )
 
-// The paths of the peers' listener.
+// The paths on a node's listener for peers.
 const (
 	PathReserve            = "/peer/v1/reserve"
 	PathConfirm            = "/peer/v1/confirm"
@@ -38,69 +38,72 @@
 // ReasonNotOwner is the reason of a problem from a node that does not own the shard.
 const ReasonNotOwner = "not_owner"
 
-// ReserveRequest asks a worker shard's owner for room; it gives as many places as it can.
+// ReserveRequest asks the owner of a worker shard to reserve capacity for tasks. The owner
+// reserves it for as many of them as it can.
 type ReserveRequest struct {
-	Shard  string        `json:"shard"`
-	Specs  []worker.Spec `json:"specs"`
-	Spread bool          `json:"spread,omitempty"`
-	// Preempt allows tasks of lower priority to be stopped where there is no room.
+	Shard string        `json:"shard"`
+	Specs []worker.Spec `json:"specs"`
+	// Spread prefers different racks, and different workers within a rack.
+	Spread bool `json:"spread,omitempty"`
+	// Preempt allows the owner to stop tasks of lower priority to make room.
 	Preempt bool `json:"preempt,omitempty"`
 }
 
-// Placement is a task's place: a reservation, and once confirmed a start.
+// Placement is the worker on which capacity is reserved for a task, and on which the task
+// starts once the placement is confirmed.
 type Placement struct {
 	Attempt worker.Attempt `json:"attempt"`
 	Shard   string         `json:"shard"`
 	Worker  string         `json:"worker"`
-	// Incarnation is the worker's memory under which the room was reserved.
+	// Incarnation is the worker's incarnation when the capacity was reserved.
 	Incarnation string `json:"incarnation"`
 	Reservation string `json:"reservation"`
 }
 
-// ReserveReply holds the places given, in the order of the specs asked for.
+// ReserveReply holds the placements that were reserved, in the order of the requested specs.
 type ReserveReply struct {
 	Placements []Placement `json:"placements"`
 }
 
-// ConfirmRequest asks for the start of reserved tasks; it may be repeated.
+// ConfirmRequest asks the owner to start tasks with a reservation; it may be repeated.
 type ConfirmRequest struct {
 	Shard      string      `json:"shard"`
 	Placements []Placement `json:"placements"`
 }
 
-// ConfirmState is what a worker shard's owner knows of a placement.
+// ConfirmState is what the owner of a worker shard knows about a placement.
 type ConfirmState string
 
 // The states of a confirmed placement.
 const (
-	// ConfirmAccepted is a task that is or will be started; events follow.
+	// ConfirmAccepted is a task that is being started or runs; events report the rest.
 	ConfirmAccepted ConfirmState = "accepted"
-	// ConfirmNeverRan is a task that never ran and never will under this attempt.
+	// ConfirmNeverRan is a task that has not run under this attempt and never will.
 	ConfirmNeverRan ConfirmState = "void"
-	// ConfirmLost is a task that does not run any more and whose end is not known.
+	// ConfirmLost is a task that no longer runs and whose result is not known.
 	ConfirmLost ConfirmState = "lost"
-	// ConfirmPending is a task of which nothing certain is known yet.
+	// ConfirmPending is a task about which nothing is known for certain yet; ask again.
 	ConfirmPending ConfirmState = "later"
 )
 
-// Confirmed is the answer for one placement.
+// Confirmed is the state of one placement.
 type Confirmed struct {
 	Attempt worker.Attempt `json:"attempt"`
 	State   ConfirmState   `json:"state"`
 }
 
-// ConfirmReply holds an answer for each placement.
+// ConfirmReply holds the state of each placement of a ConfirmRequest.
 type ConfirmReply struct {
 	Items []Confirmed `json:"items"`
 }
 
-// StopRequest asks for the end of tasks, started or not; events follow.
+// StopRequest asks the owner to stop tasks, whether started or not; events report their end.
 type StopRequest struct {
 	Shard      string      `json:"shard"`
 	Placements []Placement `json:"placements"`
 }
 
-// EventKind is what happened to a task.
+// EventKind is the kind of a change in a task's state.
 type EventKind string
 
 // The kinds of event.
@@ -111,7 +114,7 @@
 	EventLost     EventKind = "lost"
 )
 
-// Event tells a job shard's owner what happened to a task.
+// Event reports a change in a task's state to the owner of its job shard.
 type Event struct {
 	Kind    EventKind      `json:"kind"`
 	Attempt worker.Attempt `json:"attempt"`
@@ -121,48 +124,52 @@
 	Reason  string         `json:"reason,omitempty"`
 }
 
-// EventsRequest carries events of jobs of one job shard; the answer comes once they are journalled.
+// EventsRequest carries events about jobs of one job shard. The answer is sent once they are
+// journalled, so that the sender may forget them.
 type EventsRequest struct {
 	Shard  string  `json:"shard"`
 	Events []Event `json:"events"`
 }
 
-// KeyBeginRequest asks for the leave to run a request that must not be repeated.
+// KeyBeginRequest asks the owner of a key's job shard for permission to run a request that
+// must run at most once.
 type KeyBeginRequest struct {
 	Shard string `json:"shard"`
 	Team  string `json:"team"`
 	Key   string `json:"key"`
-	// Token names the arrival, so that a repeated message is known.
+	// Token identifies the request as it arrived at its entry node, so that a repeated message
+	// is recognized.
 	Token string `json:"token"`
-	// Digest is that of the request, so that a key is not used for two of them.
+	// Digest is the digest of the request, by which a key that is reused for another request
+	// is detected.
 	Digest string `json:"digest"`
-	// TimeoutMS is the time left to the request, in milliseconds.
+	// TimeoutMS is the time until the request's deadline, in milliseconds.
 	TimeoutMS int64 `json:"timeout_ms"`
-	// Created is when the caller made the key.
+	// Created is when the caller created the key.
 	Created time.Time `json:"created"`
 }
 
-// KeyState is what a key's home says of a request.
+// KeyState is the state of a request with a key.
 type KeyState string
 
 // The states of a key.
 const (
-	// KeyRun gives the leave to run the request, once.
+	// KeyRun is the permission to run the request, once.
 	KeyRun KeyState = "go"
-	// KeyDone is a request that has run; its answer comes along when it was kept.
+	// KeyDone is a request that has run. The reply holds its answer if that was stored.
 	KeyDone KeyState = "done"
-	// KeyUnknown is a request of which it is not known whether it ran; it never runs again.
+	// KeyUnknown is a request of which it is not known whether it ran; it is not run again.
 	KeyUnknown KeyState = "unknown"
-	// KeyConflict is a key that was used for a request with another digest.
+	// KeyConflict is a key that was already used for a request with another digest.
 	KeyConflict KeyState = "clash"
 )
 
-// Answer is an upstream's answer, whole.
+// Answer is an upstream's complete answer.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Dropped is set when the body was too large to be kept.
+	// Dropped is set if the body was too large to be stored.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
@@ -172,7 +179,7 @@
 	Answer *Answer  `json:"answer,omitempty"`
 }
 
-// KeyFinishRequest tells a key's home how its request ended.
+// KeyFinishRequest tells the owner of a key's job shard how the key's request ended.
 type KeyFinishRequest struct {
 	Shard string `json:"shard"`
 	Team  string `json:"team"`
@@ -183,21 +190,22 @@
 	Answer  *Answer `json:"answer,omitempty"`
 }
 
-// PoolSummary tells how much room a worker shard has.
+// PoolSummary is the capacity of a worker shard and how much of it is free.
 type PoolSummary struct {
 	Shard   string `json:"shard"`
 	Workers int    `json:"workers"`
-	// Known is set once the shard's hosts were read and each has answered or is gone.
+	// Known is set once the owner has read the host list and each of the shard's workers has
+	// answered or is gone; before that the capacity is incomplete.
 	Known    bool            `json:"known,omitempty"`
 	Free     resource.Amount `json:"free"`
 	Capacity resource.Amount `json:"capacity"`
-	// Largest is the free room of the worker that has most.
+	// Largest is the free capacity of the worker that has the most.
 	Largest resource.Amount `json:"largest"`
-	// Shapes are the distinct capacities of the shard's workers.
+	// Shapes holds each distinct worker capacity of the shard once.
 	Shapes []resource.Amount `json:"shapes,omitempty"`
 }
 
-// ServiceSummary tells how busy the instances of a service are that a node owns.
+// ServiceSummary is the load of the instances of a service on a node's worker shards.
 type ServiceSummary struct {
 	Service   string `json:"service"`
 	Instances int    `json:"instances"`
@@ -205,18 +213,19 @@
 	Queued    int    `json:"queued"`
 }
 
-// TeamUsage is what the tasks of a team take on the worker shards of a node.
+// TeamUsage is the resources that a team's tasks use on the worker shards of a node.
 type TeamUsage struct {
 	Team string          `json:"team"`
 	Used resource.Amount `json:"used"`
 }
 
-// Summary is what a node tells its peers of its load.
+// Summary is a node's report of its load to its peers.
 type Summary struct {
 	Node          string `json:"node"`
 	BundleVersion int64  `json:"head"`
-	// Confirmed is set if the node heard a moment ago that its bundle is in force;
-	// only then does what it says confirm the bundle of another node.
+	// Confirmed is set if the store or a peer recently confirmed that the node's bundle is
+	// in force. Only then may a peer take BundleVersion as a confirmation of its own bundle:
+	// a node that was cut off may have an outdated one.
 	Confirmed bool             `json:"confirmed,omitempty"`
 	Pools     []PoolSummary    `json:"pools,omitempty"`
 	Services  []ServiceSummary `json:"services,omitempty"`
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -18,14 +18,14 @@
 
 const maxObjectBytes = 64 << 20
 
-// Kind tells apart the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of error.
 const (
 	// KindUnavailable is a call without a usable reply; a write may have taken effect.
 	KindUnavailable Kind = "unavailable"
-	// KindNotFound is a read of an object that is not there.
+	// KindNotFound is a read of an object that does not exist.
 	KindNotFound Kind = "not_found"
 )
 
@@ -42,7 +42,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Client calls the platform over HTTP.
+// Client calls the platform's services over HTTP.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -54,7 +54,7 @@
 	return &Client{base: base, http: c, timeout: timeout}
 }
 
-// Commit asks the table service to carry out t.
+// Commit asks the table service to carry out a transaction.
 func (c *Client) Commit(ctx context.Context, t Txn) (TxnResult, error) {
 	return call[Txn, TxnResult](ctx, c, "commit", "/v1/table/commit", t)
 }
@@ -66,7 +66,7 @@
 	return res.Rows, err
 }
 
-// Get returns a row; one that is not there has version 0.
+// Get returns a row; a row that does not exist has version 0.
 func (c *Client) Get(ctx context.Context, table, key string) (Row, error) {
 	q := url.Values{"table": {table}, "key": {key}}
 	return call[httpx.Empty, Row](ctx, c, "get", "/v1/table/row?"+q.Encode(), httpx.Empty{})
@@ -81,22 +81,23 @@
 
 // PutObject stores an object.
 func (c *Client) PutObject(ctx context.Context, key string, data []byte) error {
-	_, err := c.object(ctx, http.MethodPut, key, data)
+	_, err := c.callObject(ctx, http.MethodPut, key, data)
 	return err
 }
 
 // GetObject returns an object.
 func (c *Client) GetObject(ctx context.Context, key string) ([]byte, error) {
-	return c.object(ctx, http.MethodGet, key, nil)
+	return c.callObject(ctx, http.MethodGet, key, nil)
 }
 
 // DeleteObject removes an object.
 func (c *Client) DeleteObject(ctx context.Context, key string) error {
-	_, err := c.object(ctx, http.MethodDelete, key, nil)
+	_, err := c.callObject(ctx, http.MethodDelete, key, nil)
 	return err
 }
 
-func (c *Client) object(ctx context.Context, method, key string, data []byte) ([]byte, error) {
+// callObject calls the object store and returns the body of its answer.
+func (c *Client) callObject(ctx context.Context, method, key string, data []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	op := "object " + method
@@ -122,6 +123,7 @@
 	return body, nil
 }
 
+// call sends a JSON message to the platform and decodes the reply.
 func call[Req, Resp any](ctx context.Context, c *Client, op, path string, req Req) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -14,9 +14,9 @@
 	standin "switchbank.example/switchbank/standin/platform"
 )
 
-// service is the whole interface to the platform; another implementation is
-// put under the contract by another case of implementations.
-type service interface {
+// platformService is the whole interface of the platform that the contract tests check. To
+// check another implementation, add it to implementations.
+type platformService interface {
 	Commit(ctx context.Context, t platform.Txn) (platform.TxnResult, error)
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
@@ -26,25 +26,26 @@
 	Hosts(ctx context.Context, dataCentre string) ([]platform.Host, error)
 }
 
-// implementation is a service under the contract, with its fault switches.
+// implementation is an implementation to check, with the functions that set its faults and
+// hosts.
 type implementation struct {
-	service
-	faults func(standin.Faults)
-	host   func(platform.Host)
+	platformService
+	setFaults func(standin.Faults)
+	setHost   func(platform.Host)
 }
 
 func implementations(t *testing.T) map[string]implementation {
-	direct, behind := standin.New(), standin.New()
-	srv := httptest.NewServer(behind.Handler())
+	direct, remote := standin.New(), standin.New()
+	srv := httptest.NewServer(remote.Handler())
 	t.Cleanup(srv.Close)
 	return map[string]implementation{
 		"stand-in": {direct, direct.SetFaults, direct.SetHost},
-		"adapter":  {platform.NewClient(srv.URL, srv.Client(), time.Second), behind.SetFaults, behind.SetHost},
+		"adapter":  {platform.NewClient(srv.URL, srv.Client(), time.Second), remote.SetFaults, remote.SetHost},
 	}
 }
 
-// contract runs a case of the contract on each implementation.
-func contract(t *testing.T, fn func(t *testing.T, s implementation)) {
+// runContract runs a case of the contract on each implementation.
+func runContract(t *testing.T, fn func(t *testing.T, s implementation)) {
 	t.Helper()
 	for name, s := range implementations(t) {
 		t.Run(name, func(t *testing.T) { fn(t, s) })
@@ -55,11 +56,11 @@
 	return platform.Put{Table: "t", Key: key, Value: json.RawMessage(value)}
 }
 
-func at(key string, version int64) platform.Condition {
+func atVersion(key string, version int64) platform.Condition {
 	return platform.Condition{Table: "t", Key: key, Version: version}
 }
 
-func commit(t *testing.T, s service, txn platform.Txn) platform.TxnResult {
+func commit(t *testing.T, s platformService, txn platform.Txn) platform.TxnResult {
 	t.Helper()
 	res, err := s.Commit(t.Context(), txn)
 	if err != nil {
@@ -68,11 +69,11 @@
 	return res
 }
 
-func TestConditions(t *testing.T) {
-	contract(t, func(t *testing.T, s implementation) {
-		first := commit(t, s, platform.Txn{If: []platform.Condition{at("a", 0)}, Put: []platform.Put{put("a", `1`)}})
+func TestCommitConditions(t *testing.T) {
+	runContract(t, func(t *testing.T, s implementation) {
+		first := commit(t, s, platform.Txn{If: []platform.Condition{atVersion("a", 0)}, Put: []platform.Put{put("a", `1`)}})
 		if !first.Committed || len(first.Versions) != 1 || first.Versions[0] == 0 {
-			t.Fatalf("a first write: %+v", first)
+			t.Fatalf("first write: %+v", first)
 		}
 		v := first.Versions[0]
 		tests := []struct {
@@ -80,10 +81,10 @@
 			txn  platform.Txn
 			ok   bool
 		}{
-			{"must be absent", platform.Txn{If: []platform.Condition{at("a", 0)}, Put: []platform.Put{put("a", `2`)}}, false},
-			{"wrong version", platform.Txn{If: []platform.Condition{at("a", v+100)}, Put: []platform.Put{put("a", `2`)}}, false},
-			{"one of two fails", platform.Txn{If: []platform.Condition{at("a", v), at("b", 7)}, Put: []platform.Put{put("a", `2`), put("b", `2`)}}, false},
-			{"both hold", platform.Txn{If: []platform.Condition{at("a", v), at("b", 0)}, Put: []platform.Put{put("a", `3`), put("b", `3`)}}, true},
+			{"must be absent", platform.Txn{If: []platform.Condition{atVersion("a", 0)}, Put: []platform.Put{put("a", `2`)}}, false},
+			{"wrong version", platform.Txn{If: []platform.Condition{atVersion("a", v+100)}, Put: []platform.Put{put("a", `2`)}}, false},
+			{"one of two fails", platform.Txn{If: []platform.Condition{atVersion("a", v), atVersion("b", 7)}, Put: []platform.Put{put("a", `2`), put("b", `2`)}}, false},
+			{"both hold", platform.Txn{If: []platform.Condition{atVersion("a", v), atVersion("b", 0)}, Put: []platform.Put{put("a", `3`), put("b", `3`)}}, true},
 		}
 		for _, tt := range tests {
 			res := commit(t, s, tt.txn)
@@ -91,7 +92,7 @@
 				t.Errorf("%s: %+v", tt.name, res)
 			}
 			if !tt.ok && len(res.Mismatch) == 0 {
-				t.Errorf("%s: the rows that differ are not named", tt.name)
+				t.Errorf("%s: the result does not hold the rows that differ", tt.name)
 			}
 		}
 		row, err := s.Get(t.Context(), "t", "a")
@@ -102,7 +103,7 @@
 }
 
 func TestListAndDelete(t *testing.T) {
-	contract(t, func(t *testing.T, s implementation) {
+	runContract(t, func(t *testing.T, s implementation) {
 		commit(t, s, platform.Txn{Put: []platform.Put{put("x/2", `2`), put("x/1", `1`), put("y/1", `3`)}})
 		rows, err := s.List(t.Context(), "t", "x/")
 		if err != nil || len(rows) != 2 || rows[0].Key != "x/1" {
@@ -113,13 +114,13 @@
 			t.Errorf("have %+v", rows)
 		}
 		if row, err := s.Get(t.Context(), "t", "x/1"); err != nil || row.Version != 0 {
-			t.Errorf("a deleted row: %+v, %v", row, err)
+			t.Errorf("deleted row: %+v, %v", row, err)
 		}
 	})
 }
 
 func TestObjects(t *testing.T) {
-	contract(t, func(t *testing.T, s implementation) {
+	runContract(t, func(t *testing.T, s implementation) {
 		if err := s.PutObject(t.Context(), "o.1", []byte("data")); err != nil {
 			t.Fatal(err)
 		}
@@ -132,15 +133,15 @@
 		_, err := s.GetObject(t.Context(), "o.1")
 		var pe *platform.Error
 		if !errors.As(err, &pe) || pe.Kind != platform.KindNotFound {
-			t.Errorf("an object that is not there: %v", err)
+			t.Errorf("object that does not exist: %v", err)
 		}
 	})
 }
 
 func TestHosts(t *testing.T) {
-	contract(t, func(t *testing.T, s implementation) {
-		s.host(platform.Host{ID: "w1", DataCentre: "a", Rack: "r", State: platform.HostLeaving})
-		s.host(platform.Host{ID: "w2", DataCentre: "b"})
+	runContract(t, func(t *testing.T, s implementation) {
+		s.setHost(platform.Host{ID: "w1", DataCentre: "a", Rack: "r", State: platform.HostLeaving})
+		s.setHost(platform.Host{ID: "w2", DataCentre: "b"})
 		hosts, err := s.Hosts(t.Context(), "a")
 		if err != nil || len(hosts) != 1 || hosts[0].State != platform.HostLeaving {
 			t.Errorf("have %+v, %v", hosts, err)
@@ -148,12 +149,13 @@
 	})
 }
 
-// TestFaults holds what may and may not have taken effect after each fault.
+// TestFaults checks whether a write took effect after a call that failed by each fault. A lost
+// reply must leave the write in place, since callers must cope with that case.
 func TestFaults(t *testing.T) {
 	tests := []struct {
-		name   string
-		faults standin.Faults
-		effect bool
+		name       string
+		faults     standin.Faults
+		tookEffect bool
 	}{
 		{"down", standin.Faults{Down: true}, false},
 		{"write dropped", standin.Faults{DropCommits: 1}, false},
@@ -161,15 +163,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			contract(t, func(t *testing.T, s implementation) {
-				s.faults(tt.faults)
+			runContract(t, func(t *testing.T, s implementation) {
+				s.setFaults(tt.faults)
 				if _, err := s.Commit(t.Context(), platform.Txn{Put: []platform.Put{put("f", `1`)}}); err == nil {
-					t.Error("the fault is not told")
+					t.Error("the call succeeded despite the fault")
 				}
-				s.faults(standin.Faults{})
+				s.setFaults(standin.Faults{})
 				row, err := s.Get(t.Context(), "t", "f")
-				if err != nil || (row.Version != 0) != tt.effect {
-					t.Errorf("have %+v, %v; effect wanted: %t", row, err, tt.effect)
+				if err != nil || (row.Version != 0) != tt.tookEffect {
+					t.Errorf("have %+v, %v; want the write to have taken effect: %t", row, err, tt.tookEffect)
 				}
 			})
 		})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package platform speaks to the platform's table service, object store and
-// host list over HTTP.
+// Package platform calls the platform's table service, object store and host list over
+// HTTP.
 //
-// The package holds the types that cross the interface and one adapter,
-// Client. Packages that need the platform declare the few calls they use as an
-// interface of their own, which Client and the stand-in both meet.
+// The package holds the messages of the platform's interface and one implementation,
+// Client. Packages that use the platform declare interfaces with the few methods that they
+// need, which both Client and the stand-in platform implement.
 //
 // # Usage
 //
@@ -25,16 +25,16 @@
 type Row struct {
 	Table string `json:"table"`
 	Key   string `json:"key"`
-	// Version rises with every write of the row; 0 means that there is no row.
+	// Version increases with every write of the row; 0 means that the row does not exist.
 	Version int64           `json:"version"`
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Condition asks that a row has a version when a transaction commits.
+// Condition requires that a row has a certain version when a transaction commits.
 type Condition struct {
 	Table string `json:"table"`
 	Key   string `json:"key"`
-	// Version is the version asked for; 0 asks that there is no row.
+	// Version is the required version; 0 requires that the row does not exist.
 	Version int64 `json:"version"`
 }
 
@@ -51,24 +51,24 @@
 	Key   string `json:"key"`
 }
 
-// Txn is a set of writes that take effect together, or not at all when a
-// condition does not hold.
+// Txn is a transaction: its writes take effect together, or not at all if a condition does
+// not hold.
 type Txn struct {
 	If     []Condition `json:"if,omitempty"`
 	Put    []Put       `json:"put,omitempty"`
 	Delete []Delete    `json:"delete,omitempty"`
 }
 
-// TxnResult tells what became of a Txn.
+// TxnResult is the result of a transaction.
 type TxnResult struct {
 	Committed bool `json:"committed"`
-	// Mismatch holds the present state of the rows whose condition failed.
+	// Mismatch holds the current state of the rows whose condition failed.
 	Mismatch []Row `json:"mismatch,omitempty"`
-	// Versions are the new versions of the rows put, in order.
+	// Versions holds the new versions of the written rows, in the order of Txn.Put.
 	Versions []int64 `json:"versions,omitempty"`
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the host list.
 type HostState string
 
 // The states of a host.
@@ -78,7 +78,7 @@
 	HostGone    HostState = "gone"
 )
 
-// Host is one worker in the platform's host list, which lags behind the truth.
+// Host is a worker in the platform's host list, which may be out of date.
 type Host struct {
 	ID         string          `json:"id"`
 	Address    string          `json:"address"`
@@ -88,12 +88,12 @@
 	Capacity   resource.Amount `json:"capacity"`
 }
 
-// Rows is the answer to a list of rows.
+// Rows is the answer to a listing of rows.
 type Rows struct {
 	Rows []Row `json:"rows"`
 }
 
-// Hosts is the answer to a list of hosts.
+// Hosts is the answer to a listing of hosts.
 type Hosts struct {
 	Hosts []Host `json:"hosts"`
 }
