--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -134,21 +134,21 @@
 func (c *Client) Request(ctx context.Context, r Request) (Answer, error) {
 	const op = "request"
 	path := "http://" + c.cfg.Callers + "/v1/services/" + url.PathEscape(r.Service) + "/requests"
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, path, bytes.NewReader(r.Body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, path, bytes.NewReader(r.Body))
 	if err != nil {
 		return Answer{}, &Error{Op: op, Kind: KindTransport, Err: err}
 	}
 	if r.Timeout > 0 {
-		hr.Header.Set(api.HeaderTimeout, strconv.FormatInt(r.Timeout.Milliseconds(), 10))
+		httpReq.Header.Set(api.HeaderTimeout, strconv.FormatInt(r.Timeout.Milliseconds(), 10))
 	}
 	if r.Key != "" {
-		hr.Header.Set(api.HeaderKey, r.Key)
-		hr.Header.Set(api.HeaderKeyCreated, r.KeyCreated.UTC().Format(time.RFC3339))
+		httpReq.Header.Set(api.HeaderKey, r.Key)
+		httpReq.Header.Set(api.HeaderKeyCreated, r.KeyCreated.UTC().Format(time.RFC3339))
 	}
 	if r.Repeatable {
-		hr.Header.Set(api.HeaderRepeatable, "true")
+		httpReq.Header.Set(api.HeaderRepeatable, "true")
 	}
-	resp, body, err := c.do(op, hr)
+	resp, body, err := c.do(op, httpReq)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -159,14 +159,14 @@
 }
 
 // do sends a request with the client's credentials and reads the whole reply.
-func (c *Client) do(op string, hr *http.Request) (*http.Response, []byte, error) {
+func (c *Client) do(op string, httpReq *http.Request) (*http.Response, []byte, error) {
 	if c.cfg.Team != "" {
-		hr.Header.Set(api.HeaderTeam, c.cfg.Team)
+		httpReq.Header.Set(api.HeaderTeam, c.cfg.Team)
 	}
 	if c.cfg.Token != "" {
-		hr.Header.Set("Authorization", "Bearer "+c.cfg.Token)
+		httpReq.Header.Set("Authorization", "Bearer "+c.cfg.Token)
 	}
-	resp, err := c.http.Do(hr)
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return nil, nil, &Error{Op: op, Kind: KindTransport, Err: err}
 	}
@@ -199,17 +199,17 @@
 		}
 		payload = bytes.NewReader(body)
 	}
-	hr, err := http.NewRequestWithContext(ctx, method, url, payload)
+	httpReq, err := http.NewRequestWithContext(ctx, method, url, payload)
 	if err != nil {
 		return resp, &Error{Op: op, Kind: KindTransport, Err: err}
 	}
-	hr.Header.Set("Content-Type", "application/json")
-	res, body, err := c.do(op, hr)
+	httpReq.Header.Set("Content-Type", "application/json")
+	httpResp, body, err := c.do(op, httpReq)
 	if err != nil {
 		return resp, err
 	}
-	if res.StatusCode/100 != 2 {
-		return resp, problemFromReply(op, res.StatusCode, body)
+	if httpResp.StatusCode/100 != 2 {
+		return resp, problemFromReply(op, httpResp.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, &resp); err != nil {
 		return resp, &Error{Op: op, Kind: KindReply, Err: err}
@@ -322,10 +322,10 @@
 
 // Ready reports whether the node's readiness check succeeds.
 func (c *Client) Ready(ctx context.Context) bool {
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, c.operatorURL("/readyz"), nil)
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodGet, c.operatorURL("/readyz"), nil)
 	if err != nil {
 		return false
 	}
-	resp, _, err := c.do("ready", hr)
+	resp, _, err := c.do("ready", httpReq)
 	return err == nil && resp.StatusCode == http.StatusOK
 }
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -273,26 +273,26 @@
 // Send sends payload to url with the given method and reads a Resp.
 func Send[Resp any](ctx context.Context, c *http.Client, method, url string, payload io.Reader) (Resp, error) {
 	var resp Resp
-	hr, err := http.NewRequestWithContext(ctx, method, url, payload)
+	httpReq, err := http.NewRequestWithContext(ctx, method, url, payload)
 	if err != nil {
 		return resp, &Error{Op: url, Kind: KindTransport, Err: err}
 	}
-	hr.Header.Set("Content-Type", contentJSON)
+	httpReq.Header.Set("Content-Type", contentJSON)
 	if token, ok := ctx.Value(tokenKey{}).(string); ok {
-		hr.Header.Set("Authorization", "Bearer "+token)
+		httpReq.Header.Set("Authorization", "Bearer "+token)
 	}
-	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(hr.Header))
-	res, err := c.Do(hr)
+	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(httpReq.Header))
+	httpResp, err := c.Do(httpReq)
 	if err != nil {
 		return resp, &Error{Op: url, Kind: KindTransport, Err: err}
 	}
-	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
+	defer func() { _ = httpResp.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxReplyBytes))
 	if err != nil {
 		return resp, &Error{Op: url, Kind: KindTransport, Err: err}
 	}
-	if res.StatusCode/100 != 2 {
-		return resp, problemFrom(url, res.StatusCode, body)
+	if httpResp.StatusCode/100 != 2 {
+		return resp, problemFrom(url, httpResp.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, &resp); err != nil {
 		return resp, &Error{Op: url, Kind: KindDecode, Err: err}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -76,7 +76,7 @@
 
 // The states of a confirmed placement.
 const (
-	// ConfirmAccepted is a task that is being started or runs; events report the rest.
+	// ConfirmAccepted is a task that is or will be started; events report what happens to it.
 	ConfirmAccepted ConfirmState = "accepted"
 	// ConfirmNeverRan is a task that has not run under this attempt and never will.
 	ConfirmNeverRan ConfirmState = "void"
@@ -108,8 +108,9 @@
 
 // The kinds of event.
 const (
-	EventStarted  EventKind = "started"
-	EventEnded    EventKind = "ended"
+	EventStarted EventKind = "started"
+	EventEnded   EventKind = "ended"
+	// EventNeverRan and EventLost mean the same as ConfirmNeverRan and ConfirmLost.
 	EventNeverRan EventKind = "void"
 	EventLost     EventKind = "lost"
 )
