--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -181,9 +181,9 @@
 	hostsRead  bool
 	workers    map[string]*workerState
 	workerList []*workerState
-	// teamUsage is the allocation of each team in this shard.
-	teamUsage map[string]resource.Amount
-	tasks     map[worker.Attempt]*task
+	// teamAllocations is the allocation of each team in this shard.
+	teamAllocations map[string]resource.Amount
+	tasks           map[worker.Attempt]*task
 	// reservations are the tasks that are not confirmed yet, and undelivered those whose
 	// latest event has not been accepted yet.
 	reservations map[worker.Attempt]*task
@@ -194,13 +194,13 @@
 	ctx, stop := context.WithCancel(ctx)
 	p := &Pool{
 		grant: g, deps: deps, opts: opts, acquiredAt: time.Now(), ctx: ctx, stop: stop,
-		log:          log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
-		wakeDelivery: make(chan struct{}, 1),
-		workers:      make(map[string]*workerState),
-		teamUsage:    make(map[string]resource.Amount),
-		tasks:        make(map[worker.Attempt]*task),
-		reservations: make(map[worker.Attempt]*task),
-		undelivered:  make(map[worker.Attempt]*task),
+		log:             log.With(zap.String("shard", string(g.Key)), zap.Int64("epoch", g.Epoch)),
+		wakeDelivery:    make(chan struct{}, 1),
+		workers:         make(map[string]*workerState),
+		teamAllocations: make(map[string]resource.Amount),
+		tasks:           make(map[worker.Attempt]*task),
+		reservations:    make(map[worker.Attempt]*task),
+		undelivered:     make(map[worker.Attempt]*task),
 	}
 	p.loops.Go(p.deliverLoop)
 	return p
@@ -301,7 +301,7 @@
 func (p *Pool) candidatesLocked(now time.Time, job string) []policy.Candidate {
 	cs := make([]policy.Candidate, len(p.workerList))
 	for i, w := range p.workerList {
-		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.used), Capacity: w.host.Capacity, Unschedulable: !w.schedulableLocked(now)}
+		cs[i] = policy.Candidate{Free: w.host.Capacity.Sub(w.allocated), Capacity: w.host.Capacity, Unschedulable: !w.schedulableLocked(now)}
 	}
 	p.countJobTasksLocked(cs, job)
 	return cs
@@ -490,7 +490,7 @@
 		if !w.schedulableLocked(now) {
 			continue
 		}
-		free := w.host.Capacity.Sub(w.used)
+		free := w.host.Capacity.Sub(w.allocated)
 		s.Workers++
 		s.Free = s.Free.Add(free)
 		s.Capacity = s.Capacity.Add(w.host.Capacity)
@@ -501,8 +501,8 @@
 	if p.closed {
 		s.Workers, s.Free, s.Largest = 0, resource.Amount{}, resource.Amount{}
 	}
-	for team, used := range p.teamUsage {
-		usage.add(team, used)
+	for team, allocated := range p.teamAllocations {
+		usage.add(team, allocated)
 	}
 	return s
 }
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -63,13 +63,13 @@
 
 // fitsLocked reports whether t fits beside the tasks that are still on the worker.
 func (w *workerState) fitsLocked(t *task) bool {
-	used := t.spec.Size
+	allocated := t.spec.Size
 	for _, other := range w.tasks {
 		if other != t && other.state != reserved && !other.awaitsPreemption {
-			used = used.Add(other.allocation())
+			allocated = allocated.Add(other.allocation())
 		}
 	}
-	return w.host.Capacity.Fits(used)
+	return w.host.Capacity.Fits(allocated)
 }
 
 // updateUsageLocked applies the usage that a worker reports. Usage above the declared size counts
@@ -85,7 +85,7 @@
 		}
 		before := t.allocation()
 		t.used = u.Used
-		w.addUsageLocked(t.spec.Team, t.allocation().Sub(before))
+		w.addAllocationLocked(t.spec.Team, t.allocation().Sub(before))
 		if !t.spec.Size.Fits(u.Used) {
 			w.throttles = append(w.throttles, u.Attempt)
 			w.signal()
--- a/internal/pool/set.go
+++ b/internal/pool/set.go
@@ -241,7 +241,7 @@
 			if h.State == platform.HostGone {
 				continue
 			}
-			w = newWorkerState(h, p.teamUsage)
+			w = newWorkerState(h, p.teamAllocations)
 			p.workers[h.ID] = w
 			p.workerList = append(p.workerList, w)
 			p.loops.Go(func() { p.contactLoop(w) })
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -46,12 +46,12 @@
 	answeredAt time.Time
 	renewedAt  time.Time
 
-	used resource.Amount
-	// teamUsage is the allocation of each team on all workers of the pool.
-	teamUsage  map[string]resource.Amount
-	tasksByJob map[string]int
-	tasks      map[worker.Attempt]*task
-	stops      []worker.Attempt
+	allocated resource.Amount
+	// teamAllocations is the allocation of each team on all workers of the pool.
+	teamAllocations map[string]resource.Amount
+	tasksByJob      map[string]int
+	tasks           map[worker.Attempt]*task
+	stops           []worker.Attempt
 	// checkpoints and throttles are sent once; a lost one is not repeated.
 	checkpoints []worker.Attempt
 	throttles   []worker.Attempt
@@ -70,7 +70,7 @@
 
 func newWorkerState(h platform.Host, teams map[string]resource.Amount) *workerState {
 	return &workerState{
-		host: h, needsInventory: true, answeredAt: time.Now(), teamUsage: teams,
+		host: h, needsInventory: true, answeredAt: time.Now(), teamAllocations: teams,
 		tasksByJob: make(map[string]int),
 		tasks:      make(map[worker.Attempt]*task), ackedTasks: make(map[worker.Attempt]bool),
 		wake: make(chan struct{}, 1),
@@ -90,15 +90,16 @@
 		return
 	}
 	w.tasks[t.spec.Attempt] = t
-	w.addUsageLocked(t.spec.Team, t.allocation())
+	w.addAllocationLocked(t.spec.Team, t.allocation())
 	w.tasksByJob[t.spec.Attempt.Job]++
 }
 
-// addUsageLocked adds an amount, which may be negative, to the usage of the worker and a team.
-func (w *workerState) addUsageLocked(team string, amount resource.Amount) {
-	w.used = w.used.Add(amount)
-	if w.teamUsage[team] = w.teamUsage[team].Add(amount); w.teamUsage[team] == (resource.Amount{}) {
-		delete(w.teamUsage, team)
+// addAllocationLocked adds an amount, which may be negative, to what is allocated on the worker and
+// to a team.
+func (w *workerState) addAllocationLocked(team string, amount resource.Amount) {
+	w.allocated = w.allocated.Add(amount)
+	if w.teamAllocations[team] = w.teamAllocations[team].Add(amount); w.teamAllocations[team] == (resource.Amount{}) {
+		delete(w.teamAllocations, team)
 	}
 }
 
@@ -108,7 +109,7 @@
 		return
 	}
 	delete(w.tasks, t.spec.Attempt)
-	w.addUsageLocked(t.spec.Team, resource.Amount{}.Sub(t.allocation()))
+	w.addAllocationLocked(t.spec.Team, resource.Amount{}.Sub(t.allocation()))
 	if w.tasksByJob[t.spec.Attempt.Job]--; w.tasksByJob[t.spec.Attempt.Job] <= 0 {
 		delete(w.tasksByJob, t.spec.Attempt.Job)
 	}
