--- a/e2e/events_test.go
+++ b/e2e/events_test.go
@@ -49,7 +49,7 @@
 			if started[id] > 1 && slices.Contains(atMostOnce, id.job) {
 				summary.repeatedStarts++
 			}
-		case worker.EventDone, worker.EventFailed, worker.EventStopped, worker.EventLapsed:
+		case worker.EventDone, worker.EventFailed, worker.EventStopped, worker.EventLeaseExpired:
 			running[id]--
 		case worker.EventOverload:
 			summary.overloads++
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -86,7 +86,7 @@
 	Grace          time.Duration `yaml:"grace"`
 	Reservation    time.Duration `yaml:"reservation"`
 	HostInterval   time.Duration `yaml:"hosts"`
-	SetAside       time.Duration `yaml:"set_aside"`
+	Quarantine     time.Duration `yaml:"set_aside"`
 	RoundInterval  time.Duration `yaml:"every"`
 	VerifyInterval time.Duration `yaml:"ask"`
 	Retention      time.Duration `yaml:"retention"`
@@ -164,7 +164,7 @@
 		Lease:     Lease{TTL: 4 * time.Second, Margin: 500 * time.Millisecond, RenewInterval: time.Second},
 		Tasks: Tasks{
 			Lease: 15 * time.Second, Margin: time.Second, Grace: 10 * time.Minute, Reservation: 10 * time.Second,
-			HostInterval: 3 * time.Second, SetAside: 30 * time.Second, RoundInterval: 250 * time.Millisecond, VerifyInterval: 2 * time.Second,
+			HostInterval: 3 * time.Second, Quarantine: 30 * time.Second, RoundInterval: 250 * time.Millisecond, VerifyInterval: 2 * time.Second,
 			Retention: time.Hour,
 		},
 		Requests: Requests{
@@ -262,7 +262,7 @@
 		{"platform.timeout", c.Platform.Timeout},
 		{"lease.ttl", c.Lease.TTL}, {"lease.margin", c.Lease.Margin}, {"lease.every", c.Lease.RenewInterval},
 		{"tasks.lease", c.Tasks.Lease}, {"tasks.margin", c.Tasks.Margin}, {"tasks.grace", c.Tasks.Grace},
-		{"tasks.reservation", c.Tasks.Reservation}, {"tasks.hosts", c.Tasks.HostInterval}, {"tasks.set_aside", c.Tasks.SetAside},
+		{"tasks.reservation", c.Tasks.Reservation}, {"tasks.hosts", c.Tasks.HostInterval}, {"tasks.set_aside", c.Tasks.Quarantine},
 		{"tasks.every", c.Tasks.RoundInterval}, {"tasks.ask", c.Tasks.VerifyInterval}, {"tasks.retention", c.Tasks.Retention},
 		{"requests.key_window", c.Requests.KeyWindow}, {"requests.key_margin", c.Requests.KeyMargin},
 		{"requests.linger", c.Requests.AbandonedTimeout}, {"requests.load", c.Requests.LoadInterval},
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -44,16 +44,16 @@
 
 // The events of workers and tasks.
 var (
-	WorkerSilent     = zap.String(Field, "SB1301")
-	WorkerRecovered  = zap.String(Field, "SB1302")
-	WorkerSetAside   = zap.String(Field, "SB1303")
-	WorkerStaleEpoch = zap.String(Field, "SB1304")
-	HostsNotRead     = zap.String(Field, "SB1305")
-	TaskUnknown      = zap.String(Field, "SB1311")
-	TaskLost         = zap.String(Field, "SB1312")
-	JobFailed        = zap.String(Field, "SB1313")
-	TaskNotPlaced    = zap.String(Field, "SB1314")
-	ReportNotApplied = zap.String(Field, "SB1315")
+	WorkerSilent          = zap.String(Field, "SB1301")
+	WorkerRecovered       = zap.String(Field, "SB1302")
+	PoolWorkerQuarantined = zap.String(Field, "SB1303")
+	WorkerStaleEpoch      = zap.String(Field, "SB1304")
+	HostsNotRead          = zap.String(Field, "SB1305")
+	TaskUnknown           = zap.String(Field, "SB1311")
+	TaskLost              = zap.String(Field, "SB1312")
+	JobFailed             = zap.String(Field, "SB1313")
+	TaskNotPlaced         = zap.String(Field, "SB1314")
+	ReportNotApplied      = zap.String(Field, "SB1315")
 )
 
 // The events of requests.
--- a/internal/jobs/set.go
+++ b/internal/jobs/set.go
@@ -145,7 +145,7 @@
 		return nil, &Error{op, KindNotOwner, errors.New(key)}
 	case sh.grant.Held():
 		return sh, nil
-	case sh.grant.LapsedFor() > 0:
+	case sh.grant.ExpiredFor() > 0:
 		// The node cannot reach the store, so it is no use for the caller to wait for
 		// another owner.
 		return nil, &Error{op, KindUnavailable, errors.New(key)}
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -256,7 +256,7 @@
 // taskEnded handles a task whose end was reported.
 func (j *Job) taskEnded(t *Task, ev peer.Event, at time.Time) {
 	switch {
-	case ev.Result == worker.ResultLapsed:
+	case ev.Result == worker.ResultLeaseExpired:
 		j.taskLost(t, ev, at)
 	case ev.Result == worker.ResultStopped:
 		j.taskStopped(t, ev, at)
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -197,7 +197,7 @@
 
 func applyRandomOp(st *jobs.State, op int) {
 	task, n := op%3, 1+op/3%4
-	results := []worker.Result{worker.ResultDone, worker.ResultFailed, worker.ResultStopped, worker.ResultLapsed}
+	results := []worker.Result{worker.ResultDone, worker.ResultFailed, worker.ResultStopped, worker.ResultLeaseExpired}
 	switch op / 100 {
 	case 0, 1, 2:
 		applyPlace(st, task, st.Jobs["j"].Tasks[task].Attempt+1)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -319,8 +319,8 @@
 	return l.generation, l.heldLocked()
 }
 
-// LapsedFor returns how long ago the lease expired; 0 while it is held.
-func (l *Lease) LapsedFor() time.Duration {
+// ExpiredFor returns how long ago the lease expired; 0 while it is held.
+func (l *Lease) ExpiredFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, time.Since(l.heldUntil))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -207,7 +207,7 @@
 		Weights:   func() policy.Weights { return n.bundle().Weights() },
 	}, pool.Options{
 		Lease: cfg.Tasks.Lease, Margin: cfg.Tasks.Margin, Grace: cfg.Tasks.Grace,
-		Reservation: cfg.Tasks.Reservation, HostInterval: cfg.Tasks.HostInterval, Quarantine: cfg.Tasks.SetAside,
+		Reservation: cfg.Tasks.Reservation, HostInterval: cfg.Tasks.HostInterval, Quarantine: cfg.Tasks.Quarantine,
 		IgnoreLeaving: n.deps.Guards.IgnoreLeaving,
 	}, n.log)
 	n.jobs = jobs.NewSet(jobs.Deps{Journal: n.journal, Pools: poolRouter{n}, Load: n.load, Bundle: n.bundle}, jobs.Options{
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -429,9 +429,9 @@
 }
 
 // usable reports whether requests may go to the shard's instances: while the node owns the
-// shard, and for the grace after its lease has lapsed.
+// shard, and for the grace after its lease has expired.
 func (p *Pool) usable() bool {
-	return p.grant.Held() || p.grant.LapsedFor() < p.opts.Grace
+	return p.grant.Held() || p.grant.ExpiredFor() < p.opts.Grace
 }
 
 // queueEventLocked queues the latest event of a task for delivery.
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -146,7 +146,7 @@
 	h.t.Helper()
 	err := h.set.Acquire(h.t.Context(), shard.Grant{
 		Owner: "n", Key: key, Epoch: epoch, Held: func() bool { return h.held },
-		LapsedFor: func() time.Duration { return 0 },
+		ExpiredFor: func() time.Duration { return 0 },
 	})
 	if err != nil {
 		h.t.Fatal(err)
@@ -392,7 +392,7 @@
 	s := pool.NewSet(ctx, []shard.DataCentre{dc}, pool.Deps{
 		Hosts: f, Workers: f, Events: f, Instances: f, Weights: func() policy.Weights { return policy.Weights{Packing: 1} },
 	}, pool.Options{Lease: time.Hour, Margin: time.Second, Reservation: time.Hour, HostInterval: time.Hour}, zap.NewNop())
-	err := s.Acquire(ctx, shard.Grant{Owner: "n", Key: key, Epoch: 1, Held: func() bool { return true }, LapsedFor: func() time.Duration { return 0 }})
+	err := s.Acquire(ctx, shard.Grant{Owner: "n", Key: key, Epoch: 1, Held: func() bool { return true }, ExpiredFor: func() time.Duration { return 0 }})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -281,10 +281,10 @@
 	if !w.fenced || w.silent {
 		return false
 	}
-	lapsed := p.grant.LapsedFor()
+	expiredFor := p.grant.ExpiredFor()
 	for a, t := range w.tasks {
 		grace := min(p.opts.Grace, time.Duration(t.spec.GraceMS)*time.Millisecond)
-		if lapsed > grace {
+		if expiredFor > grace {
 			c.Except = append(c.Except, a)
 		}
 	}
@@ -422,7 +422,7 @@
 	}
 	if ok && (e.Result == worker.ResultDone || e.Result == worker.ResultFailed) {
 		if w.recordResultLocked(e.Attempt.Job, e.Result == worker.ResultDone, p.opts) {
-			p.log.Warn("worker quarantined", events.WorkerSetAside, zap.String("worker", w.host.ID), zap.Duration("for", w.quarantineTime))
+			p.log.Warn("worker quarantined", events.PoolWorkerQuarantined, zap.String("worker", w.host.ID), zap.Duration("for", w.quarantineTime))
 		}
 	}
 	reason := e.Reason
--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -51,8 +51,8 @@
 	Version int64
 	// Held reports whether the ownership is certain now.
 	Held func() bool
-	// LapsedFor returns how long ago the node's lease expired; 0 while it is held.
-	LapsedFor func() time.Duration
+	// ExpiredFor returns how long ago the node's lease expired; 0 while it is held.
+	ExpiredFor func() time.Duration
 }
 
 // Handler does the work of the shards of one kind.
@@ -403,8 +403,8 @@
 func (m *Manager) load(ctx context.Context, key Key, o *ownedShard) {
 	g := Grant{
 		Owner: m.lease.Self().ID, Key: key, Epoch: o.epoch, Version: o.version,
-		Held:      func() bool { return m.held(key, o.epoch) },
-		LapsedFor: m.lease.LapsedFor,
+		Held:       func() bool { return m.held(key, o.epoch) },
+		ExpiredFor: m.lease.ExpiredFor,
 	}
 	for ctx.Err() == nil {
 		err := m.handlers[key.Kind()].Acquire(ctx, g)
--- a/internal/worker/contract_test.go
+++ b/internal/worker/contract_test.go
@@ -130,7 +130,7 @@
 			t.Error("a late renewal extended the lease as if it counted from its arrival")
 		}
 		rep := s.contact(worker.Contact{})
-		if len(rep.Ended) != 1 || rep.Ended[0].Result != worker.ResultLapsed {
+		if len(rep.Ended) != 1 || rep.Ended[0].Result != worker.ResultLeaseExpired {
 			t.Errorf("have %+v", rep.Ended)
 		}
 	})
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -112,8 +112,8 @@
 	ResultDone    Result = "done"
 	ResultFailed  Result = "failed"
 	ResultStopped Result = "stopped"
-	// ResultLapsed is a task that the worker killed because its lease expired.
-	ResultLapsed Result = "lapsed"
+	// ResultLeaseExpired is a task that the worker killed because its lease expired.
+	ResultLeaseExpired Result = "lapsed"
 )
 
 // Started is the answer to the start of a task; Refused is empty if it runs.
--- a/matrix/cluster_test.go
+++ b/matrix/cluster_test.go
@@ -128,7 +128,7 @@
 	cfg.JobShards = jobShardCount
 	cfg.Lease = config.Lease{TTL: 2500 * time.Millisecond, Margin: 500 * time.Millisecond, RenewInterval: 500 * time.Millisecond}
 	cfg.Tasks.Lease, cfg.Tasks.Grace, cfg.Tasks.Reservation = 6*time.Second, 20*time.Second, 4*time.Second
-	cfg.Tasks.SetAside = 2 * time.Second
+	cfg.Tasks.Quarantine = 2 * time.Second
 	cfg.Requests.DrainDelay, cfg.Requests.DrainTimeout = time.Second, 8*time.Second
 	cfg.Requests.KeyMargin = time.Second
 	cfg.Requests.AbandonedTimeout = time.Second
@@ -238,8 +238,9 @@
 	go func() { _ = w.Serve(ctx, l) }()
 }
 
-// killWorker ends a worker and its tasks. The host list reports it as live for lag longer.
-func (c *cluster) killWorker(id string, lag time.Duration) {
+// killWorker ends a worker and its tasks. The host list reports it as live until listDelay
+// is over.
+func (c *cluster) killWorker(id string, listDelay time.Duration) {
 	c.mu.Lock()
 	w := c.workers[id]
 	gone := w == nil || w.dead
@@ -253,7 +254,7 @@
 	c.net.SetPartitioned(id, "*", true)
 	w.stop()
 	go func() {
-		sleep(c.ctx, lag)
+		sleep(c.ctx, listDelay)
 		c.plat.RemoveHost(id)
 	}()
 }
--- a/matrix/confirm_test.go
+++ b/matrix/confirm_test.go
@@ -28,7 +28,7 @@
 		for _, cut := range [][2]string{{"n0", "n1"}, {"n0", "n2"}, {"n1", "n2"}, {"n0", platformHost}, {"n1", platformHost}} {
 			c.net.SetPartitioned(cut[0], cut[1], true)
 		}
-		// The bundle is accepted only after the leases of the cut-off nodes have lapsed.
+		// The bundle is accepted only after the leases of the cut-off nodes have expired.
 		version, at, err := c.accept(ctx, c.nodes["n2"].client, "second", 2)
 		if err != nil {
 			t.Fatal(err)
--- a/matrix/guarantees_test.go
+++ b/matrix/guarantees_test.go
@@ -95,7 +95,7 @@
 				add(guaranteeNotRun, "%s started %s after it was cancelled", e.Attempt, e.At.Sub(at))
 			}
 			s.checkLeaving(e, add)
-		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLapsed:
+		case standinworker.EventDone, standinworker.EventFailed, standinworker.EventStopped, standinworker.EventLeaseExpired:
 			running[key]--
 		case standinworker.EventOverload:
 			add(guaranteeCapacity, "worker %s was given %s beyond its capacity", e.Worker, e.Attempt)
--- a/standin/site/hold.go
+++ b/standin/site/hold.go
@@ -48,14 +48,14 @@
 
 // dropConfirmedEnds drops the ends that were confirmed. A confirmed number stays confirmed
 // for the whole incarnation: an end that gets it later is dropped too. The confirmation of a
-// success isn't recorded if the lease has lapsed since the run ended, because the task may
+// success isn't recorded if the lease has expired since the run ended, because the task may
 // have been started elsewhere.
 func (w *Worker) dropConfirmedEnds() {
 	w.ended = slices.DeleteFunc(w.ended, func(e runEnd) bool {
 		if e.number > w.confirmedEnd {
 			return false
 		}
-		if e.outcome == "done" && e.at.After(w.lapsedAt) {
+		if e.outcome == "done" && e.at.After(w.expiredAt) {
 			w.site.record(w, e.task, e.run, EventSuccessConfirmed, w.fence)
 		}
 		return true
--- a/standin/site/task.go
+++ b/standin/site/task.go
@@ -112,10 +112,10 @@
 }
 
 // endDueRuns ends the runs that are done or have to fail, and all runs once the lease has
-// lapsed. The caller holds mu.
+// expired. The caller holds mu.
 func (w *Worker) endDueRuns() {
 	if w.deadline > 0 && w.clock() > w.deadline {
-		w.lapsedAt = time.Now()
+		w.expiredAt = time.Now()
 	}
 	for _, name := range sortedKeys(w.running) {
 		t := w.running[name]
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -51,8 +51,8 @@
 	lastEnd      int64
 	confirmedEnd int64
 	changed      chan struct{}
-	// lapsedAt is when the lease was last found to have lapsed.
-	lapsedAt   time.Time
+	// expiredAt is when the lease was last found to have expired.
+	expiredAt  time.Time
 	terminated bool
 	draining   bool
 	// removed is set once the worker has left the directory for good.
--- a/standin/worker/events.go
+++ b/standin/worker/events.go
@@ -13,14 +13,14 @@
 // EventKind says what happened on a worker.
 type EventKind string
 
-// The kinds of events. EventStart to EventLapsed follow a task from its start to the
+// The kinds of events. EventStart to EventLeaseExpired follow a task from its start to the
 // way in which it ended.
 const (
-	EventStart   EventKind = "start"
-	EventDone    EventKind = "done"
-	EventFailed  EventKind = "failed"
-	EventStopped EventKind = "stopped"
-	EventLapsed  EventKind = "lapsed"
+	EventStart        EventKind = "start"
+	EventDone         EventKind = "done"
+	EventFailed       EventKind = "failed"
+	EventStopped      EventKind = "stopped"
+	EventLeaseExpired EventKind = "lapsed"
 	// EventOverload is a refused start that would have exceeded the worker's capacity, and
 	// EventSlotsExceeded a refused request that found no free slot in the instance.
 	EventOverload      EventKind = "overload"
@@ -77,8 +77,8 @@
 		return EventDone
 	case worker.ResultFailed:
 		return EventFailed
-	case worker.ResultLapsed:
-		return EventLapsed
+	case worker.ResultLeaseExpired:
+		return EventLeaseExpired
 	default:
 		return EventStopped
 	}
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -317,7 +317,7 @@
 	w.endLocked(a, result, reason)
 }
 
-// expireLease ends a task whose lease has lapsed. The lease may have been renewed after
+// expireLease ends a task whose lease has expired. The lease may have been renewed after
 // its timer fired; then the timer is set again.
 func (w *Worker) expireLease(a worker.Attempt) {
 	w.mu.Lock()
@@ -330,7 +330,7 @@
 		t.leaseTimer.Reset(left)
 		return
 	}
-	w.endLocked(a, worker.ResultLapsed, "the lease lapsed")
+	w.endLocked(a, worker.ResultLeaseExpired, "the lease lapsed")
 }
 
 // stopLocked stops an attempt. One that has not started yet may not start later: its start
@@ -349,8 +349,8 @@
 	}
 	at := time.Now()
 	if at.After(t.expires) {
-		// The worker was paused past the lease: the task counts as lapsed at the lease's end.
-		result, reason, at = worker.ResultLapsed, "the lease lapsed", t.expires
+		// The worker was paused beyond the lease: the task counts as ended when the lease expired.
+		result, reason, at = worker.ResultLeaseExpired, "the lease lapsed", t.expires
 	}
 	delete(w.tasks, a)
 	t.leaseTimer.Stop()
