--- a/Makefile
+++ b/Makefile
@@ -15,28 +15,30 @@
 build:
 	$(GO) build -ldflags '$(LDFLAGS)' -o $(BIN)/ ./cmd/...
 
-# run shows the whole path on one node with stand-ins in one process.
+# run runs the example on one node with stand-ins for the platform and workers, all in one
+# process.
 run: build
 	./$(BIN)/switchbank dev
 
-# Tests that are known to be red are passed over; CI prints them.
+# Tests listed in KNOWN-RED.txt are known to fail and are skipped; CI prints them.
 KNOWN_RED := $(shell sed 's/:.*//' KNOWN-RED.txt | paste -sd '|' -)
 SKIP      := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
 test:
 	$(GO) test -timeout 20m $(SKIP) ./...
 
-# One processor a test binary: under the race detector Go 1.26's runtime lets the
-# threads of a synctest bubble share one context when they run channel timers at
-# once (maybeRunChan), and crashes in it. Races are found as well on one.
+# Each test binary uses one processor: with the race detector, Go 1.26's runtime lets the
+# threads of a synctest bubble share one context if they run channel timers at the same time
+# (maybeRunChan), and crashes in it. The detector finds races with one processor as well.
 race:
 	$(GO) test -race -cpu 1 -timeout 30m $(SKIP) ./...
 
-# e2e runs the example as separate processes over TCP, and kills a node in its middle.
+# e2e runs the example as separate processes over TCP, and kills a node during the run.
 e2e: build
 	SWITCHBANK_BIN=$(CURDIR)/$(BIN) $(GO) test -count=1 -timeout 20m -parallel 4 -tags e2e ./e2e/...
 
-# soak plays random faults on real processes for each seed: make soak SEEDS=1-50.
+# soak injects random faults into real processes, in one run for each seed:
+# make soak SEEDS=1-50.
 SEEDS ?= 1-5
 soak: build
 	SWITCHBANK_BIN=$(CURDIR)/$(BIN) SOAK_SEEDS=$(SEEDS) $(GO) test -count=1 -timeout 60m -parallel 4 -tags e2e -run TestSoak ./e2e/...
@@ -80,12 +82,13 @@
 bench:
 	$(GO) test -run '^$$' -bench . -benchmem ./...
 
-# slopes measures what a node uses by number of workers, tasks, nodes and changes.
+# slopes measures how a node's resource use grows with the number of workers, tasks, nodes
+# and changes.
 slopes: build
 	SWITCHBANK_BIN=$(CURDIR)/$(BIN) SLOPES_OUT=$(CURDIR)/$(BIN)/slopes.txt $(GO) test -count=1 -timeout 20m -tags slopes -run TestSlopes ./e2e/...
 	cat $(BIN)/slopes.txt
 
-# measure holds the policy against two baselines in virtual time.
+# measure compares the placement policy with two baselines in virtual time.
 measure:
 	mkdir -p $(BIN)
 	MEASURE_OUT=$(CURDIR)/$(BIN)/measure.txt $(GO) test -count=1 -run TestMeasure ./measure
--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -97,7 +97,8 @@
 	return c
 }
 
-// startProcess starts a process and returns a scanner of the output in which it reports its address.
+// startProcess starts a process and returns a scanner of the output in which it reports its
+// address.
 func (c *cell) startProcess(args ...string) (*process, *bufio.Scanner) {
 	c.t.Helper()
 	cmd := exec.CommandContext(c.ctx, c.bin, args...)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -209,7 +209,8 @@
 	return env.printStatus(st)
 }
 
-// endedOrAllRunning reports whether a workload has ended, or is a service with all its tasks running.
+// endedOrAllRunning reports whether a workload has ended, or is a service with all its tasks
+// running.
 func endedOrAllRunning(s api.Status) bool {
 	return s.State.Final() || s.Workload.Kind == api.KindService && s.Counts.Running == s.Workload.Tasks
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -7,7 +7,8 @@
 //
 // # Usage
 //
-//	reply, err := httpx.Call[peer.ReserveRequest, peer.ReserveReply](ctx, c, url+peer.PathReserve, req)
+//	url := "http://" + address + peer.PathReserve
+//	reply, err := httpx.Call[peer.ReserveRequest, peer.ReserveReply](ctx, c, url, req)
 package peer
 
 import (
--- a/measure/workloads_test.go
+++ b/measure/workloads_test.go
@@ -121,7 +121,7 @@
 // cell's task starts.
 func largeCellSlice() workload {
 	r := rand.New(rand.NewPCG(seed, 5))
-	w := workload{name: "slice of the letter's size (64 workers, 3.5 starts/s)", workers: 64, capacity: amount(16, 64), weights: mostlyPacking}
+	w := workload{name: "slice of a large cell (64 workers, 3.5 starts/s)", workers: 64, capacity: amount(16, 64), weights: mostlyPacking}
 	for i := range 12 {
 		w.teams = append(w.teams, team(string(rune('a'+i)), amount(80, 320)))
 	}
