--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,7 +31,7 @@
 	"switchbank.example/switchbank/internal/version"
 )
 
-// The exit codes of both binaries.
+// The exit codes of switchbank.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -113,7 +113,7 @@
 	renewNow   chan struct{}
 	// observed holds when each incarnation's row was last seen to change.
 	observed map[incarnationKey]observation
-	// rows holds the rows as last read, by node id.
+	// rows holds the rows as last read, by node ID.
 	rows        map[string]nodeRow
 	refreshedAt time.Time
 }
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// readVersion reads the version of the row that an earlier process with the node's id may
+// readVersion reads the version of the row that an earlier process with the node's ID may
 // have left, which the first renewal replaces.
 func (l *Lease) readVersion(ctx context.Context) error {
 	row, err := l.table.Get(ctx, TableNodes, l.self.ID)
@@ -354,7 +354,7 @@
 }
 
 // Live returns the nodes whose row changed within the time to live plus the margin, ordered
-// by id. It includes this node while it holds its lease.
+// by ID. It includes this node while it holds its lease.
 func (l *Lease) Live() []Node {
 	now := time.Now()
 	l.mu.Lock()
@@ -373,7 +373,7 @@
 	return live
 }
 
-// OtherNodes returns the last read rows of all other nodes, live or not, ordered by id.
+// OtherNodes returns the last read rows of all other nodes, live or not, ordered by ID.
 func (l *Lease) OtherNodes() []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// TestReplaced starts a second process with the same node id: the first one must give up its
+// TestReplaced starts a second process with the same node ID: the first one must give up its
 // lease.
 func TestReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/matrix/guards_test.go
+++ b/matrix/guards_test.go
@@ -108,16 +108,16 @@
 			t.Parallel()
 			var seen []string
 			for _, sp := range g.specs(true) {
-				for _, b := range sp.run(t).violations {
-					seen = append(seen, b.guarantee)
+				for _, v := range sp.run(t).violations {
+					seen = append(seen, v.guarantee)
 				}
 			}
 			if !slices.ContainsFunc(seen, func(p string) bool { return slices.Contains(g.guarantees, p) }) {
 				t.Errorf("with the guard off, no cell breaks guarantee %v; broken: %v", g.guarantees, seen)
 			}
 			for _, sp := range g.specs(false) {
-				for _, b := range sp.run(t).violations {
-					t.Errorf("with the guard on, at %s: guarantee %s: %s", sp.step, b.guarantee, b.detail)
+				for _, v := range sp.run(t).violations {
+					t.Errorf("with the guard on, at %s: guarantee %s: %s", sp.step, v.guarantee, v.detail)
 				}
 			}
 		})
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -86,7 +86,7 @@
 	return p.counts
 }
 
-// SetHost adds a host to the host list, or replaces the host with the same id.
+// SetHost adds a host to the host list, or replaces the host with the same ID.
 func (p *Platform) SetHost(h platform.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/worker/events.go
+++ b/standin/worker/events.go
@@ -38,7 +38,7 @@
 	Worker  string         `json:"worker"`
 	Kind    EventKind      `json:"saw"`
 	Attempt worker.Attempt `json:"attempt"`
-	// Request and Body are the request's id and body; set for EventRequest only.
+	// Request and Body are the request's ID and body; set for EventRequest only.
 	Request string `json:"request,omitempty"`
 	Body    string `json:"body,omitempty"`
 	// Shard, Owner and Epoch come from the contact; set for EventNewOwner only.
--- a/standin/worker/instance.go
+++ b/standin/worker/instance.go
@@ -19,7 +19,7 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	maxRequestBytes   = 4 << 20
-	// HeaderRequestID carries the id of a request to and from an instance.
+	// HeaderRequestID carries the ID of a request to and from an instance.
 	HeaderRequestID = "Switchbank-Request-Id"
 	// HeaderNotRun tells the node that the instance did not run the request, whose outcome
 	// is then known. Its value is the reason.
