--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -225,7 +225,7 @@
 }
 
 // Get returns the status of a workload. If since is above 0, the node answers once the
-// workload's revision is higher, or when its time to wait is over.
+// workload's revision is higher, or after the longest wait that it allows.
 func (c *Client) Get(ctx context.Context, id string, since int64, tasks bool) (api.Status, error) {
 	q := url.Values{"tasks": {strconv.FormatBool(tasks)}}
 	if since > 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,9 +94,11 @@
 
 // Requests holds the times of requests and of their keys.
 type Requests struct {
-	KeyWindow        time.Duration `yaml:"key_window"`
-	KeyMargin        time.Duration `yaml:"key_margin"`
-	KeyAnswerBytes   int           `yaml:"key_answer_bytes"`
+	KeyWindow      time.Duration `yaml:"key_window"`
+	KeyMargin      time.Duration `yaml:"key_margin"`
+	KeyAnswerBytes int           `yaml:"key_answer_bytes"`
+	// AbandonedTimeout is how long an instance's slot stays in use for a request whose
+	// deadline has passed.
 	AbandonedTimeout time.Duration `yaml:"linger"`
 	// LoadInterval is the time between two exchanges of load summaries with the peers.
 	LoadInterval time.Duration `yaml:"load"`
--- a/matrix/guarantees_test.go
+++ b/matrix/guarantees_test.go
@@ -12,7 +12,7 @@
 )
 
 // The guarantees that the matrix checks, by the names in its grid. The first eight are
-// safety properties; guaranteeProgress is that all work goes on after a fault.
+// safety properties; guaranteeProgress is that all work continues after a fault.
 const (
 	// guaranteeCapacity: no worker gets more tasks than it has capacity for, and no instance
 	// more requests than it has slots.
--- a/standin/local/run.go
+++ b/standin/local/run.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	loopback          = "127.0.0.1:0"
-	workerCount       = 8
-	workersPerRack    = 4
-	readHeaderTimeout = 5 * time.Second
-	exampleTimeout    = 2 * time.Minute
-	pollInterval      = 50 * time.Millisecond
+	loopback       = "127.0.0.1:0"
+	workerCount    = 8
+	workersPerRack = 4
+	httpTimeout    = 5 * time.Second
+	exampleTimeout = 2 * time.Minute
+	pollInterval   = 50 * time.Millisecond
 )
 
 // Listening is the line of JSON that a stand-in prints once it listens, so that whoever
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	c := &http.Client{Timeout: readHeaderTimeout}
+	c := &http.Client{Timeout: httpTimeout}
 	resp, err := c.Do(req)
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 }
 
 func serveUntil(ctx context.Context, l net.Listener, h http.Handler) error {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: httpTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); err != http.ErrServerClosed {
