--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -19,12 +19,12 @@
 		fmt.Fprintf(&out, "\n%s: %d jobs\n", w.name, len(w.jobs))
 		fmt.Fprintf(&out, "%-32s %11s %11s %11s %11s %13s %8s %8s %9s %12s\n", "", "counter p50", "counter p99", "notice p50", "notice p99",
 			"rival p99", "packing", "late", "redone", "us/decision")
-		for _, strat := range strategies(w.weights) {
-			res := newSimulation(strat, w).run(w)
+		for _, st := range strategies(w.weights) {
+			res := newSimulation(st, w).run(w)
 			if res.decisions == 0 {
-				t.Errorf("%s under %s: nothing was decided", w.name, strat.name)
+				t.Errorf("%s under %s: nothing was decided", w.name, st.name)
 			}
-			fmt.Fprintf(&out, "%-32s %11s %11s %11s %11s %13s %7.1f%% %8d %9s %12.2f\n", strat.name,
+			fmt.Fprintf(&out, "%-32s %11s %11s %11s %11s %13s %7.1f%% %8d %9s %12.2f\n", st.name,
 				formatDuration(quantile(res.waits["counter"], 0.5)), formatDuration(quantile(res.waits["counter"], 0.99)),
 				formatDuration(quantile(res.waits["notice"], 0.5)), formatDuration(quantile(res.waits["notice"], 0.99)),
 				formatDuration(quantile(res.waits[w.protectedClass], 0.99)), 100*res.usedShareSeconds/max(res.waitingSeconds, 1e-9), res.deadlinesMissed, formatDuration(res.redone),
--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -106,8 +106,8 @@
 	return r
 }
 
-func newSimulation(strat strategy, w workload) *simulation {
-	s := &simulation{strategy: strat, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
+func newSimulation(st strategy, w workload) *simulation {
+	s := &simulation{strategy: st, teams: slices.Clone(w.teams), res: result{waits: make(map[string][]time.Duration)}}
 	for range w.workers {
 		s.workers = append(s.workers, policy.Candidate{Free: w.capacity, Capacity: w.capacity})
 		s.total = s.total.Add(w.capacity)
