--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -150,8 +150,8 @@
 }
 
 // acceptsTask reports whether the worker may be given another task. Successes of older
-// runs don't shorten a quarantine: where they did, the mean benchmark score of eight days
-// with slow workers was 0.04 lower at two sites. While the worker is probed, each task has
+// runs don't shorten a quarantine: a faulty worker may still complete its old tasks, and
+// would be given new ones while its fault lasts. While the worker is probed, each task has
 // to end, prove the worker healthy or run for maxProbeWait before the next one starts.
 func (h *health) acceptsTask(now time.Time, w *worker) bool {
 	if now.Before(h.quarantinedUntil) {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -115,9 +115,8 @@
 		within = min(slack-slackMargin, maxReserveWait)
 	}
 	s.reserve(now, st, left, within)
-	// A step that is late already does not preempt others, which would be late in turn:
-	// the mean benchmark score over six days of a full service was 0.866 with this rule
-	// and 0.860 without.
+	// A step that is late already does not preempt others: its job is expected to end late
+	// even so, and the others would lose work and could be late in turn.
 	if slack >= 0 {
 		s.preempt(now, st, left)
 	}
